--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -270,7 +270,7 @@
             chosen = self._visits(request, replicated, now)
         ready = replicated.ready
         if ready:
-            first, second = ready.two(self._rng)
+            first, second = ready.sample_two(self._rng)
             if self._burden(second, now) < self._burden(first, now):
                 first, second = second, first
             chosen += (first, second, replicated.members[0])
--- a/saltport/decisions/hotkeys/meter.py
+++ b/saltport/decisions/hotkeys/meter.py
@@ -149,7 +149,7 @@
 
     def rate(self, count: float, now: int) -> float:
         """A count as reads a second."""
-        return count / max(items.span(now) for items in self._items.values())
+        return count / max(items.effective_seconds(now) for items in self._items.values())
 
     def top(self, count: int) -> list[tuple[str, str, float, float]]:
         """Tenant that reads it most, key, least count and error of the keys read most, most first."""
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -270,8 +270,8 @@
 
     def _judge(self, request: Request, node: Node, event: api.AttemptEnded, took: int) -> None:
         if event.outcome in ANSWERED:
-            node.response_time.learn(event.latency)
-            self._response_time.learn(event.latency)
+            node.response_time.add_sample(event.latency)
+            self._response_time.add_sample(event.latency)
         # Danger: counted, clients with little time left would make every server look silent, and a router
         # whose loop has no rest would take its own lateness for theirs.
         cut_short = event.outcome is Outcome.TIMEOUT and took < request.lost_after
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -76,10 +76,10 @@
     def ended(self, node: Node, event: AttemptEnded, late: bool, now: int) -> None:
         """Rise while the origin answers well; on failures cut the tenants over their portion first."""
         if event.outcome is Outcome.TIMEOUT:
-            self.response_time.learn(event.latency)
+            self.response_time.add_sample(event.latency)
         if event.outcome is Outcome.OK and not late:
             self._bad -= self._bad / BAD_SAMPLES
-            self.response_time.learn(event.latency)
+            self.response_time.add_sample(event.latency)
             self._width += 1 / self._width
             for limiter in self.rate_limiters.values():
                 limiter.rise(now)
--- a/saltport/decisions/suppression.py
+++ b/saltport/decisions/suppression.py
@@ -59,7 +59,7 @@
         """The chance of a fetch between the limits: rate limit / perceived rate, cached, at most 1."""
         if now >= self._chance_until:
             self._chance_until = now + CHANCE_CACHED
-            last = self.calls.newer_than(now - NS_PER_S)
+            last = self.calls.count_after(now - NS_PER_S)
             self._chance = min(1.0, self.limit / max(len(self.calls) / self.window_s, last))
         return self._chance
 
--- a/saltport/decisions/weight_adjustment.py
+++ b/saltport/decisions/weight_adjustment.py
@@ -10,7 +10,7 @@
 from saltport.decisions.health import Node
 from saltport.decisions.interface import NS_PER_S, Settings
 from saltport.decisions.limits import PROMPT
-from saltport.structures.rendezvous import WORD, mixed
+from saltport.structures.rendezvous import MAX_UINT64, slot_hash
 
 TIME_FIELDS = ("latency_ms", "recent_ms")  # the recent service time, as PROTOCOL's wires name it
 GAIN = 1 / 4  # twice the time, a sixth less: a queue grows faster than load, the whole ratio would overshoot
@@ -43,4 +43,4 @@
 
 def keeps(node: Node, slot: int) -> bool:
     """Whether a server keeps this slot's reads."""
-    return node.weight_factor >= 1.0 or mixed(slot + DRAWN, node.seed) < node.weight_factor * WORD
+    return node.weight_factor >= 1.0 or slot_hash(slot + DRAWN, node.seed) < node.weight_factor * MAX_UINT64
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -18,7 +18,7 @@
 from saltport.decisions.slot_replication import LOAD_SHARE, SlotReplication
 from saltport.decisions.table import DEPTH, SlotTable
 from saltport.decisions.topology import Evidence, Topology, ZoneCount
-from saltport.structures.rendezvous import RendezvousHash, mixed, score_of
+from saltport.structures.rendezvous import RendezvousHash, rendezvous_score, slot_hash
 from saltport.structures.slot_rankings import MAX_ROWS
 
 SEED = 0x5A17  # of the hash that places slots among zones
@@ -29,7 +29,7 @@
 
 def point(slot: int) -> float:
     """Where a slot stands in every vector, from 0 to 1."""
-    return mixed(slot, SEED) / 2**64
+    return slot_hash(slot, SEED) / 2**64
 
 
 def _usual_most(node: Node) -> float:
@@ -61,9 +61,11 @@
             if len(self._rows) >= MAX_ROWS:
                 self._rows.clear()
             best = self.hash.best(slot, depth, None)
-            row = self._rows[slot, depth] = sorted(best, key=lambda node: -score_of(slot, node))[:depth]
+            row = self._rows[slot, depth] = sorted(best, key=lambda node: -rendezvous_score(slot, node))[
+                :depth
+            ]
         if any(now < node.warm_at for node in row):
-            return sorted(row, key=lambda node: -score_of(slot, node) * table.warmth(node, now))
+            return sorted(row, key=lambda node: -rendezvous_score(slot, node) * table.warmth(node, now))
         return row
 
 
--- a/saltport/structures/__init__.py
+++ b/saltport/structures/__init__.py
@@ -1,1 +1,1 @@
-"""Data structures made for the job; they know nothing of requests."""
+"""General-purpose data structures and estimators; they do not depend on requests or routing."""
--- a/saltport/structures/indexed.py
+++ b/saltport/structures/indexed.py
@@ -1,4 +1,4 @@
-"""A set that can be drawn from: a list with the place of each member; all takes constant time."""
+"""A set with random sampling: a list of the members and the index of each. Operations take constant time."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class IndexedSet(Generic[Member]):
-    """Members in no stable order."""
+    """A set whose members can be sampled at random; iteration has no stable order."""
 
-    __slots__ = ("_list", "_places")
+    __slots__ = ("_indexes", "_list")
 
     def __init__(self, members: Iterable[Member] = ()) -> None:
         self._list = list(dict.fromkeys(members))
-        self._places = {member: place for place, member in enumerate(self._list)}
+        self._indexes = {member: index for index, member in enumerate(self._list)}
 
     def __len__(self) -> int:
         return len(self._list)
@@ -25,30 +25,30 @@
         return iter(self._list)
 
     def __contains__(self, member: object) -> bool:
-        return member in self._places
+        return member in self._indexes
 
     def add(self, member: Member) -> None:
-        """Take a member in."""
-        if member not in self._places:
-            self._places[member] = len(self._list)
+        """Add a member, if it is not in the set."""
+        if member not in self._indexes:
+            self._indexes[member] = len(self._list)
             self._list.append(member)
 
     def discard(self, member: Member) -> None:
-        """Let a member go; the last one gets its place."""
-        place = self._places.pop(member, None)
-        if place is None:
+        """Remove a member, if it is in the set; the last member of the list moves to its index."""
+        index = self._indexes.pop(member, None)
+        if index is None:
             return
         last = self._list.pop()
-        if place < len(self._list):
-            self._list[place] = last
-            self._places[last] = place
+        if index < len(self._list):
+            self._list[index] = last
+            self._indexes[last] = index
 
-    def draw(self, rng: random.Random) -> Member:
-        """Any member, each as likely; raises IndexError when there is none."""
+    def sample(self, rng: random.Random) -> Member:
+        """Return a random member, all equally likely; raises IndexError if the set is empty."""
         return self._list[int(rng.random() * len(self._list))]
 
-    def two(self, rng: random.Random) -> tuple[Member, Member]:
-        """Two members, different ones where there are two; raises IndexError when there is none."""
+    def sample_two(self, rng: random.Random) -> tuple[Member, Member]:
+        """Return two distinct random members, or the only one twice; raises IndexError if there is none."""
         count = len(self._list)
         first = int(rng.random() * count)
         second = first if count < 2 else (first + 1 + int(rng.random() * (count - 1))) % count
--- a/saltport/structures/rendezvous.py
+++ b/saltport/structures/rendezvous.py
@@ -1,7 +1,8 @@
-"""Weighted rendezvous hashing of slots against many holders at once, and the best few of them.
+"""Weighted rendezvous hashing (highest random weight): ranks nodes for a slot, many nodes at once.
 
-`benchmarks.lists` measures it. Exact by itself; with numpy, handed in by whoever may afford it, it ranks
-large numbers in steps over arrays, and what lies near the last place is left to exact scores.
+Scores are exact without numpy. With numpy, which the caller passes in where its cost is acceptable, large
+numbers of nodes are scored in arrays; rounding may then reorder scores close to the last place, so those
+nodes are all returned, for the caller to rank by exact scores. `benchmarks.lists` measures both.
 """
 
 from __future__ import annotations
@@ -13,91 +14,105 @@
 from operator import itemgetter
 from typing import Any, Generic, Protocol, TypeVar
 
-VECTORS_FROM = 256  # holders; below that numpy's own cost is more than it saves
-WORD = (1 << 64) - 1
-MIX_SLOT, MIX = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93
+MIN_NODES_FOR_NUMPY = 256  # below it numpy's overhead for each call exceeds what it saves
+MAX_UINT64 = (1 << 64) - 1
+SLOT_MULTIPLIER, MIX_MULTIPLIER = 0x9E3779B97F4A7C15, 0xD6E8FEB86659FD93
 
 
-class Hashed(Protocol):
-    """What can hold slots."""
+class WeightedNode(Protocol):
+    """A node that slots can be assigned to."""
 
     seed: int
-    """64 bits."""
+    """The hash of the node's identity, 64 bits."""
     weight: float
 
     def __hash__(self) -> int: ...
 
 
-Holder = TypeVar("Holder", bound=Hashed)
+NodeT = TypeVar("NodeT", bound=WeightedNode)
 
 
-def mixed(slot: int, seed: int) -> int:
-    """The hash of (slot, holder), 64 bits."""
-    value = (seed ^ (slot + 1) * MIX_SLOT) * MIX & WORD
-    value = (value ^ value >> 32) * MIX & WORD
+def slot_hash(slot: int, seed: int) -> int:
+    """Return the 64-bit hash of a slot and a node's seed."""
+    value = (seed ^ (slot + 1) * SLOT_MULTIPLIER) * MIX_MULTIPLIER & MAX_UINT64
+    value = (value ^ value >> 32) * MIX_MULTIPLIER & MAX_UINT64
     return value ^ value >> 32
 
 
-def score_of(slot: int, node: Hashed) -> float:
-    """The weighted hash by which holders are ranked; the highest holds the slot."""
-    return -node.weight / math.log((mixed(slot, node.seed) + 1) / (WORD + 2))
+def rendezvous_score(slot: int, node: WeightedNode) -> float:
+    """Return a node's weighted score for a slot; the node with the highest score is the slot's own."""
+    return -node.weight / math.log((slot_hash(slot, node.seed) + 1) / (MAX_UINT64 + 2))
 
 
-class RendezvousHash(Generic[Holder]):
-    """The holders' seeds and weights side by side, to hash a slot against all of them at once."""
+class RendezvousHash(Generic[NodeT]):
+    """A set of nodes with their seeds and weights in arrays, to score all of them for a slot at once."""
 
     def __init__(self) -> None:
-        self.nodes: list[Holder] = []
+        self.nodes: list[NodeT] = []
         self.seeds, self.weights = array("Q"), array("d")
-        self._places: dict[Holder, int] = {}
-        self._weights: Counter[float] = Counter()
+        self._indexes: dict[NodeT, int] = {}
+        self._weight_counts: Counter[float] = Counter()
 
-    def add(self, node: Holder) -> None:
-        """Take a holder in, at the end."""
-        self._places[node] = len(self.nodes)
+    def add(self, node: NodeT) -> None:
+        """Append a node."""
+        self._indexes[node] = len(self.nodes)
         self.nodes.append(node)
         self.seeds.append(node.seed)
         self.weights.append(node.weight)
-        self._weights[node.weight] += 1
+        self._weight_counts[node.weight] += 1
 
-    def remove(self, node: Holder) -> None:
-        """Take a holder out; the last one gets its place."""
-        place, last = self._places.pop(node), self.nodes[-1]
+    def remove(self, node: NodeT) -> None:
+        """Remove a node; the last node moves to its index."""
+        index, last = self._indexes.pop(node), self.nodes[-1]
         if last is not node:
-            self._places[last] = place
-            self.nodes[place], self.seeds[place], self.weights[place] = last, last.seed, last.weight
+            self._indexes[last] = index
+            self.nodes[index], self.seeds[index], self.weights[index] = last, last.seed, last.weight
         self.nodes.pop()
         self.seeds.pop()
         self.weights.pop()
-        self._weights[node.weight] -= 1
-        if not self._weights[node.weight]:
-            del self._weights[node.weight]
+        self._weight_counts[node.weight] -= 1
+        if not self._weight_counts[node.weight]:
+            del self._weight_counts[node.weight]
 
-    def best(self, slot: int, count: int, numpy: Any) -> list[Holder]:
-        """At least the `count` best holders of a slot, in no order; all of them where there are no more."""
+    def best(self, slot: int, count: int, numpy: Any) -> list[NodeT]:
+        """Return at least the `count` nodes with the highest scores for a slot, unordered.
+
+        All nodes are returned if there are no more than `count`. `numpy`: the module, or None.
+        """
         if count >= len(self.nodes):
             return self.nodes
-        if numpy is not None and len(self.nodes) >= VECTORS_FROM:
-            return self._best_by_vectors(slot, count, numpy)
-        if len(self._weights) > 1:
-            held = [(score_of(slot, node), node) for node in self.nodes]
-            return [node for _, node in nlargest(count, held, key=itemgetter(0))]
-        # Of equal weights the higher hash wins, and its upper half is that of the last product already.
-        word, mix = (slot + 1) * MIX_SLOT & WORD, MIX
-        products = [((half := (seed ^ word) * mix & WORD) ^ half >> 32) * mix & WORD for seed in self.seeds]
-        least = nlargest(count, products)[-1] >> 32 << 32
-        return [self.nodes[place] for place, product in enumerate(products) if product >= least]
-
-    def _best_by_vectors(self, slot: int, count: int, numpy: Any) -> list[Holder]:
-        word, mix, half = numpy.uint64((slot + 1) * MIX_SLOT & WORD), numpy.uint64(MIX), numpy.uint64(32)
-        values = (numpy.frombuffer(self.seeds, dtype=numpy.uint64) ^ word) * mix
-        values = (values ^ values >> half) * mix
-        if len(self._weights) > 1:
+        if numpy is not None and len(self.nodes) >= MIN_NODES_FOR_NUMPY:
+            return self._best_by_numpy(slot, count, numpy)
+        if len(self._weight_counts) > 1:
+            scored = [(rendezvous_score(slot, node), node) for node in self.nodes]
+            return [node for _, node in nlargest(count, scored, key=itemgetter(0))]
+        # With equal weights the higher hash wins. The last step of the hash, an xor with the value shifted by
+        # 32 bits, leaves the upper half as it is, so the step is omitted and only the upper halves are
+        # compared.
+        word, multiplier = (slot + 1) * SLOT_MULTIPLIER & MAX_UINT64, MIX_MULTIPLIER
+        products = [
+            ((half := (seed ^ word) * multiplier & MAX_UINT64) ^ half >> 32) * multiplier & MAX_UINT64
+            for seed in self.seeds
+        ]
+        lowest = nlargest(count, products)[-1] >> 32 << 32
+        return [self.nodes[index] for index, product in enumerate(products) if product >= lowest]
+
+    def _best_by_numpy(self, slot: int, count: int, numpy: Any) -> list[NodeT]:
+        """Return the same as `best`, computed over arrays."""
+        word, multiplier, half = (
+            numpy.uint64((slot + 1) * SLOT_MULTIPLIER & MAX_UINT64),
+            numpy.uint64(MIX_MULTIPLIER),
+            numpy.uint64(32),
+        )
+        values = (numpy.frombuffer(self.seeds, dtype=numpy.uint64) ^ word) * multiplier
+        values = (values ^ values >> half) * multiplier
+        if len(self._weight_counts) > 1:
             weights = numpy.frombuffer(self.weights, dtype=numpy.float64)
-            shares = ((values ^ values >> half).astype(numpy.float64) + 1) / (WORD + 2)
-            # Rounded where exact ones are not: what lies near the last place stays in, to be ranked exactly.
+            shares = ((values ^ values >> half).astype(numpy.float64) + 1) / (MAX_UINT64 + 2)
+            # These scores are rounded, unlike the exact ones: nodes close to the last place are included, and
+            # the caller ranks them by exact scores.
             values = -weights / numpy.log(numpy.minimum(shares, 1 - 2**-53))
-            least = numpy.partition(values, -count)[-count] * (1 - 1e-9)
+            lowest = numpy.partition(values, -count)[-count] * (1 - 1e-9)
         else:
-            least = numpy.partition(values, -count)[-count] >> half << half
-        return [self.nodes[place] for place in numpy.flatnonzero(values >= least)]
+            lowest = numpy.partition(values, -count)[-count] >> half << half
+        return [self.nodes[index] for index in numpy.flatnonzero(values >= lowest)]
--- a/saltport/structures/response_time.py
+++ b/saltport/structures/response_time.py
@@ -2,18 +2,18 @@
 
 from __future__ import annotations
 
-SAMPLES = 16  # over which both are smoothed
+SMOOTHING_SAMPLES = 16  # each new sample has a weight of 1 / this
 
 
 class ResponseTimeEstimate:
-    """How long answers take, nanoseconds."""
+    """Exponentially weighted mean and mean deviation of response times, nanoseconds."""
 
     def __init__(self, initial: float = 0.0) -> None:
-        """`initial`: mean and deviation before the first answer."""
+        """`initial`: mean and deviation before the first sample."""
         self.mean = self.deviation = initial
 
-    def learn(self, latency: int) -> None:
-        """Take one answer's time."""
+    def add_sample(self, latency: int) -> None:
+        """Update mean and deviation with the time of one response."""
         error = latency - self.mean
-        self.mean += error / SAMPLES
-        self.deviation += (abs(error) - self.deviation) / SAMPLES
+        self.mean += error / SMOOTHING_SAMPLES
+        self.deviation += (abs(error) - self.deviation) / SMOOTHING_SAMPLES
--- a/saltport/structures/shares.py
+++ b/saltport/structures/shares.py
@@ -1,4 +1,4 @@
-"""Weighted max-min fairness: how a capacity is shared among those who ask."""
+"""Weighted max-min fairness: division of a capacity among competing demands."""
 
 from __future__ import annotations
 
@@ -6,17 +6,20 @@
 
 
 def fair_shares(
-    capacity: float, asked: Mapping[str, float], weights: Mapping[str, float]
+    capacity: float, demands: Mapping[str, float], weights: Mapping[str, float]
 ) -> dict[str, float]:
-    """Weighted max-min: who asks for less than its share gets it all, its rest goes to the others."""
-    given: dict[str, float] = {}
-    left = dict(asked)
-    while left:
-        total = sum(weights[name] for name in left)
-        content = [name for name in left if left[name] <= capacity * weights[name] / total]
-        if not content:
-            return given | {name: capacity * weights[name] / total for name in left}
-        for name in content:
-            given[name] = left.pop(name)
-        capacity = max(capacity - sum(given[name] for name in content), 0.0)
-    return given
+    """Return the weighted max-min fair allocation of a capacity, by name.
+
+    A demand below its weighted share is met in full, and the rest of that share is divided among the others.
+    """
+    allocated: dict[str, float] = {}
+    remaining = dict(demands)
+    while remaining:
+        total = sum(weights[name] for name in remaining)
+        satisfied = [name for name in remaining if remaining[name] <= capacity * weights[name] / total]
+        if not satisfied:
+            return allocated | {name: capacity * weights[name] / total for name in remaining}
+        for name in satisfied:
+            allocated[name] = remaining.pop(name)
+        capacity = max(capacity - sum(allocated[name] for name in satisfied), 0.0)
+    return allocated
--- a/saltport/structures/slot_rankings.py
+++ b/saltport/structures/slot_rankings.py
@@ -1,8 +1,9 @@
-"""The best holders of each slot by weighted rendezvous hashing, kept as holders come and go.
+"""The best nodes of each slot by weighted rendezvous hashing, updated incrementally as nodes change.
 
-A row keeps a slot's best holders in order. A change is only noted; each row catches up when its slot is next
-asked for, one hash for each holder that came, so that no change takes long. Rows that fell too far behind, or
-lost too many holders, are ranked anew. docs/design/table.md weighs the options, `benchmarks.lists` measures.
+A row stores a slot's best nodes in order. A change of the nodes is only logged; a row applies the logged
+changes when its slot is next requested, with one hash for each added node, so that no single change takes
+long. A row that is too many changes behind, or has lost too many nodes, is ranked again in full.
+docs/design/table.md compares the alternatives, `benchmarks.lists` measures them.
 """
 
 from __future__ import annotations
@@ -10,107 +11,113 @@
 from bisect import insort
 from typing import Any, Generic, TypeVar
 
-from saltport.structures.rendezvous import Hashed, RendezvousHash, score_of
+from saltport.structures.rendezvous import RendezvousHash, WeightedNode, rendezvous_score
 
-CATCH_UP = 48  # changes that a row catches up with; past that it is cheaper to rank it anew
-NOTED = 8 * CATCH_UP
+MAX_CHANGES_APPLIED = 48  # to one row at once: for more it is cheaper to rank the row again
+MAX_CHANGES_LOGGED = 8 * MAX_CHANGES_APPLIED
 MAX_ROWS = 16_384
 
-Holder = TypeVar("Holder", bound=Hashed)
+NodeT = TypeVar("NodeT", bound=WeightedNode)
 
 
-def _by_score(ranked: tuple[float, Any]) -> float:
-    return -ranked[0]
+def _descending_score(scored: tuple[float, Any]) -> float:
+    return -scored[0]
 
 
-class Row(Generic[Holder]):
-    """A slot's best holders with their scores, in order, as of a version of the holders."""
+class Row(Generic[NodeT]):
+    """A slot's best nodes with their scores, best first, as of a version of the set of nodes."""
 
-    __slots__ = ("ranked", "shown", "version", "whole")
+    __slots__ = ("best", "complete", "ranked", "version")
 
-    def __init__(self, ranked: list[tuple[float, Holder]], version: int, whole: bool) -> None:
+    def __init__(self, ranked: list[tuple[float, NodeT]], version: int, complete: bool) -> None:
         self.ranked, self.version = ranked, version
-        self.shown: list[Holder] = []
-        """The first few, as they are told again and again; empty: to be listed anew."""
-        self.whole = whole
-        """Whether it holds all holders there are."""
+        self.best: list[NodeT] = []
+        """The first nodes without scores, as `SlotRankings.best` returns them; empty: not yet computed."""
+        self.complete = complete
+        """Whether the row contains all nodes."""
 
 
-class SlotRankings(Generic[Holder]):
-    """Tells the best `shown` of a slot and keeps `kept`, so that a row outlives some leaves."""
+class SlotRankings(Generic[NodeT]):
+    """Rankings of nodes by slot: returns the best `result_size` of a slot, and stores `row_size` or more.
 
-    def __init__(self, shown: int, kept: int, numpy: Any = None) -> None:
-        """`numpy`: the module, where large numbers of holders are to be ranked with it."""
-        self._shown, self._kept, self._numpy = shown, kept, numpy
-        self._hash = RendezvousHash[Holder]()
-        self._rows: dict[int, Row[Holder]] = {}
-        self._noted: list[tuple[Holder, bool]] = []  # the latest changes: a holder, and whether it came
+    The additional nodes of a row replace nodes that are removed, without a new ranking.
+    """
+
+    def __init__(self, result_size: int, row_size: int, numpy: Any = None) -> None:
+        """`numpy`: the module, to rank large numbers of nodes with it, or None."""
+        self._result_size, self._row_size, self._numpy = result_size, row_size, numpy
+        self._hash = RendezvousHash[NodeT]()
+        self._rows: dict[int, Row[NodeT]] = {}
+        self._changes: list[tuple[NodeT, bool]] = []  # the latest ones: a node, and whether it was added
         self.version = 0
-        """It rises with each change of the holders."""
+        """Increases with each change of the nodes."""
 
-    def add(self, holder: Holder) -> None:
-        """Take a holder in."""
-        self._hash.add(holder)
-        self._note(holder, came=True)
+    def add(self, node: NodeT) -> None:
+        """Add a node."""
+        self._hash.add(node)
+        self._log_change(node, added=True)
 
-    def remove(self, holder: Holder) -> None:
-        """Take a holder out."""
-        self._hash.remove(holder)
-        self._note(holder, came=False)
+    def remove(self, node: NodeT) -> None:
+        """Remove a node."""
+        self._hash.remove(node)
+        self._log_change(node, added=False)
 
-    def _note(self, holder: Holder, came: bool) -> None:
-        self._noted.append((holder, came))
+    def _log_change(self, node: NodeT, added: bool) -> None:
+        self._changes.append((node, added))
         self.version += 1
-        if len(self._noted) > NOTED:
-            del self._noted[: NOTED // 2]
+        if len(self._changes) > MAX_CHANGES_LOGGED:
+            del self._changes[: MAX_CHANGES_LOGGED // 2]
 
-    def best(self, slot: int) -> list[Holder]:
-        """A slot's best `shown` holders, best first; the list is told again and again: do not change it."""
+    def best(self, slot: int) -> list[NodeT]:
+        """Return a slot's best `result_size` nodes, best first; the list is cached: do not modify it."""
         row = self._rows.get(slot)
-        if row is not None and row.version == self.version and row.shown:
-            return row.shown
-        row = self._row(slot, self._shown)
-        row.shown = [holder for _, holder in row.ranked[: self._shown]]
-        return row.shown
-
-    def scored(self, slot: int, count: int) -> list[tuple[float, Holder]]:
-        """A slot's best `count` holders with their scores, best first."""
+        if row is not None and row.version == self.version and row.best:
+            return row.best
+        row = self._row(slot, self._result_size)
+        row.best = [node for _, node in row.ranked[: self._result_size]]
+        return row.best
+
+    def scored(self, slot: int, count: int) -> list[tuple[float, NodeT]]:
+        """Return a slot's best `count` nodes with their scores, best first."""
         return self._row(slot, count).ranked[:count]
 
-    def _row(self, slot: int, count: int) -> Row[Holder]:
+    def _row(self, slot: int, count: int) -> Row[NodeT]:
+        """Return the slot's current row, with at least `count` nodes if there are as many."""
         row = self._rows.get(slot)
-        if row is not None and row.version != self.version and not self._caught_up(slot, row):
+        if row is not None and row.version != self.version and not self._apply_changes(slot, row):
             row = None
-        if row is None or (len(row.ranked) < count and not row.whole):
-            row = self._ranked(slot, count + self._kept - self._shown)
+        if row is None or (len(row.ranked) < count and not row.complete):
+            row = self._new_row(slot, count + self._row_size - self._result_size)
         return row
 
-    def _ranked(self, slot: int, kept: int) -> Row[Holder]:
-        best = self._hash.best(slot, kept, self._numpy)
-        ranked = sorted([(score_of(slot, holder), holder) for holder in best], key=_by_score)[:kept]
+    def _new_row(self, slot: int, size: int) -> Row[NodeT]:
+        """Rank all nodes for a slot, and store the best `size` as its row."""
+        best = self._hash.best(slot, size, self._numpy)
+        ranked = sorted([(rendezvous_score(slot, node), node) for node in best], key=_descending_score)[:size]
         row = Row(ranked, self.version, len(ranked) == len(self._hash.nodes))
         self._rows.pop(slot, None)
         if len(self._rows) >= MAX_ROWS:
-            del self._rows[next(iter(self._rows))]  # the one that was ranked longest ago
+            del self._rows[next(iter(self._rows))]  # the row that was ranked longest ago
         self._rows[slot] = row
         return row
 
-    def _caught_up(self, slot: int, row: Row[Holder]) -> bool:
-        """Bring a row up to date with the changes since; False: it is too far behind."""
+    def _apply_changes(self, slot: int, row: Row[NodeT]) -> bool:
+        """Apply the changes since a row's version to it; return False if there are too many."""
         behind = self.version - row.version
-        if behind > min(CATCH_UP, len(self._noted)):
+        if behind > min(MAX_CHANGES_APPLIED, len(self._changes)):
             return False
-        ranked, row.shown = row.ranked, []
-        for holder, came in self._noted[-behind:]:
-            if not came:
-                row.ranked = ranked = [pair for pair in ranked if pair[1] is not holder]
+        ranked, row.best = row.ranked, []
+        for node, added in self._changes[-behind:]:
+            if not added:
+                row.ranked = ranked = [pair for pair in ranked if pair[1] is not node]
                 continue
-            score = score_of(slot, holder)
-            # Below its last place a row does not know who else is there.
-            if row.whole or (ranked and score > ranked[-1][0]):
-                insort(ranked, (score, holder), key=_by_score)
-        if len(ranked) > 2 * self._kept:
-            del ranked[self._kept :]
-            row.whole = False
+            score = rendezvous_score(slot, node)
+            # Nodes that are not stored may rank between the row's last node and a lower score, so such a node
+            # is only added to a complete row.
+            if row.complete or (ranked and score > ranked[-1][0]):
+                insort(ranked, (score, node), key=_descending_score)
+        if len(ranked) > 2 * self._row_size:
+            del ranked[self._row_size :]
+            row.complete = False
         row.version = self.version
         return True
--- a/tests/decisions/test_slot_table.py
+++ b/tests/decisions/test_slot_table.py
@@ -15,8 +15,8 @@
 from saltport.decisions.health import Node
 from saltport.decisions.interface import Server
 from saltport.decisions.table import DEPTH, KEPT, SHOWN, SlotTable
-from saltport.structures.rendezvous import score_of
-from saltport.structures.slot_rankings import MAX_ROWS, NOTED
+from saltport.structures.rendezvous import rendezvous_score
+from saltport.structures.slot_rankings import MAX_CHANGES_LOGGED, MAX_ROWS
 from tests.decisions.helpers import S, fleet, settings
 
 SLOTS = settings().slots
@@ -180,9 +180,9 @@
 
     def counting(slot: int, node: Node) -> float:
         hashed.append(node.entry.id)
-        return score_of(slot, node)
+        return rendezvous_score(slot, node)
 
-    monkeypatch.setattr("saltport.structures.slot_rankings.score_of", counting)
+    monkeypatch.setattr("saltport.structures.slot_rankings.rendezvous_score", counting)
     for size in (130, 2000):
         table = table_of(fleet(size) if size <= 250 else tuple(Server(f"s{n}") for n in range(size)))
         for slot in range(100):
@@ -207,7 +207,7 @@
         table.update([Server(f"s{number}")], [])
         table.rank(MAX_ROWS, 0)
     assert len(table._rankings._rows[MAX_ROWS].ranked) <= 2 * KEPT
-    assert len(table._rankings._noted) <= NOTED
+    assert len(table._rankings._changes) <= MAX_CHANGES_LOGGED
 
 
 def test_the_same_list_in_another_order_changes_nothing() -> None:
--- a/tests/structures/test_call_window.py
+++ b/tests/structures/test_call_window.py
@@ -1,4 +1,4 @@
-"""The window of calls against plain lists."""
+"""CallWindow agrees with a plain list of calls."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 def test_counts_are_those_of_a_plain_list(
     calls: list[tuple[int, bool]], since: list[int], newer: int
 ) -> None:
-    window, held, now = CallWindow(), list[tuple[int, bool]](), 0
+    window, expected, now = CallWindow(), list[tuple[int, bool]](), 0
     for step, declined in calls:
         now += step
         window.add(now, declined)
-        held.append((now, declined))
-    assert window.newer_than(newer) == sum(time > newer for time, _ in held)
+        expected.append((now, declined))
+    assert window.count_after(newer) == sum(time > newer for time, _ in expected)
     for age in since:
-        held = [call for call in held if call[0] > now - age]
-        assert window.accepted_since(now - age) == sum(not declined for _, declined in held)
-        assert (list(window), len(window)) == (held, len(held))
-        assert window.declined == sum(declined for _, declined in held)
+        expected = [call for call in expected if call[0] > now - age]
+        assert window.accepted_since(now - age) == sum(not declined for _, declined in expected)
+        assert (list(window), len(window)) == (expected, len(expected))
+        assert window.declined == sum(declined for _, declined in expected)
--- a/tests/structures/test_frequent_items.py
+++ b/tests/structures/test_frequent_items.py
@@ -1,4 +1,4 @@
-"""The sketch against exact decayed counts: its bounds hold for skewed, once-only and hostile streams."""
+"""FrequentItems keeps its error bounds for skewed, scan and adversarial streams; reference: exact counts."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltport.structures.frequent_items import RESCALED, FrequentItems
+from saltport.structures.frequent_items import MAX_WEIGHT, FrequentItems
 
 S = 1_000_000_000
 
 
 class Exact:
-    """Decayed counts of everything, the plain way."""
+    """Exact decayed counts of all items, as a reference."""
 
-    def __init__(self, memory: int) -> None:
-        self.memory, self.held = memory, dict[str, tuple[float, int]]()
+    def __init__(self, time_constant: int) -> None:
+        self.time_constant, self.decayed = time_constant, dict[str, tuple[float, int]]()
 
     def add(self, item: str, now: int) -> None:
-        count, at = self.held.get(item, (0.0, now))
-        self.held[item] = count * math.exp((at - now) / self.memory) + 1, now
+        count, at = self.decayed.get(item, (0.0, now))
+        self.decayed[item] = count * math.exp((at - now) / self.time_constant) + 1, now
 
     def counts(self, now: int) -> dict[str, float]:
-        return {item: c * math.exp((at - now) / self.memory) for item, (c, at) in self.held.items()}
+        return {item: c * math.exp((at - now) / self.time_constant) for item, (c, at) in self.decayed.items()}
 
 
 def zipf(exponent: float, keys: int, count: int, seed: int = 3) -> list[str]:
@@ -37,8 +37,10 @@
     return [f"k{bisect(weights, rng.random() * weights[-1])}" for _ in range(count)]
 
 
-def fed(items: Iterable[str], capacity: int, memory: int = 10 * S) -> tuple[FrequentItems, Exact, int]:
-    sketch, exact, now = FrequentItems(capacity, memory), Exact(memory), S
+def counted(
+    items: Iterable[str], capacity: int, time_constant: int = 10 * S
+) -> tuple[FrequentItems, Exact, int]:
+    sketch, exact, now = FrequentItems(capacity, time_constant), Exact(time_constant), S
     for item in items:
         now += S // 1000
         sketch.add(item, now)
@@ -47,9 +49,9 @@
     return sketch, exact, now
 
 
-def within_bounds(sketch: FrequentItems, exact: Exact, now: int) -> None:
+def assert_within_bounds(sketch: FrequentItems, exact: Exact, now: int) -> None:
     true = exact.counts(now)
-    slack = 1 + 2 / 256  # the steps of the weight
+    slack = 1 + 2 / 256  # the weight changes in steps
     assert sketch.total == pytest.approx(sum(true.values()), rel=0.01)
     assert sketch.error <= sketch.total / sketch.capacity * slack
     for item, count in true.items():
@@ -59,7 +61,7 @@
 
 @pytest.mark.parametrize("exponent", [0.8, 1.0, 1.2, 1.4])
 def test_counts_of_skewed_keys_stay_within_the_bounds(exponent: float) -> None:
-    within_bounds(*fed(zipf(exponent, 20_000, 40_000), capacity=256))
+    assert_within_bounds(*counted(zipf(exponent, 20_000, 40_000), capacity=256))
 
 
 def test_once_only_scan_at_five_times_the_load_evicts_nothing_hot() -> None:
@@ -70,28 +72,28 @@
             items.append(f"once{number}")
         else:
             items.append(f"hot{step % 20}")
-    sketch, exact, now = fed(items, capacity=512)
-    within_bounds(sketch, exact, now)
+    sketch, exact, now = counted(items, capacity=512)
+    assert_within_bounds(sketch, exact, now)
     assert {item for item, _ in sketch.top(20)} == {f"hot{i}" for i in range(20)}
     assert len(sketch) <= 1024
 
 
 def test_hostile_order_can_not_push_a_frequent_key_out() -> None:
-    """New keys that force purge after purge, with the frequent one in between."""
+    """New keys force frequent purges, each of which reduces the count of the frequent key."""
     capacity, items = 64, []
     for step in range(30_000):
         items.append("frequent" if step % 16 == 0 else f"x{step}")
-    sketch, exact, now = fed(items, capacity)
-    within_bounds(sketch, exact, now)
+    sketch, exact, now = counted(items, capacity)
+    assert_within_bounds(sketch, exact, now)
     assert sketch.top(1)[0][0] == "frequent"
 
 
-def test_what_was_hot_is_forgotten_and_rates_are_told() -> None:
+def test_counts_give_rates_and_decay() -> None:
     sketch, now = FrequentItems(64, 10 * S), S
     for _ in range(10_000):
         now += S // 100
         sketch.add("old", now)
-    assert sketch.count("old") / sketch.span(now) == pytest.approx(100, rel=0.02)
+    assert sketch.count("old") / sketch.effective_seconds(now) == pytest.approx(100, rel=0.02)
     sketch.advance(now + 60 * S)
     assert sketch.count("old") < 1000 * math.exp(-6) * 1.02
 
@@ -101,18 +103,18 @@
     for _ in range(50):
         now += S // 100
         sketch.add("new", now)
-    assert sketch.count("new") / sketch.span(now) == pytest.approx(100, rel=0.1)
+    assert sketch.count("new") / sketch.effective_seconds(now) == pytest.approx(100, rel=0.1)
 
 
 def test_weights_are_rescaled_without_a_trace() -> None:
     sketch, exact = FrequentItems(64, S), Exact(S)
     now = S
     for step in range(2_000):
-        now += S // 20  # a hundred memories in all, far past the rescaling weight
+        now += S // 20  # a hundred time constants in total, far past MAX_WEIGHT
         sketch.add(f"k{step % 7}", now)
         exact.add(f"k{step % 7}", now)
-    assert math.exp(100) > RESCALED
-    within_bounds(sketch, exact, now)
+    assert math.exp(100) > MAX_WEIGHT
+    assert_within_bounds(sketch, exact, now)
 
 
 def test_long_silence_forgets_all_and_breaks_nothing() -> None:
@@ -131,5 +133,5 @@
         sketch.add(str(item), now)
         exact.add(str(item), now)
     if stream:
-        within_bounds(sketch, exact, now)
+        assert_within_bounds(sketch, exact, now)
     assert len(sketch) <= 2 * capacity
--- a/tests/structures/test_recent.py
+++ b/tests/structures/test_recent.py
@@ -1,4 +1,4 @@
-"""Counts over the last seconds agree with counting each event anew, whatever the times."""
+"""RecentCounts agrees with a count over a list of all events."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
         now += gap
         counts.add((name,), now)
         seen.append((now // S, name))
-    least = now // S - min(seconds, 10)
-    assert counts.last(seconds * S, now) == Counter((name,) for second, name in seen if second > least)
+    oldest = now // S - min(seconds, 10)
+    assert counts.last(seconds * S, now) == Counter((name,) for second, name in seen if second > oldest)
     assert counts.total == Counter((name,) for _, name in seen)
 
 
@@ -41,6 +41,6 @@
     assert counts.last(2 * S, 20 * S) == {("a",): 2}
 
 
-def test_nonsense_is_turned_down() -> None:
+def test_invalid_pane_length_is_rejected() -> None:
     with pytest.raises(ValueError, match="at least 1"):
         RecentCounts(0)
--- a/tests/structures/test_slot_rankings.py
+++ b/tests/structures/test_slot_rankings.py
@@ -1,4 +1,4 @@
-"""Rankings that catch up with changes are those of a plain sort over all holders, whatever came before."""
+"""SlotRankings returns the same as a sort over all nodes after any sequence of changes."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltport.structures.rendezvous import score_of
+from saltport.structures.rendezvous import rendezvous_score
 from saltport.structures.slot_rankings import SlotRankings
 
-SHOWN, KEPT = 4, 6
+RESULT_SIZE, ROW_SIZE = 4, 6
 
 
 @dataclass(unsafe_hash=True)
-class Holder:
+class RankedNode:
     seed: int
     weight: float = 1.0
 
 
-def plain(slot: int, holders: list[Holder], count: int) -> list[Holder]:
-    return sorted(holders, key=lambda holder: -score_of(slot, holder))[:count]
+def sorted_nodes(slot: int, nodes: list[RankedNode], count: int) -> list[RankedNode]:
+    return sorted(nodes, key=lambda node: -rendezvous_score(slot, node))[:count]
 
 
 @settings(max_examples=60, deadline=None)
@@ -31,28 +31,28 @@
 def test_best_and_scored_are_those_of_a_plain_sort(
     steps: list[tuple[bool, int, int]], weights: list[float]
 ) -> None:
-    rankings = SlotRankings[Holder](SHOWN, KEPT)
-    held: dict[int, Holder] = {}
-    for come, number, slot in steps:
-        if come and number not in held:
-            held[number] = Holder(number * 0x9E3779B97F4A7C15 % 2**64, weights[number])
-            rankings.add(held[number])
-        elif not come and number in held:
-            rankings.remove(held.pop(number))
-        everyone = list(held.values())
-        assert rankings.best(slot) == plain(slot, everyone, SHOWN)
-        scored = rankings.scored(slot, 2 * SHOWN)
-        assert [holder for _, holder in scored] == plain(slot, everyone, 2 * SHOWN)
-        assert [score for score, _ in scored] == [score_of(slot, holder) for _, holder in scored]
+    rankings = SlotRankings[RankedNode](RESULT_SIZE, ROW_SIZE)
+    present: dict[int, RankedNode] = {}
+    for add, number, slot in steps:
+        if add and number not in present:
+            present[number] = RankedNode(number * 0x9E3779B97F4A7C15 % 2**64, weights[number])
+            rankings.add(present[number])
+        elif not add and number in present:
+            rankings.remove(present.pop(number))
+        nodes = list(present.values())
+        assert rankings.best(slot) == sorted_nodes(slot, nodes, RESULT_SIZE)
+        scored = rankings.scored(slot, 2 * RESULT_SIZE)
+        assert [node for _, node in scored] == sorted_nodes(slot, nodes, 2 * RESULT_SIZE)
+        assert [score for score, _ in scored] == [rendezvous_score(slot, node) for _, node in scored]
 
 
 def test_a_row_that_fell_far_behind_is_ranked_anew() -> None:
-    rankings = SlotRankings[Holder](SHOWN, KEPT)
-    holders = [Holder(number * 0x9E3779B97F4A7C15 % 2**64) for number in range(1_000)]
-    for holder in holders[:10]:
-        rankings.add(holder)
-    assert rankings.best(7) == plain(7, holders[:10], SHOWN)
-    for holder in holders[10:]:
-        rankings.add(holder)
-    assert rankings.best(7) == plain(7, holders, SHOWN)
-    assert rankings.version == len(holders)
+    rankings = SlotRankings[RankedNode](RESULT_SIZE, ROW_SIZE)
+    nodes = [RankedNode(number * 0x9E3779B97F4A7C15 % 2**64) for number in range(1_000)]
+    for node in nodes[:10]:
+        rankings.add(node)
+    assert rankings.best(7) == sorted_nodes(7, nodes[:10], RESULT_SIZE)
+    for node in nodes[10:]:
+        rankings.add(node)
+    assert rankings.best(7) == sorted_nodes(7, nodes, RESULT_SIZE)
+    assert rankings.version == len(nodes)
