--- a/saltport/structures/rendezvous.py
+++ b/saltport/structures/rendezvous.py
@@ -23,7 +23,7 @@
     """A node that slots can be assigned to."""
 
     seed: int
-    """The hash of the node's identity, 64 bits."""
+    """A 64-bit number that differs between nodes."""
     weight: float
 
     def __hash__(self) -> int: ...
@@ -77,7 +77,7 @@
     def best(self, slot: int, count: int, numpy: Any) -> list[NodeT]:
         """Return at least the `count` nodes with the highest scores for a slot, unordered.
 
-        All nodes are returned if there are no more than `count`. `numpy`: the module, or None.
+        If there are no more than `count` nodes, the result is `nodes` itself. `numpy`: the module, or None.
         """
         if count >= len(self.nodes):
             return self.nodes
@@ -87,8 +87,7 @@
             scored = [(rendezvous_score(slot, node), node) for node in self.nodes]
             return [node for _, node in nlargest(count, scored, key=itemgetter(0))]
         # With equal weights the higher hash wins. The last step of the hash, an xor with the value shifted by
-        # 32 bits, leaves the upper half as it is, so the step is omitted and only the upper halves are
-        # compared.
+        # 32 bits, does not change the upper half: the step is omitted, and only upper halves are compared.
         word, multiplier = (slot + 1) * SLOT_MULTIPLIER & MAX_UINT64, MIX_MULTIPLIER
         products = [
             ((half := (seed ^ word) * multiplier & MAX_UINT64) ^ half >> 32) * multiplier & MAX_UINT64
--- a/saltport/structures/slot_rankings.py
+++ b/saltport/structures/slot_rankings.py
@@ -112,8 +112,8 @@
                 row.ranked = ranked = [pair for pair in ranked if pair[1] is not node]
                 continue
             score = rendezvous_score(slot, node)
-            # Nodes that are not stored may rank between the row's last node and a lower score, so such a node
-            # is only added to a complete row.
+            # A node below the row's last one is only added to a complete row: between the two there may be
+            # nodes that an incomplete row does not contain.
             if row.complete or (ranked and score > ranked[-1][0]):
                 insort(ranked, (score, node), key=_descending_score)
         if len(ranked) > 2 * self._row_size:
