--- a/saltport/decisions/hotkeys/__init__.py
+++ b/saltport/decisions/hotkeys/__init__.py
@@ -1,7 +1,8 @@
-"""Hot keys: found by measurement, held at several nodes where that pays, let go when they cool. No I/O.
+"""Detection of hot keys, their replication to several nodes, and their release after cooling. No I/O.
 
-Asked through decisions/replication.py. meter.py finds, need.py and replicated_key.py decide how many nodes
-and which, invalidation.py what a write has to reach, control.py joins them. Times are nanoseconds on the
+The logic calls this package through decisions/replication.py. meter.py measures keys, need.py computes how
+many nodes a key needs and in which order, replicated_key.py stores the state of one replicated key,
+invalidation.py invalidates copies after writes, and control.py joins them. Times are nanoseconds on the
 caller's clock.
 """
 
--- a/saltport/decisions/hotkeys/invalidation.py
+++ b/saltport/decisions/hotkeys/invalidation.py
@@ -1,8 +1,9 @@
-"""Invalidation of copies by writes, where the router sets copies itself. No I/O.
+"""Invalidation of copies after writes, where the router itself writes copies of hot keys to nodes. No I/O.
 
-A write of any key invalidates it at the nodes that any router may have given it by rule, and at those that
-this one knows of. Its answer waits until each has confirmed, or has failed to: that one is in doubt, and this
-router does not ask it for the key before it has confirmed after all.
+A write invalidates its key, hot or not, at the nodes where any router may have put a copy according to the
+ranking, and at those where this router knows of one. The reply to the write is delayed until each node has
+confirmed the invalidation or failed to. A node that failed is in doubt: this router sends it no reads of the
+key until it has confirmed.
 """
 
 from __future__ import annotations
@@ -13,226 +14,251 @@
 from saltport.decisions import interface as api
 from saltport.decisions.interface import NS_PER_S, Outcome
 
-RETRY, LONGEST_RETRY = NS_PER_S // 4, 4 * NS_PER_S
-REMEMBERED = 600 * NS_PER_S  # for which a node that says nothing stays in doubt
-MAX_DOUBTS = (
-    4096  # keys with a node in doubt; past that the oldest are forgotten, and only the lease bounds them
+MIN_RETRY_PAUSE_NS, MAX_RETRY_PAUSE_NS = NS_PER_S // 4, 4 * NS_PER_S
+DOUBT_LIFETIME_NS = 600 * NS_PER_S  # after which a node that never confirms is no longer in doubt
+MAX_DOUBTFUL_KEYS = (
+    4096  # past that the oldest are dropped, and only the lease bounds how long their old values are read
 )
 
 
 @dataclass(slots=True)
-class Job:
-    """The invalidations of one key under way."""
+class PendingInvalidation:
+    """The invalidation of one key at several servers, while some have not confirmed it."""
 
-    turn: int
-    waiting: set[str]
+    number: int
+    """The number of the latest write's invalidations; they grow with each write."""
+    unconfirmed: set[str]
     """Servers that have not confirmed yet."""
     servers: set[str] = field(default_factory=set)
-    """All of them, those that have said so as well."""
+    """All servers, including those that have confirmed."""
     answers: list[str] = field(default_factory=list)
-    """Writes whose answers wait for it."""
-    behind: set[str] = field(default_factory=set)
-    """Servers to which a copy is under way: the invalidation goes once that has ended."""
+    """Request ids of the writes whose replies are delayed until all servers have confirmed."""
+    behind_copy: set[str] = field(default_factory=set)
+    """Servers with a copy in flight: the invalidation is sent when the copy has ended."""
 
 
 @dataclass(slots=True)
 class Doubt:
-    """A node that may hold an old value of a key."""
+    """The state of a server that may have an old value of a key."""
 
-    turn: int
-    until: int
+    number: int
+    """The doubt ends when the server confirms the invalidation with this number or a later one."""
+    expires_at: int
     retry_at: int
-    pause: int = RETRY
-    asked: bool = False
+    retry_pause: int = MIN_RETRY_PAUSE_NS
+    in_flight: bool = False
     """Whether an invalidation is under way."""
-    sticky_until: int = 0
-    """Until then an old copy may still arrive there, so that no invalidation settles it."""
+    copy_possible_until: int = 0
+    """Until then a copy of an old value may still arrive at the server, so no confirmation ends the doubt."""
 
 
 class Invalidations:
-    """Open writes, invalidations under way, doubts, and the time before which values may not be copied."""
-
-    def __init__(self, lease: int, longest: int) -> None:
-        """`longest`: the time that a read and the copy of its answer can take at any router."""
-        self._lease, self.longest = lease, longest
-        self._again: dict[str, tuple[int, set[str]]] = {}
-        self._turn = 0
-        self._open: dict[str, int] = {}
-        self._fences: dict[str, int] = {}
-        self._jobs: dict[str, Job] = {}
+    """Open writes, pending invalidations and doubts, and from which time on values may be copied again."""
+
+    def __init__(self, lease: int, max_read_time: int) -> None:
+        """`max_read_time`: the longest that a read and the copy of its value can take at any router."""
+        self._lease, self.max_read_time = lease, max_read_time
+        self._repeats: dict[str, tuple[int, set[str]]] = {}
+        """By key, the time and the servers of a second invalidation."""
+        self._last_number = 0
+        self._open_writes: dict[str, int] = {}
+        self._last_write_at: dict[str, int] = {}
+        self._pending: dict[str, PendingInvalidation] = {}
         self._doubts: dict[str, dict[str, Doubt]] = {}
         self.forgotten = 0
+        """Keys whose doubts were dropped because there were too many."""
         self.invalidated = 0
-        self.unsettled = 0
-        """Answers that were given with a node in doubt."""
+        """Confirmed invalidations."""
+        self.answered_in_doubt = 0
+        """Writes that were answered while a server was in doubt."""
 
     @property
     def idle(self) -> bool:
-        """Whether nothing is under way, in doubt or remembered."""
-        return not (self._open or self._jobs or self._doubts or self._fences or self._again)
+        """Whether there is no open or recent write, no pending invalidation and no doubt."""
+        return not (
+            self._open_writes or self._pending or self._doubts or self._last_write_at or self._repeats
+        )
 
     def write_begins(self, key: str) -> None:
-        """From now on no value of the key is copied."""
-        self._open[key] = self._open.get(key, 0) + 1
+        """Stop copying values of the key until the write has ended."""
+        self._open_writes[key] = self._open_writes.get(key, 0) + 1
 
     def write_ends(self, key: str, now: int) -> None:
-        """Values that were asked for before now are not copied any more."""
-        left = self._open.get(key, 0) - 1
+        """Record the end of a write; values that were requested before now are never copied."""
+        left = self._open_writes.get(key, 0) - 1
         if left > 0:
-            self._open[key] = left
+            self._open_writes[key] = left
         else:
-            self._open.pop(key, None)
-        self._fences[key] = now
+            self._open_writes.pop(key, None)
+        self._last_write_at[key] = now
 
-    def may_copy(self, key: str, asked_at: int) -> bool:
-        """Whether a value that was asked for at this time is surely none from before a write."""
-        return key not in self._open and key not in self._jobs and asked_at > self._fences.get(key, -1)
+    def may_copy(self, key: str, requested_at: int) -> bool:
+        """Whether a value that was requested at this time is certainly not older than a write of the key."""
+        return (
+            key not in self._open_writes
+            and key not in self._pending
+            and requested_at > self._last_write_at.get(key, -1)
+        )
 
     def begin(
-        self, key: str, servers: Iterable[str], filling: Iterable[str], answer: str | None, now: int
+        self, key: str, servers: Iterable[str], in_flight: Iterable[str], answer: str | None, now: int
     ) -> list[api.Action]:
-        """Invalidate a key everywhere; returns what to send now. `answer`: the write that waits for it."""
-        behind = set(filling)
-        self._turn += 1
-        job = self._jobs.setdefault(key, Job(self._turn, set()))
-        # Danger: an invalidation that is out may have run before this write; its answer settles nothing.
-        job.turn = self._turn
-        job.waiting |= set(servers) | behind
-        job.servers |= job.waiting
-        job.behind |= behind
+        """Invalidate a key at these servers; return the invalidations to send now.
+
+        `in_flight`: servers to which a copy is under way; `answer`: the write whose reply is delayed until
+        the end, if any.
+        """
+        behind_copy = set(in_flight)
+        self._last_number += 1
+        pending = self._pending.setdefault(key, PendingInvalidation(self._last_number, set()))
+        # Danger: an invalidation already sent may have run before this write, so its confirmation does not
+        # count.
+        pending.number = self._last_number
+        pending.unconfirmed |= set(servers) | behind_copy
+        pending.servers |= pending.unconfirmed
+        pending.behind_copy |= behind_copy
         if answer is not None:
-            job.answers.append(answer)
-        self._fences[key] = now
-        if not job.waiting:
-            return self._settle(key, now)
-        return [api.Invalidate(key, server, job.turn) for server in sorted(job.waiting - job.behind)]
+            pending.answers.append(answer)
+        self._last_write_at[key] = now
+        if not pending.unconfirmed:
+            return self._finish(key, now)
+        return [
+            api.Invalidate(key, server, pending.number)
+            for server in sorted(pending.unconfirmed - pending.behind_copy)
+        ]
 
     def copy_ended(self, key: str, server: str, outcome: Outcome, now: int) -> list[api.Action]:
-        """A copy has ended; an invalidation that waited behind it may go."""
-        job = self._jobs.get(key)
-        if job is None or server not in job.behind:
+        """Record the end of a copy; return the invalidation that was delayed until then, if any."""
+        pending = self._pending.get(key)
+        if pending is None or server not in pending.behind_copy:
             return []
-        job.behind.discard(server)
+        pending.behind_copy.discard(server)
         if outcome in (Outcome.TIMEOUT, Outcome.RESET):
-            # Danger: it may be carried out after the invalidation all the same.
-            self._doubt(key, server, now).sticky_until = now + self._lease
-        return [api.Invalidate(key, server, job.turn)]
+            # Danger: the node may still carry the copy out after the invalidation.
+            self._doubt(key, server, now).copy_possible_until = now + self._lease
+        return [api.Invalidate(key, server, pending.number)]
 
     def invalidation_ended(self, event: api.InvalidationEnded, now: int) -> list[api.Action]:
-        """A node has answered an invalidation, or not."""
-        key, server, settled = event.key, event.server, event.outcome is Outcome.OK
-        self.invalidated += settled
-        job = self._jobs.get(key)
-        waited = job is not None and server in job.waiting and server not in job.behind
-        if waited and job is not None and event.turn < job.turn:
-            return []  # the answer to the later one counts
+        """Record the result of an invalidation; return the replies to writes if it was the last one."""
+        key, server, confirmed = event.key, event.server, event.outcome is Outcome.OK
+        self.invalidated += confirmed
+        pending = self._pending.get(key)
+        awaited = pending is not None and server in pending.unconfirmed and server not in pending.behind_copy
+        if awaited and pending is not None and event.turn < pending.number:
+            return []  # only the result of the later invalidation counts
         doubt = self._doubts.get(key, {}).get(server)
         if doubt is not None:
-            doubt.asked = False
-        if not settled:
+            doubt.in_flight = False
+        if not confirmed:
             doubt = self._doubt(key, server, now, event.turn)
-            doubt.retry_at, doubt.pause = now + doubt.pause, min(2 * doubt.pause, LONGEST_RETRY)
-        elif doubt is not None and now < doubt.sticky_until:
-            doubt.retry_at = now + doubt.pause
-        elif doubt is not None and event.turn >= doubt.turn:
-            self._clear(key, server)
-        if job is None or not waited:
+            doubt.retry_at, doubt.retry_pause = (
+                now + doubt.retry_pause,
+                min(2 * doubt.retry_pause, MAX_RETRY_PAUSE_NS),
+            )
+        elif doubt is not None and now < doubt.copy_possible_until:
+            doubt.retry_at = now + doubt.retry_pause
+        elif doubt is not None and event.turn >= doubt.number:
+            self._remove_doubt(key, server)
+        if pending is None or not awaited:
             return []
-        job.waiting.discard(server)
-        return [] if job.waiting else self._settle(key, now)
+        pending.unconfirmed.discard(server)
+        return [] if pending.unconfirmed else self._finish(key, now)
 
-    def _doubt(self, key: str, server: str, now: int, turn: int = 0) -> Doubt:
+    def _doubt(self, key: str, server: str, now: int, number: int = 0) -> Doubt:
+        """Return the doubt of a server for a key, with its lifetime extended; create it if there is none."""
         doubts = self._doubts.setdefault(key, {})
-        if len(self._doubts) > MAX_DOUBTS:
+        if len(self._doubts) > MAX_DOUBTFUL_KEYS:
             del self._doubts[next(iter(self._doubts))]
             self.forgotten += 1
         doubt = doubts.get(server)
         if doubt is None:
-            doubt = doubts[server] = Doubt(turn, 0, now + RETRY)
-        doubt.turn, doubt.until = max(doubt.turn, turn), now + REMEMBERED
+            doubt = doubts[server] = Doubt(number, 0, now + MIN_RETRY_PAUSE_NS)
+        doubt.number, doubt.expires_at = max(doubt.number, number), now + DOUBT_LIFETIME_NS
         return doubt
 
-    def _clear(self, key: str, server: str) -> None:
+    def _remove_doubt(self, key: str, server: str) -> None:
         doubts = self._doubts[key]
         del doubts[server]
         if not doubts:
             del self._doubts[key]
 
-    def _settle(self, key: str, now: int) -> list[api.Action]:
-        job = self._jobs.pop(key)
-        self._fences[key] = now
-        # Danger: another router may copy after the invalidation what it had been answered before the write.
-        self._again.pop(key, None)
-        self._again[key] = now + self.longest, job.servers
-        if len(self._again) > MAX_DOUBTS:
-            del self._again[next(iter(self._again))]
+    def _finish(self, key: str, now: int) -> list[api.Action]:
+        """End a key's pending invalidation and schedule its repetition; return the replies to its writes."""
+        pending = self._pending.pop(key)
+        self._last_write_at[key] = now
+        # Danger: another router may copy a value that it read before the write after the node was
+        # invalidated.
+        self._repeats.pop(key, None)
+        self._repeats[key] = now + self.max_read_time, pending.servers
+        if len(self._repeats) > MAX_DOUBTFUL_KEYS:
+            del self._repeats[next(iter(self._repeats))]
         if key in self._doubts:
-            self.unsettled += len(job.answers)
-        return [api.Answer(request) for request in job.answers]
+            self.answered_in_doubt += len(pending.answers)
+        return [api.Answer(request) for request in pending.answers]
 
-    def late(self, key: str, answer: str, now: int) -> list[api.Action]:
-        """A write's time is nearly over: it is answered, and who has not confirmed is in doubt."""
-        job = self._jobs.get(key)
-        if job is None or answer not in job.answers:
+    def answer_now(self, key: str, answer: str, now: int) -> list[api.Action]:
+        """Return the reply to a write whose deadline is near; unconfirmed servers become doubtful."""
+        pending = self._pending.get(key)
+        if pending is None or answer not in pending.answers:
             return []
-        for server in job.waiting:
-            self._doubt(key, server, now, job.turn)
-        job.answers.remove(answer)
-        self.unsettled += 1
+        for server in pending.unconfirmed:
+            self._doubt(key, server, now, pending.number)
+        pending.answers.remove(answer)
+        self.answered_in_doubt += 1
         actions: list[api.Action] = [api.Answer(answer)]
-        return actions if job.answers else actions + self._settle(key, now)
+        return actions if pending.answers else actions + self._finish(key, now)
 
-    def leave(self, key: str, answer: str) -> None:
-        """A write needs no answer any more: its id may come again."""
-        job = self._jobs.get(key)
-        if job is not None and answer in job.answers:
-            job.answers.remove(answer)
+    def cancel_answer(self, key: str, answer: str) -> None:
+        """Drop the delayed reply to a write that needs none any more: its request id may be reused."""
+        pending = self._pending.get(key)
+        if pending is not None and answer in pending.answers:
+            pending.answers.remove(answer)
 
-    def gone(self, listed: Iterable[str], now: int) -> list[api.Action]:
-        """Servers that are listed no more: nothing is sent there, and nobody waits for them."""
+    def retain_servers(self, listed: Iterable[str], now: int) -> list[api.Action]:
+        """Stop waiting for servers that are not listed; return the replies that only they delayed."""
         known = set(listed)
         actions: list[api.Action] = []
-        for key, job in list(self._jobs.items()):
-            job.waiting &= known
-            job.behind &= known
-            if not job.waiting:
-                actions += self._settle(key, now)
+        for key, pending in list(self._pending.items()):
+            pending.unconfirmed &= known
+            pending.behind_copy &= known
+            if not pending.unconfirmed:
+                actions += self._finish(key, now)
         return actions
 
     def in_doubt(self, key: str) -> frozenset[str]:
-        """The servers that are not to be asked for this key."""
+        """Return the servers that must not be asked for this key."""
         return frozenset(self._doubts[key]) if key in self._doubts else frozenset()
 
     def sweep(self, listed: Iterable[str], now: int) -> list[api.Action]:
-        """Ask again where an invalidation has not been answered, and forget what has run out."""
+        """Drop what has expired; return the invalidations to retry and those to repeat."""
         known = set(listed)
         actions: list[api.Action] = []
         for key, doubts in list(self._doubts.items()):
             for server, doubt in list(doubts.items()):
-                if now >= doubt.until:
-                    self._clear(key, server)
-                elif server in known and not doubt.asked and now >= doubt.retry_at:
-                    doubt.asked = True
-                    actions.append(api.Invalidate(key, server, doubt.turn))
-        for key, (at, servers) in list(self._again.items()):
+                if now >= doubt.expires_at:
+                    self._remove_doubt(key, server)
+                elif server in known and not doubt.in_flight and now >= doubt.retry_at:
+                    doubt.in_flight = True
+                    actions.append(api.Invalidate(key, server, doubt.number))
+        for key, (at, servers) in list(self._repeats.items()):
             if now < at:
-                break  # in order
-            del self._again[key]
-            self._turn += 1
+                break  # ordered by time
+            del self._repeats[key]
+            self._last_number += 1
             servers = (servers & known) - self._doubts.get(key, {}).keys()
-            actions += [api.Invalidate(key, server, self._turn) for server in sorted(servers)]
-        for key, at in list(self._fences.items()):
-            if now - at > self.longest and key not in self._jobs:
-                del self._fences[key]
+            actions += [api.Invalidate(key, server, self._last_number) for server in sorted(servers)]
+        for key, at in list(self._last_write_at.items()):
+            if now - at > self.max_read_time and key not in self._pending:
+                del self._last_write_at[key]
         return actions
 
     def view(self) -> dict[str, object]:
-        """Its state, for people."""
+        """Return the state for `/stats`."""
         return {
-            "under_way": len(self._jobs),
+            "under_way": len(self._pending),
             "in_doubt": sum(len(doubts) for doubts in self._doubts.values()),
             "invalidated": self.invalidated,
-            "voided": self.invalidated,  # the name until the next version
-            "answered_in_doubt": self.unsettled,
+            "voided": self.invalidated,  # deprecated name, shown for one version
+            "answered_in_doubt": self.answered_in_doubt,
             "forgotten": self.forgotten,
         }
--- a/saltport/decisions/hotkeys/meter.py
+++ b/saltport/decisions/hotkeys/meter.py
@@ -1,8 +1,9 @@
-"""Which keys are read how much: a sketch for each tenant, and exact counts for the few that may be hot.
+"""Read rates of keys: a frequent-items sketch for each tenant, and exact counts for the keys that may be hot.
 
-The sketch tells a key's share over some seconds, within its error. A key near the threshold is watched: it is
-counted exactly in short panes, which tell of a flash, and of its end, long before the sketch does. Both ends
-of what a pane can mean bound the estimate, so that chance neither replicates a key nor keeps it replicated.
+The sketch estimates a key's share of all reads over some seconds, within an error bound. A key near the
+threshold is also watched: its reads are counted exactly in short intervals (panes), which show the start and
+the end of a sudden load long before the sketch does. The estimate is limited to the confidence interval of
+the last pane, so that random variation neither replicates a key nor keeps it replicated.
 """
 
 from __future__ import annotations
@@ -14,155 +15,168 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.structures.frequent_items import FrequentItems
 
-MEMORY = 10 * NS_PER_S
-EVIDENCE = 8.0  # reads of a key before it is looked at: by fewer its share can't be told from chance
-WATCHED_AT = 8  # part of the threshold, as 1 / this, from which a key is counted exactly
-PANE, LONGEST_PANE = NS_PER_S // 5, 2 * NS_PER_S
-PANE_READS = 32  # of a key, that a pane waits for as long as it may
-DEVIATIONS = 2.5  # of a count, for a pane's bounds
-LEAST_PORTION = 0.05  # of the sketch, for a tenant that states none
-LOOK = NS_PER_S // 20
-FORGOTTEN = 2 * MEMORY  # unread, after which a key is watched no more
+DECAY_TIME_NS = 10 * NS_PER_S
+MIN_EVIDENCE_READS = 8.0  # of a key before it can be watched: with fewer, its share is mostly noise
+WATCH_DIVISOR = 8  # keys are watched from the threshold / this on
+MIN_PANE_NS, MAX_PANE_NS = NS_PER_S // 5, 2 * NS_PER_S
+MIN_PANE_READS = 32  # of a key, before a pane may end earlier than its maximum length
+BOUND_DEVIATIONS = 2.5  # standard deviations of a count between it and its bounds
+MIN_PORTION = 0.05  # of the sketches' capacity, for a tenant that states no portion or less than this
+UPDATE_INTERVAL_NS = NS_PER_S // 20
+UNREAD_EXPIRY_NS = 2 * DECAY_TIME_NS  # without reads, after which a key is no longer watched
 
 
 @dataclass(slots=True)
-class Watched:
-    """A key that is counted exactly."""
+class WatchedKey:
+    """The record of a key whose reads are counted exactly."""
 
     key: str
     slot: int
     tenant: str
-    """Whose reads brought it here; the budget is charged to it."""
-    since: int
-    seen: int
-    """All reads that there had been when the pane began."""
-    count: int = 0
-    read_at: int = 0
-    low: float = 0.0
-    high: float = 1.0
-    """Bounds of its share by the pane before this one."""
+    """The tenant whose read made the key watched; the key counts towards this tenant's limits."""
+    pane_start: int
+    reads_before_pane: int
+    """Reads of all keys up to the start of the pane."""
+    pane_reads: int = 0
+    """Reads of this key in the pane."""
+    last_read_at: int = 0
+    min_share: float = 0.0
+    max_share: float = 1.0
+    """Bounds of the key's share of all reads, from the previous pane."""
     size: int = 0
-    """Bytes of its value, as last seen; 0: not known."""
-    took: float = 0.0
-    """Smoothed time that nodes took for it, nanoseconds."""
-    failures: int = 0
-    """Fetches in a row that the origin did not answer with a value."""
+    """Bytes of the value in the last reply; 0: unknown."""
+    mean_latency: float = 0.0
+    """Smoothed response time of nodes for the key, nanoseconds."""
+    fetch_failures: int = 0
+    """Consecutive fetches without a value from the origin."""
     fetch_after: int = 0
-    look_at: int = 0
+    """Until then no read of the key is fetched from the origin."""
+    review_at: int = 0
+    """When the key's share is next compared with the threshold."""
     replicated: object | None = None
+    """The `ReplicatedKey`, if the key is replicated."""
 
-    def close_pane(self, now: int, seen: int) -> None:
-        """End the pane if it is long enough, and begin the next."""
-        age = now - self.since
-        if age < PANE or (self.count < PANE_READS and age < LONGEST_PANE):
+    def close_pane(self, now: int, reads: int) -> None:
+        """End the pane if it is long enough, and begin the next; `reads`: reads of all keys so far."""
+        age = now - self.pane_start
+        if age < MIN_PANE_NS or (self.pane_reads < MIN_PANE_READS and age < MAX_PANE_NS):
             return
-        if seen == self.seen:
-            self.low = self.high = 0.0  # of nothing a key has no share
-            self.since = now
+        if reads == self.reads_before_pane:
+            self.min_share = self.max_share = 0.0  # no reads at all
+            self.pane_start = now
             return
-        reads, chance = seen - self.seen, DEVIATIONS * math.sqrt(self.count)
-        self.low = max(self.count - chance, 0.0) / reads
-        self.high = min((self.count + chance + DEVIATIONS) / reads, 1.0)
-        self.since, self.seen, self.count = now, seen, 0
+        all_reads, margin = reads - self.reads_before_pane, BOUND_DEVIATIONS * math.sqrt(self.pane_reads)
+        self.min_share = max(self.pane_reads - margin, 0.0) / all_reads
+        self.max_share = min((self.pane_reads + margin + BOUND_DEVIATIONS) / all_reads, 1.0)
+        self.pane_start, self.reads_before_pane, self.pane_reads = now, reads, 0
 
 
 class KeyMeter:
-    """Counts reads by tenant and key."""
-
-    def __init__(self, portions: Mapping[str, float], capacity: int, most_watched: int) -> None:
-        floors = {name: max(portion, LEAST_PORTION) for name, portion in portions.items()}
-        whole = sum(floors.values())
-        self._items = {
-            name: FrequentItems(max(int(capacity * floor / whole), 8), MEMORY)
-            for name, floor in floors.items()
+    """Counts reads by tenant and key, and watches the keys that may be hot."""
+
+    def __init__(self, portions: Mapping[str, float], capacity: int, max_watched: int) -> None:
+        """`portions`: each tenant's part of the capacity; `capacity`: of all sketches, in keys."""
+        weights = {name: max(portion, MIN_PORTION) for name, portion in portions.items()}
+        total_weight = sum(weights.values())
+        self._sketches = {
+            name: FrequentItems(max(int(capacity * weight / total_weight), 8), DECAY_TIME_NS)
+            for name, weight in weights.items()
         }
-        self._portions = {name: floor / whole for name, floor in floors.items()}
-        self._most = most_watched
-        self._watching = dict.fromkeys(self._items, 0)
-        self.watched: dict[str, Watched] = {}
-        self.seen = 0
+        self._portions = {name: weight / total_weight for name, weight in weights.items()}
+        self._max_watched = max_watched
+        self._watched_by_tenant = dict.fromkeys(self._sketches, 0)
+        self.watched: dict[str, WatchedKey] = {}
+        self.reads = 0
+        """Reads of all keys since the start."""
         self.threshold = 1.0
-        """The share from which a key needs a second node; whoever knows the fleet sets it."""
-        self._least = EVIDENCE
-        self._next_look = 0
+        """The share of all reads from which a key needs a second node; set by the caller."""
+        self._min_watched_count = MIN_EVIDENCE_READS
+        self._next_update_at = 0
         self.total = 0.0
-        """All reads lately, by the sketches' decay."""
+        """Recent reads of all keys: the sum of the sketches' decayed counts."""
 
-    def add(self, tenant: str, key: str, slot: int, now: int) -> Watched | None:
-        """Count a read; returns the key's record if it is watched."""
-        items = self._items.get(tenant)
-        if items is None:
+    def add(self, tenant: str, key: str, slot: int, now: int) -> WatchedKey | None:
+        """Count a read; return the key's record if the key is watched."""
+        sketch = self._sketches.get(tenant)
+        if sketch is None:
             tenant = ""
-            items = self._items[""]
-        count = items.add(key, now)
-        self.seen += 1
-        if now >= self._next_look:
-            self._look(now)
+            sketch = self._sketches[""]
+        count = sketch.add(key, now)
+        self.reads += 1
+        if now >= self._next_update_at:
+            self._update(now)
         watched = self.watched.get(key)
         if watched is not None:
-            watched.count += 1
-            watched.read_at = now
-            if now - watched.since >= PANE:
-                watched.close_pane(now, self.seen)
+            watched.pane_reads += 1
+            watched.last_read_at = now
+            if now - watched.pane_start >= MIN_PANE_NS:
+                watched.close_pane(now, self.reads)
             return watched
-        if count < self._least or self._watching[tenant] >= self._most * self._portions[tenant]:
+        if (
+            count < self._min_watched_count
+            or self._watched_by_tenant[tenant] >= self._max_watched * self._portions[tenant]
+        ):
             return None
-        self._watching[tenant] += 1
-        watched = self.watched[key] = Watched(key, slot, tenant, now, self.seen - 1, 1, now)
+        self._watched_by_tenant[tenant] += 1
+        watched = self.watched[key] = WatchedKey(key, slot, tenant, now, self.reads - 1, 1, now)
         return watched
 
-    def _look(self, now: int) -> None:
-        self._next_look = now + LOOK
-        self._advance(now)
-        self._least = max(EVIDENCE, self.total * self.threshold / WATCHED_AT)
+    def _update(self, now: int) -> None:
+        """Update the total and the count from which a key is watched."""
+        self._next_update_at = now + UPDATE_INTERVAL_NS
+        self._update_total(now)
+        self._min_watched_count = max(MIN_EVIDENCE_READS, self.total * self.threshold / WATCH_DIVISOR)
 
     def sweep(self, now: int) -> None:
-        """Close panes of keys that nobody asks for any more, and watch no more what has long been cool."""
-        self._advance(now)
-        low = self.threshold / WATCHED_AT / 2
+        """Close the panes of keys without reads, and stop watching keys far below the threshold."""
+        self._update_total(now)
+        low_share = self.threshold / WATCH_DIVISOR / 2
         for watched in list(self.watched.values()):
-            watched.close_pane(now, self.seen)
-            cool = now - watched.read_at > FORGOTTEN or self.counted(watched.key) < self.total * low
+            watched.close_pane(now, self.reads)
+            cool = (
+                now - watched.last_read_at > UNREAD_EXPIRY_NS
+                or self.min_count(watched.key) < self.total * low_share
+            )
             if watched.replicated is None and cool and now >= watched.fetch_after:
                 del self.watched[watched.key]
-                self._watching[watched.tenant] -= 1
+                self._watched_by_tenant[watched.tenant] -= 1
 
-    def _advance(self, now: int) -> None:
+    def _update_total(self, now: int) -> None:
         self.total = 0.0
-        for items in self._items.values():
-            items.advance(now)
-            self.total += items.total
-
-    def counted(self, key: str) -> float:
-        """The least that a key was read lately, by all tenants."""
-        return sum(items.count(key) for items in self._items.values())
-
-    def share(self, watched: Watched) -> float:
-        """A key's share of all reads, by the sketch within the bounds of its last pane."""
-        count = self.counted(watched.key)
-        # The total is as old as the last look, and never less than what is counted of one key.
+        for sketch in self._sketches.values():
+            sketch.advance(now)
+            self.total += sketch.total
+
+    def min_count(self, key: str) -> float:
+        """Return a lower bound of the recent reads of a key by all tenants, as a decayed count."""
+        return sum(sketch.count(key) for sketch in self._sketches.values())
+
+    def share(self, watched: WatchedKey) -> float:
+        """Estimate a key's share of all reads: the sketch's value, limited to the bounds of the last pane."""
+        count = self.min_count(watched.key)
+        # The total dates from the last update, so the count of a single key can exceed it.
         total = max(self.total, count)
         if total <= 0:
             return 0.0
-        surely = max(count - math.sqrt(count), 0.0) / total
-        return min(max(surely, watched.low), watched.high)
+        estimate = max(count - math.sqrt(count), 0.0) / total
+        return min(max(estimate, watched.min_share), watched.max_share)
 
     def rate(self, count: float, now: int) -> float:
-        """A count as reads a second."""
-        return count / max(items.effective_seconds(now) for items in self._items.values())
+        """Convert a decayed count to reads a second."""
+        return count / max(sketch.effective_seconds(now) for sketch in self._sketches.values())
 
     def top(self, count: int) -> list[tuple[str, str, float, float]]:
-        """Tenant that reads it most, key, least count and error of the keys read most, most first."""
+        """Return the keys read most: tenant that reads it most, key, lower bound and error of the count."""
         by_key: dict[str, list[tuple[float, str, float]]] = {}
-        for tenant, items in self._items.items():
-            for key, seen in items.top(count):
-                by_key.setdefault(key, []).append((seen, tenant, items.error))
-        held = [
+        for tenant, sketch in self._sketches.items():
+            for key, reads in sketch.top(count):
+                by_key.setdefault(key, []).append((reads, tenant, sketch.error))
+        entries = [
             (max(parts)[1], key, sum(part[0] for part in parts), sum(part[2] for part in parts))
             for key, parts in by_key.items()
         ]
-        return sorted(held, key=lambda entry: -entry[2])[:count]
+        return sorted(entries, key=lambda entry: -entry[2])[:count]
 
-    def held(self) -> dict[str, int]:
-        """How many keys are counted, by tenant."""
-        return {tenant: len(items) for tenant, items in self._items.items()}
+    def key_counts(self) -> dict[str, int]:
+        """Return the number of keys in each tenant's sketch."""
+        return {tenant: len(sketch) for tenant, sketch in self._sketches.items()}
--- a/saltport/decisions/hotkeys/replicated_key.py
+++ b/saltport/decisions/hotkeys/replicated_key.py
@@ -1,4 +1,4 @@
-"""One replicated key: how many nodes it has, which of them hold it, and how it is let go. No I/O."""
+"""One replicated key: how many nodes it has, which of them have a copy, and its release. No I/O."""
 
 from __future__ import annotations
 
@@ -8,92 +8,95 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.structures.indexed import IndexedSet
 
-COOL = 12 * NS_PER_S  # with fewer nodes needed all the while, before any is let go: longer than flickers last
-RELEASE = 36 * NS_PER_S  # in which all further copies go, one at a time; with COOL within a minute
-FILL_PAUSE = NS_PER_S // 2  # after a fill by reads that came to nothing
-FOR_GOOD = 1 << 62
+RELEASE_DELAY_NS = 12 * NS_PER_S  # from a lower need to the first release: longer than short lulls
+RELEASE_DURATION_NS = 36 * NS_PER_S  # to release all copies, one at a time; with the delay under a minute
+FILL_RETRY_PAUSE_NS = NS_PER_S // 2  # after a failed fill
+NO_EXPIRY_NS = 1 << 62
 
 
 class ReplicatedKey:
-    """A key on several nodes; `members[0]` is the slot's own node, which always counts as holding it."""
+    """A key on several nodes; `members[0]` is the slot's own node, which always counts as having a copy."""
 
     def __init__(self, key: str, slot: int, tenant: str, now: int) -> None:
-        self.key, self.slot, self.tenant, self.began = key, slot, tenant, now
+        self.key, self.slot, self.tenant, self.created_at = key, slot, tenant, now
         self.copies = 1
-        """How many nodes it should have."""
+        """How many nodes the key should have, the slot's own included."""
         self.why = ""
+        """Why it has this many, for people."""
         self.share = 0.0
-        """Of all reads, as of the last look."""
+        """The key's share of all reads, as of the last review."""
         self.members: list[Node] = []
+        """The nodes that the key is assigned to."""
         self.ready: IndexedSet[Node] = IndexedSet()
-        """The members that hold it, as far as known."""
+        """The members that have a copy, as far as known."""
         self.absent: IndexedSet[Node] = IndexedSet()
-        """The members that lack it."""
-        self.held: dict[str, int] = {}
-        """Until when a node holds it, by server, members or not."""
-        self.leases: deque[tuple[int, Node]] = deque()
-        """The copies whose time runs out, the first to do so first; what was renewed stands twice."""
-        self.fillers: dict[str, list[Node]] = {}
-        """The reads that visit absent members just now, with those that each is to fill."""
+        """The members without a copy."""
+        self.copy_expiry: dict[str, int] = {}
+        """When the copy at each server expires; also servers that are no members."""
+        self.expiry_queue: deque[tuple[int, Node]] = deque()
+        """Expiry times of copies, earliest first; a renewed copy also has its old entry."""
+        self.filling_reads: dict[str, list[Node]] = {}
+        """By request id, the reads under way that fill members without a copy, and those members."""
         self.fill_after = 0
-        self.order: list[Node] = []
-        """The nodes that may have it, as of `version` of the list and `ordered_at`."""
-        self.version = -1
-        self.ordered_at = 0
-        self.placed_at = 0
-        self.look_at = 0
-        self._calm_since = 0
-        self._next_release = 0
-        self._step = RELEASE
+        self.eligible: list[Node] = []
+        """The nodes that may get the key, as of `list_version` of the node list and time `ranked_at`."""
+        self.list_version = -1
+        self.ranked_at = 0
+        self.assigned_at = 0
+        self.review_at = 0
+        """When the need for nodes is next computed."""
+        self._surplus_since = 0
+        self._next_release_at = 0
+        self._release_interval = RELEASE_DURATION_NS
 
-    def follow(self, need: int, now: int) -> None:
-        """More nodes at once; fewer one at a time, and only after a while without need of them."""
+    def update_copies(self, need: int, now: int) -> None:
+        """Adapt the number of nodes to the need: raise it at once, lower it step by step after a delay."""
         if need >= self.copies:
-            self.copies, self._calm_since = need, 0
+            self.copies, self._surplus_since = need, 0
             return
-        if not self._calm_since:
-            self._calm_since, self._next_release = now, now + COOL
-            self._step = max(RELEASE // self.copies, 1)
+        if not self._surplus_since:
+            self._surplus_since, self._next_release_at = now, now + RELEASE_DELAY_NS
+            self._release_interval = max(RELEASE_DURATION_NS // self.copies, 1)
             return
-        while now >= self._next_release and self.copies > need:
+        while now >= self._next_release_at and self.copies > need:
             self.copies -= 1
-            self._next_release += self._step
+            self._next_release_at += self._release_interval
 
     @property
     def releasing(self) -> bool:
-        """Whether it is being let go."""
-        return bool(self._calm_since)
+        """Whether the key has more nodes than it needs, so that some are being released."""
+        return bool(self._surplus_since)
 
-    def place(self, members: list[Node], now: int) -> None:
-        """Take the nodes that it should be on."""
-        self.members, self.placed_at = members, now
-        home = members[0] if members else None
+    def assign(self, members: list[Node], now: int) -> None:
+        """Assign the key to these nodes, and sort them into `ready` and `absent`."""
+        self.members, self.assigned_at = members, now
+        own = members[0] if members else None
         self.ready = IndexedSet(
-            node for node in members if node is home or self.held.get(node.entry.id, 0) > now
+            node for node in members if node is own or self.copy_expiry.get(node.entry.id, 0) > now
         )
         self.absent = IndexedSet(node for node in members if node not in self.ready)
 
-    def holds(self, node: Node, until: int) -> None:
-        """A node turned out to hold it, or was given it."""
-        self.held[node.entry.id] = until
-        if until < FOR_GOOD:
-            self.leases.append((until, node))
+    def add_copy(self, node: Node, until: int) -> None:
+        """Record that a node has a copy, which expires at this time."""
+        self.copy_expiry[node.entry.id] = until
+        if until < NO_EXPIRY_NS:
+            self.expiry_queue.append((until, node))
         if node in self.absent:
             self.absent.discard(node)
             self.ready.add(node)
 
-    def renewable(self, before: int, most: int) -> list[Node]:
-        """Members that hold it until then at the most, each told once."""
+    def take_expiring(self, before: int, count: int) -> list[Node]:
+        """Return at most `count` members whose copy expires by `before`, each once for a copy."""
         found: list[Node] = []
-        while self.leases and self.leases[0][0] <= before and len(found) < most:
-            until, node = self.leases.popleft()
-            if self.held.get(node.entry.id) == until and node in self.ready:
+        while self.expiry_queue and self.expiry_queue[0][0] <= before and len(found) < count:
+            until, node = self.expiry_queue.popleft()
+            if self.copy_expiry.get(node.entry.id) == until and node in self.ready:
                 found.append(node)
         return found
 
-    def lacks(self, node: Node) -> None:
-        """A node turned out to lack it; its own node stays in, as the next fetch fills it."""
-        self.held.pop(node.entry.id, None)
+    def remove_copy(self, node: Node) -> None:
+        """Record that a node has no copy; the slot's own node stays ready, since the next fetch fills it."""
+        self.copy_expiry.pop(node.entry.id, None)
         if node in self.ready and node is not self.members[0]:
             self.ready.discard(node)
             self.absent.add(node)
--- a/tests/hotkeys/test_world.py
+++ b/tests/hotkeys/test_world.py
@@ -1,4 +1,7 @@
-"""Hot keys in whole: decisions alone against nodes and an origin in virtual time (see hot_world.py)."""
+"""Hot-key replication as a whole: the decisions against simulated nodes and an origin in virtual time.
+
+The simulation is benchmarks/hot_world.py.
+"""
 
 from __future__ import annotations
 
@@ -16,11 +19,11 @@
 SLOTS = 1 << 16
 
 
-def spread_world(
-    told: HotKeySettings | None, rate: float = 1_000, nodes: int = 30, warm_s: int = 2, **more: object
+def replicated_world(
+    hot_keys: HotKeySettings | None, rate: float = 1_000, nodes: int = 30, warm_s: int = 2, **more: object
 ) -> World:
-    """A world in which half of all reads have asked for one key for a second."""
-    world = World(nodes, told, **more)  # type: ignore[arg-type]
+    """Return a world in which half of all reads have been of one key for a second."""
+    world = World(nodes, hot_keys, **more)  # type: ignore[arg-type]
     play(world, mixed(world.rng, 0.0, OTHERS), warm_s, rate)
     play(world, mixed(world.rng, 0.5, OTHERS), 1, rate)
     world.clear()
@@ -42,22 +45,24 @@
     return next(key for i in range(10_000_000) if crc32((key := f"n{i}").encode()) % SLOTS == slot)
 
 
-@pytest.mark.parametrize(("told", "most_fetches"), [(WRITES, 1), (READS, 2)])
-def test_half_of_all_reads_on_one_key_overruns_no_node(told: HotKeySettings, most_fetches: int) -> None:
-    world = spread_world(told)
-    if told is READS:
-        play(world, mixed(world.rng, 0.5, OTHERS), 1)  # two nodes with each fetch, one fetch after another
+@pytest.mark.parametrize(("hot_keys", "most_fetches"), [(WRITES, 1), (READS, 2)])
+def test_half_of_all_reads_on_one_key_overruns_no_node(hot_keys: HotKeySettings, most_fetches: int) -> None:
+    world = replicated_world(hot_keys)
+    if hot_keys is READS:
+        play(world, mixed(world.rng, 0.5, OTHERS), 1)  # each fetch fills two nodes, one fetch after another
         world.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 5)
     assert world.busiest() <= 2.0
-    assert 10 <= world.copies() <= 15, "ten equal nodes of 30 are the least that keep to twice the fair share"
+    assert 10 <= world.copies() <= 15, (
+        "with fewer than ten of 30 equal nodes, each exceeds twice its fair share"
+    )
     assert len(world.sent_of[HOT]) <= 15
     assert world.fetches[HOT] <= most_fetches
 
 
-def test_without_it_the_key_goes_to_every_node() -> None:
-    """What this is measured against: a test that can fail."""
-    world = spread_world(None)
+def test_without_replication_the_key_goes_to_every_node() -> None:
+    """The baseline: shows that the tests of replication can fail."""
+    world = replicated_world(None)
     play(world, mixed(world.rng, 0.5, OTHERS), 5)
     assert len(world.sent_of[HOT]) == 30
 
@@ -67,7 +72,7 @@
     play(world, mixed(world.rng, 0.0, OTHERS), 2)
     world.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 4)
-    # The first read; and one at the next node once the own one is overrun, before there is any copy.
+    # The first read, and reads at the next node while the slot's own is overloaded and no copy exists yet.
     assert world.fetches[HOT] <= 3
     assert world.copied >= 10
 
@@ -80,18 +85,18 @@
     assert world.fetches[HOT] <= 1 + -(-(world.copies() - 1) // 2) + 3
 
 
-@pytest.mark.parametrize("told", [WRITES, READS])
-def test_neighbours_in_the_slot_stay_where_they_are(told: HotKeySettings) -> None:
-    world, key = spread_world(told), neighbour(HOT)
+@pytest.mark.parametrize("hot_keys", [WRITES, READS])
+def test_neighbours_in_the_slot_stay_where_they_are(hot_keys: HotKeySettings) -> None:
+    world, key = replicated_world(hot_keys), neighbour(HOT)
     hot = mixed(world.rng, 0.5, OTHERS)
     play(world, lambda: (key, False) if world.rng.random() < 0.01 else hot(), 4)
     assert sum(world.sent_of[key].values()) > 20
-    # One node, but for a read that found its own overrun in the first moments.
+    # One node, except for reads that found it overloaded at the start.
     assert world.sent_of[key].most_common(1)[0][1] >= 0.95 * sum(world.sent_of[key].values())
 
 
 def test_cooled_key_is_back_on_one_node_within_a_minute() -> None:
-    world = spread_world(WRITES, rate=300)
+    world = replicated_world(WRITES, rate=300)
     play(world, mixed(world.rng, 0.0, OTHERS), 60, rate=300)
     assert world.copies() == 1
     assert changes(world) == 2
@@ -101,8 +106,8 @@
     assert len(world.sent_of[HOT]) == 1
 
 
-def test_cooled_key_is_let_go_though_nothing_is_asked_at_all() -> None:
-    world = spread_world(READS)
+def test_cooled_key_is_released_without_any_request() -> None:
+    world = replicated_world(READS)
     world.run(world.now + 60 * S)
     play(world, mixed(world.rng, 0.0, OTHERS), 1)
     assert world.hot_view()["replicated"] == 0
@@ -111,8 +116,8 @@
 def test_flicker_of_two_seconds_changes_state_at_most_twice_a_minute() -> None:
     world = World(30, WRITES)
     play(world, mixed(world.rng, 0.0, OTHERS), 2, rate=400)
-    for turn in range(30):
-        play(world, mixed(world.rng, 0.5 if turn % 2 == 0 else 0.0, OTHERS), 2, rate=400)
+    for step in range(30):
+        play(world, mixed(world.rng, 0.5 if step % 2 == 0 else 0.0, OTHERS), 2, rate=400)
     assert changes(world) <= 2
 
 
@@ -124,7 +129,7 @@
 
 
 def test_once_only_scan_at_five_times_the_load_evicts_nothing_hot() -> None:
-    world = spread_world(WRITES, rate=400)
+    world = replicated_world(WRITES, rate=400)
     number = 0
     hot = mixed(world.rng, 0.5, OTHERS)
 
@@ -134,13 +139,13 @@
         return hot() if number % 6 == 0 else (f"once{number}", False)
 
     play(world, scanned, 8, rate=2_400)
-    assert world.copies() > 1, "a twelfth of all reads is three fair shares still"
+    assert world.copies() > 1, "a twelfth of all reads is still 2.5 fair shares"
     assert changes(world) == 1
     assert world.copies() <= 15
     assert world.hot_view()["top"][0]["key"] == HOT
 
 
-def test_value_of_four_mebibytes_is_not_copied_by_plain_writes_and_that_is_told() -> None:
+def test_value_of_four_mebibytes_is_not_copied_by_plain_writes_and_that_is_logged() -> None:
     world = World(30, WRITES, sizes={HOT: 4 << 20})
     play(world, mixed(world.rng, 0.0, OTHERS), 2)
     play(world, mixed(world.rng, 0.5, OTHERS), 4)
@@ -150,11 +155,11 @@
 
 
 def test_budget_of_bytes_bounds_the_copies() -> None:
-    told = HotKeySettings(Fill.READS, max_bytes=12 << 20)
-    world = World(30, told, sizes={HOT: 4 << 20})
+    hot_keys = HotKeySettings(Fill.READS, max_bytes=12 << 20)
+    world = World(30, hot_keys, sizes={HOT: 4 << 20})
     play(world, mixed(world.rng, 0.0, OTHERS), 2)
     play(world, mixed(world.rng, 0.5, OTHERS), 4)
-    assert world.copies() == 4, "its own and three more"
+    assert world.copies() == 4, "the slot's own node and three more"
     assert world.hot_view()["copied_bytes"] <= 12 << 20
 
 
@@ -164,7 +169,7 @@
     play(world, mixed(world.rng, 0.0, OTHERS), 2)
     world.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 10)
-    # About 5,000 reads of it; a pause after each failure, up to five seconds.
+    # About 5,000 reads of the key, with a pause of up to five seconds after each failed fetch.
     assert world.fetches[HOT] < 40
     world.origin_fails.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 6)
@@ -174,19 +179,19 @@
 
 
 def test_copies_are_renewed_before_they_run_out() -> None:
-    told = HotKeySettings(Fill.WRITES, lease=4 * S, max_copies=128)
-    world = spread_world(told, rate=4_000, nodes=130)
+    hot_keys = HotKeySettings(Fill.WRITES, lease=4 * S, max_copies=128)
+    world = replicated_world(hot_keys, rate=4_000, nodes=130)
     play(world, mixed(world.rng, 0.5, OTHERS), 1, rate=4_000)
     for _ in range(5):
         world.clear()
         play(world, mixed(world.rng, 0.5, OTHERS), 1, rate=4_000)
-        assert world.sent_of[HOT].most_common(1)[0][1] < 62, "a wave at one node: twice the fair share"
+        assert world.sent_of[HOT].most_common(1)[0][1] < 62, "a burst at one node: twice the fair share"
         assert world.fetches[HOT] == 0
     assert world.copied > 2 * 60
 
 
-def test_slots_own_node_leaves_while_spread() -> None:
-    world = spread_world(WRITES)
+def test_slots_own_node_leaves_while_the_key_is_replicated() -> None:
+    world = replicated_world(WRITES)
     own = world.sent_of[HOT]
     play(world, mixed(world.rng, 0.5, OTHERS), 1)
     order = list(own)
@@ -194,13 +199,13 @@
         world.change(world.entry(name, ServerState.GONE))
     world.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 5)
-    assert not set(order[:3]) & set(world.sent), "nothing goes to who has left"
+    assert not set(order[:3]) & set(world.sent), "nothing is sent to nodes that left"
     assert world.busiest() * 27 / 30 <= 2.0
     assert world.fetches[HOT] <= 2
 
 
 def test_first_copies_ejected_are_replaced_by_the_next_in_the_ranking() -> None:
-    world = spread_world(WRITES)
+    world = replicated_world(WRITES)
     play(world, mixed(world.rng, 0.5, OTHERS), 1)
     down = [name for name, _ in world.sent_of[HOT].most_common(3)]
     for name in down:
@@ -209,14 +214,14 @@
     play(world, mixed(world.rng, 0.5, OTHERS), 2)
     world.clear()
     play(world, mixed(world.rng, 0.5, OTHERS), 4)
-    held = set(world.sent_of[HOT]) - set(down)
-    assert len(held) >= 10
-    assert sum(world.sent[name] for name in down) < 100, "trials alone"
+    serving = set(world.sent_of[HOT]) - set(down)
+    assert len(serving) >= 10
+    assert sum(world.sent[name] for name in down) < 100, "only trial requests"
     assert world.fetches[HOT] <= 2
 
 
-def test_cold_node_gets_no_more_than_it_can_do() -> None:
-    world = spread_world(WRITES)
+def test_cold_node_is_not_overloaded() -> None:
+    world = replicated_world(WRITES)
     (member, *_) = [name for name, _ in world.sent_of[HOT].most_common(1)] or [next(iter(world.nodes))]
     world.nodes[member].kept.clear()
     world.change(world.entry(member, started=world.now))
@@ -237,24 +242,24 @@
     world.clear()
     play(world, keys, 5)
     view = world.hot_view()
-    assert view["replicated"] == view["spread"] == 12  # the second is the old name of the figure
+    assert view["replicated"] == view["spread"] == 12  # `spread` is the deprecated name
     assert view["invalidations"] == view["voids"]
     assert view["counts"]["replicated"] == view["counts"]["spread"] >= 12
     assert world.busiest() <= 2.0
 
 
 def test_tenant_can_not_use_up_the_table() -> None:
-    told = HotKeySettings(Fill.WRITES, max_keys=4, capacity=64)
-    world = World(30, told)
-    turn = 0
+    hot_keys = HotKeySettings(Fill.WRITES, max_keys=4, capacity=64)
+    world = World(30, hot_keys)
+    step = 0
 
     def hot() -> None:
-        nonlocal turn
-        turn += 1
-        # Tenant b floods with eight hot keys and as many once-only ones; a has one hot key.
+        nonlocal step
+        step += 1
+        # Tenant b reads eight hot keys and as many once-only keys; tenant a reads one hot key.
         for i in range(8):
             world.ask(f"b{i}", tenant="b")
-            world.ask(f"once{turn}-{i}", tenant="b")
+            world.ask(f"once{step}-{i}", tenant="b")
         world.ask("a's", tenant="a")
         world.ask("a's", tenant="a")
         if world.now < 8 * S:
@@ -262,9 +267,9 @@
 
     hot()
     world.run(9 * S)
-    spread = {entry["key"] for entry in world.hot_view()["top"] if entry["copies"] > 1}
-    assert "a's" in spread
-    assert len(spread) == 2, "b has its portion of the four: one"
+    replicated = {entry["key"] for entry in world.hot_view()["top"] if entry["copies"] > 1}
+    assert "a's" in replicated
+    assert len(replicated) == 2, "b may have its portion of the four: one"
     assert [line for line in world.logs if "tenant b has 1 replicated keys" in line]
 
 
@@ -285,7 +290,7 @@
     assert [line for line in world.logs if "a hotter key takes its place" in line]
 
 
-def test_thirty_routers_with_a_slice_each_spread_over_nested_nodes() -> None:
+def test_thirty_routers_with_a_part_of_the_load_each_use_the_same_nodes() -> None:
     world = World(130, READS, routers=30)
     play(world, mixed(world.rng, 0.0, OTHERS), 3, rate=900)
 
@@ -294,27 +299,27 @@
 
     play(world, keys, 30, rate=900)
     copies = Counter(world.copies(router=number) for number in range(30))
-    assert max(copies) <= 5, "two nodes are the least"
+    assert max(copies) <= 5, "at least two nodes are needed"
     world.clear()
     play(world, keys, 10, rate=900)
     assert len(world.sent_of[HOT]) <= 6, "the same nodes at all routers"
 
 
-def yanked(world: World, times: int, strike: Callable[[int], None]) -> None:
-    """Yank the spread key again and again, with reads of it all the while."""
+def write_repeatedly(world: World, times: int, inject_fault: Callable[[int], None]) -> None:
+    """Write the replicated key repeatedly, each time after `inject_fault`, while it is being read."""
     hot = mixed(world.rng, 0.5, OTHERS)
-    for turn in range(times):
-        strike(turn)
+    for step in range(times):
+        inject_fault(step)
         world.ask(HOT, write=True)
         play(world, hot, 0.3)
 
 
 @pytest.mark.parametrize("seed", range(2))
-def test_no_stale_read_after_a_yank_with_nodes_killed_cut_off_and_voids_lost(seed: int) -> None:
-    world = spread_world(WRITES, seed=seed, origin_drops=False)
+def test_no_stale_read_after_a_write_with_nodes_killed_cut_off_and_invalidations_lost(seed: int) -> None:
+    world = replicated_world(WRITES, seed=seed, origin_drops=False)
     names = list(world.nodes)
 
-    def strike(turn: int) -> None:
+    def inject_fault(step: int) -> None:
         for node in world.nodes.values():
             if node.down and world.rng.random() < 0.3:
                 node.down = False
@@ -322,36 +327,36 @@
                 node.cut = False
         members = list(world.sent_of[HOT]) or names
         victim = world.nodes[world.rng.choice(members)]
-        if turn % 3 == 0:
+        if step % 3 == 0:
             victim.down = True
             victim.kept.clear()
-        elif turn % 3 == 1:
-            victim.cut = True  # it keeps what it has, and comes back with it
+        elif step % 3 == 1:
+            victim.cut = True  # the node keeps its copies while it is unreachable
 
     world.on_invalidate = lambda key, server: world.rng.random() > 0.1
-    yanked(world, 60, strike)
+    write_repeatedly(world, 60, inject_fault)
     assert world.stale == 0
     assert world.ends["written"] > 50
-    assert world.copied > 100, "it was spread again after each"
+    assert world.copied > 100, "the key was replicated again after each write"
 
 
 def test_copies_that_other_routers_make_meanwhile_are_bounded_far_below_their_lease() -> None:
-    world = spread_world(WRITES, rate=3_000, nodes=30, routers=4, origin_drops=False)
+    world = replicated_world(WRITES, rate=3_000, nodes=30, routers=4, origin_drops=False)
     for _ in range(60):
         world.ask(HOT, write=True)
         play(world, mixed(world.rng, 0.5, OTHERS), 0.3, rate=1_500)
-    # A read's whole second, the copy's time and a step of the clock; the lease is 30 s.
+    # A read's deadline of one second, the time of the copy and one sweep interval; the lease is 30 s.
     assert world.stalest <= 1.8 * S
     assert world.stale < 0.01 * world.ends["served"]
 
 
-def test_without_voids_reads_would_be_stale() -> None:
-    """The test above can fail: with invalidations that are said to arrive and do not, old values are read."""
-    world = spread_world(WRITES, origin_drops=False)
+def test_without_invalidations_reads_would_be_stale() -> None:
+    """Shows that the tests above can fail: with invalidations confirmed but not done, old values are read."""
+    world = replicated_world(WRITES, origin_drops=False)
     drop = world.nodes
     for node in drop.values():
         node.kept = _Sticky(node.kept)
-    yanked(world, 10, lambda turn: None)
+    write_repeatedly(world, 10, lambda step: None)
     assert world.stale > 0
 
 
@@ -360,19 +365,19 @@
         return None
 
 
-def test_write_of_a_key_that_nobody_spread_here_reaches_what_another_router_did() -> None:
-    """A router that has just started knows nothing; the rule tells it where copies may be."""
-    world = spread_world(WRITES, origin_drops=False)
+def test_write_invalidates_copies_that_another_router_made() -> None:
+    """A router that has just started knows of no copies; it derives from the ranking where they may be."""
+    world = replicated_world(WRITES, origin_drops=False)
     play(world, mixed(world.rng, 0.5, OTHERS), 1)
-    holders = [name for name, node in world.nodes.items() if HOT in node.kept]
-    assert len(holders) > 8
+    nodes_with_copy = [name for name, node in world.nodes.items() if HOT in node.kept]
+    assert len(nodes_with_copy) > 8
     fresh = World(30, WRITES, seed=9, origin_drops=False)
     fresh.nodes = world.nodes
     fresh.versions, fresh.now = world.versions, world.now
     fresh.ask(HOT, write=True)
     fresh.run(fresh.now + S)
     assert fresh.ends["written"] == 1
-    assert not [name for name in holders if HOT in world.nodes[name].kept]
+    assert not [name for name in nodes_with_copy if HOT in world.nodes[name].kept]
 
 
 def test_writes_keep_their_answers_without_copies() -> None:
@@ -382,10 +387,10 @@
     assert world.ends == {"written": 1}
 
 
-def test_client_that_leaves_while_its_write_is_held_harms_nobody() -> None:
-    world = spread_world(WRITES)
+def test_client_that_leaves_while_its_write_is_delayed_leaves_no_invalidation_behind() -> None:
+    world = replicated_world(WRITES)
     name = world.ask(HOT, write=True)
-    world.run(world.now + 51 * S // 1000)  # carried out, invalidations under way
+    world.run(world.now + 51 * S // 1000)  # the write was carried out, its invalidations are under way
     world.leave(name)
     play(world, mixed(world.rng, 0.5, OTHERS), 1)
     assert world.ends["written"] == 0
@@ -393,7 +398,7 @@
 
 
 def test_writes_with_all_nodes_cut_off_are_answered_in_time() -> None:
-    world = spread_world(WRITES)
+    world = replicated_world(WRITES)
     for node in world.nodes.values():
         node.cut = True
     world.on_invalidate = lambda key, server: False
@@ -402,7 +407,7 @@
     assert world.ends["written"] == 1
 
 
-def test_nodes_that_turn_plain_writes_down_are_told_of_once_and_left_alone() -> None:
+def test_nodes_that_refuse_plain_writes_are_logged_once_and_get_no_more() -> None:
     from saltport.decisions import Copy, CopyEnded, Outcome
 
     world = World(30, WRITES)
@@ -430,16 +435,16 @@
 
 
 def test_node_with_much_of_its_own_gets_less_of_the_hot_key_though_reads_are_few() -> None:
-    """One read a second to a node: what lies in half a second's count is chance."""
+    """At one read a second for each node, the counts of half a second are mostly noise."""
     nodes, rate = 60, 60.0
     world = World(nodes, WRITES)
     table = world.routers[0].caches
-    laden = table.rank(crc32(HOT.encode()) % SLOTS, world.now)[3]
-    own = [f"k{n}" for n in range(20_000) if table.rank(crc32(b"k%d" % n) % SLOTS, world.now)[0] is laden]
+    busy_node = table.rank(crc32(HOT.encode()) % SLOTS, world.now)[3]
+    own = [f"k{n}" for n in range(20_000) if table.rank(crc32(b"k%d" % n) % SLOTS, world.now)[0] is busy_node]
 
     def keys(hot_share: float) -> Keys:
         usual = mixed(world.rng, hot_share, OTHERS)
-        # Three fair shares of its own while all is calm, one and a half beside the hot key.
+        # Three fair shares of its own reads without the hot key, one and a half with it.
         return lambda: (world.rng.choice(own), False) if world.rng.random() < 0.05 else usual()
 
     play(world, keys(0.0), 20, rate)
@@ -450,4 +455,4 @@
     members = [server for server, count in hot.items() if count > 5]
     usual = sum(hot[server] for server in members) / len(members)
     assert len(members) >= 12
-    assert hot[laden.entry.id] < usual / 3
+    assert hot[busy_node.entry.id] < usual / 3
