--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -347,7 +347,8 @@
     def missed(self, request: Request, node: Node, now: int) -> bool:
         """Whether a read that missed at a node goes to another node of its key before the origin.
 
-        A read that fills nodes goes on to those that it is to fill; another one to one more node with a copy.
+        A read that fills nodes visits the rest of those that it is to fill; any other read tries at most one
+        more node, if another member has a copy.
         """
         watched = request.replication
         replicated = watched.replicated if watched is not None else None
--- a/saltport/decisions/hotkeys/need.py
+++ b/saltport/decisions/hotkeys/need.py
@@ -23,8 +23,8 @@
     """Return the share of all reads that a node can take of one more hot key within the limit.
 
     `fair_share`: the node's part of the total weight; `hot_share`: the share of all hot keys together;
-    `other_hot_share`: the share that other hot keys bring to this node. Of the remaining reads the node gets
-    its fair share.
+    `other_hot_share`: the share that other hot keys bring to this node. Of the reads of keys that are not hot
+    the node gets its fair share.
     """
     return max(fair_share * (max_fair_shares - 1 + hot_share) - other_hot_share, 0.0)
 
