--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -26,8 +26,8 @@
 from saltport.downstream.replies import LongAnswer, Reply
 from saltport.downstream.taking import STALL_S, waiting_for
 from saltport.downstream.unread import UnreadConnections
-from saltport.handover.exchange import Parcel
-from saltport.handover.record import ConnectionRecord, RecordError, Value, decode
+from saltport.handover.exchange import ConnectionTransfer
+from saltport.handover.record import ConnectionRecord, PartialValue, RecordError, decode
 from saltport.messages import Answers, ClientDialect, Malformed, Message, Ping, Request
 from saltport.transport.readiness import Readiness
 from saltport.transport.stream import READ_SIZE, StreamProtocol, TcpStream
@@ -73,7 +73,7 @@
     def client_gone(self, reply: Reply) -> None:
         """The client that waits for this reply has left."""
 
-    def go_on(self, value: Value, descriptor: int, reply: Reply) -> LongAnswer:
+    def go_on(self, value: PartialValue, descriptor: int, reply: Reply) -> LongAnswer:
         """Go on with a value that another process began for this reply; the descriptor is the host's."""
 
 
@@ -421,7 +421,9 @@
         record = departure.record(self._dialect, self.carried, transport.unsent, replies, age_s)
         self._leave(CloseReason.MOVED)
         successor.offer(
-            Parcel(record, departure.descriptors, self.server.thawing(record, departure.descriptors))
+            ConnectionTransfer(
+                record, departure.descriptors, self.server.thawing(record, departure.descriptors)
+            )
         )
 
     def _hand_over(self) -> bool:
--- a/saltport/downstream/departure.py
+++ b/saltport/downstream/departure.py
@@ -7,9 +7,15 @@
 from typing import Protocol
 
 from saltport.downstream.replies import Reply
-from saltport.handover.choice import Choice, choose
-from saltport.handover.exchange import Parcel
-from saltport.handover.record import MAX_AGE_MS, MAX_STREAMS, ConnectionRecord, Segment, encode
+from saltport.handover.choice import TransferDecision, decide_transfer
+from saltport.handover.exchange import ConnectionTransfer
+from saltport.handover.record import (
+    MAX_COMMAND_AGE_MS,
+    MAX_VALUES_IN_PROGRESS,
+    ConnectionRecord,
+    Segment,
+    encode,
+)
 from saltport.messages import ClientDialect
 from saltport.transport.stream import TcpStream
 
@@ -28,7 +34,7 @@
     def give(self, descriptor: int, pending: bytes) -> bool:
         """Give a connection that owes nothing; False: not now. The caller closes its own copy."""
 
-    def offer(self, parcel: Parcel) -> None:
+    def offer(self, parcel: ConnectionTransfer) -> None:
         """Give a frozen connection, as soon as there is room."""
 
 
@@ -37,9 +43,9 @@
     owed = [reply for reply in replies if not reply.done]
     sources = [reply.source for reply in owed if reply.source is not None]
     under_way = [source.progress for source in sources]
-    if choose(len(owed) - len(sources), under_way, left_s) is not Choice.MOVE:
+    if decide_transfer(len(owed) - len(sources), under_way, left_s) is not TransferDecision.MOVE:
         return False
-    return len(sources) <= MAX_STREAMS and all(source.movable for source in sources)
+    return len(sources) <= MAX_VALUES_IN_PROGRESS and all(source.movable for source in sources)
 
 
 class Departure:
@@ -83,7 +89,7 @@
                 owed = []
         if rest := b"".join(owed):
             segments.append(Segment(rest))
-        age_ms = min(int(command_age_s * 1000), MAX_AGE_MS)
+        age_ms = min(int(command_age_s * 1000), MAX_COMMAND_AGE_MS)
         return encode(ConnectionRecord(dialect.name, carried, dialect.held, tuple(segments), age_ms))
 
 
--- a/saltport/downstream/replies.py
+++ b/saltport/downstream/replies.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from saltport.downstream.endings import CloseReason, FinalAnswer
-from saltport.handover.choice import Progress
-from saltport.handover.record import Segment, Value
+from saltport.handover.choice import ValueProgress
+from saltport.handover.record import PartialValue, Segment
 from saltport.messages import Answers, ValueSource
 
 
@@ -22,7 +22,7 @@
     """A value that is passed on as it comes."""
 
     @property
-    def progress(self) -> Progress:
+    def progress(self) -> ValueProgress:
         """How it gets on."""
 
     @property
@@ -32,7 +32,7 @@
     def copy_descriptor(self) -> int:
         """A descriptor of the connection that it comes on, which is the caller's. Raises OSError."""
 
-    def suspend(self) -> Value:
+    def suspend(self) -> PartialValue:
         """Stop here for good; what another process goes on from, with a copy of the descriptor."""
 
     def client_left(self) -> None:
--- a/saltport/handover/__init__.py
+++ b/saltport/handover/__init__.py
@@ -1,1 +1,1 @@
-"""What a process of a router passes to the next: records of connections, who moves when, the exchange."""
+"""Hand-over of connections and learned state from a router process to its successor."""
--- a/saltport/handover/choice.py
+++ b/saltport/handover/choice.py
@@ -1,4 +1,4 @@
-"""Which connections go to the next process, and when. No I/O; bytes and seconds are passed in."""
+"""Decides which connections move to the next process, and when. No I/O; bytes and seconds are passed in."""
 
 from __future__ import annotations
 
@@ -6,43 +6,50 @@
 from dataclasses import dataclass
 from enum import Enum
 
-SOON_S = 0.2  # a value that ends so soon is not worth a move
-SPARE_S = 0.2  # before the process's end by which it must have ended, by its own rate
+MAX_WAIT_FOR_VALUE_S = 0.2  # a value that ends within this time is not worth a transfer
+EXIT_MARGIN_S = 0.2  # a value that is waited for must end this long before the process exits
 
 
-class Choice(Enum):
-    """What becomes of a connection for now."""
+class TransferDecision(Enum):
+    """Whether a connection is transferred to the next process now."""
 
     MOVE = "move"
     WAIT = "wait"
-    """It is looked at again when an answer has ended, or a moment later."""
+    """The caller decides again when a reply has ended, or a moment later."""
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
-    """How a value under way gets on."""
+class ValueProgress:
+    """How far the transmission of a value to its client has got."""
 
-    left: int
-    """Bytes that its client has not been given."""
-    given: int
-    since: float
-    """For how long it has been under way."""
+    remaining_bytes: int
+    """Bytes that have not been passed to the client."""
+    delivered_bytes: int
+    elapsed_s: float
+    """Seconds since the transmission began."""
 
     @property
-    def to_go(self) -> float:
-        """Seconds until its end at the rate so far; infinite where nothing has moved."""
-        return self.left * self.since / self.given if self.given else float("inf")
-
-
-def choose(unanswered: int, under_way: Iterable[Progress], left_s: float) -> Choice:
-    """Choose for a connection that is owed this; `left_s`: the time that this process has left.
-
-    What is not answered yet stays: its deadline bounds it, and an attempt that is out is never known to two
-    processes. A value that has begun has no bound but its client's pace.
+    def remaining_s(self) -> float:
+        """Seconds until the end at the average rate so far; infinite if nothing has been delivered."""
+        return (
+            self.remaining_bytes * self.elapsed_s / self.delivered_bytes
+            if self.delivered_bytes
+            else float("inf")
+        )
+
+
+def decide_transfer(
+    unanswered: int, values: Iterable[ValueProgress], process_time_left_s: float
+) -> TransferDecision:
+    """Return whether a connection with these unanswered requests and partly sent values is transferred now.
+
+    A connection with unanswered requests waits: their deadlines bound the wait, and an attempt in progress is
+    never known to two processes. Only the client's own pace bounds a value that has begun, so it is
+    transferred unless it is about to end.
     """
     if unanswered:
-        return Choice.WAIT
-    longest = max((progress.to_go for progress in under_way), default=0.0)
-    if 0.0 < longest <= min(SOON_S, left_s - SPARE_S):
-        return Choice.WAIT
-    return Choice.MOVE
+        return TransferDecision.WAIT
+    longest_s = max((value.remaining_s for value in values), default=0.0)
+    if 0.0 < longest_s <= min(MAX_WAIT_FOR_VALUE_S, process_time_left_s - EXIT_MARGIN_S):
+        return TransferDecision.WAIT
+    return TransferDecision.MOVE
--- a/saltport/handover/exchange.py
+++ b/saltport/handover/exchange.py
@@ -1,12 +1,14 @@
-"""Records over a link between two processes: pieces, answers, and who holds what at each moment. No I/O.
+"""The protocol that transfers connections over a link between two processes of a router. No I/O.
 
-The giver's first byte of a message says what it is: `l` a piece of what was learnt, `L` its last or only one,
-`C` a connection that owes nothing (for a taker that says no version), `P` a piece of a record, `M` its last
-piece, which brings all descriptors.
-The taker says `H` with the version of records that it takes, `A` when a record is its own, `N` and why not.
+The first byte of a message from the sender is its type: `l` a part of the learned state, `L` its last or only
+part, `C` an idle connection (for a receiver that announces no record version), `P` a part of a connection
+record, `M` its last part, which carries all descriptors.
+The receiver sends `H` with the record version that it accepts, `A` when it has taken over a connection, and
+`N` with the reason when it rejects one.
 
-From the moment its last piece is sent a record is the taker's: what both could hold would be done twice. The
-giver keeps its descriptors until the answer, as a record that is turned down goes on where it was.
+From the moment its last part is sent, a record belongs to the receiver: if both processes could continue the
+connection, requests would be executed twice. The sender keeps the descriptors until the receiver answers, as
+it resumes a rejected connection itself.
 """
 
 from __future__ import annotations
@@ -15,164 +17,178 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from saltport.handover.record import MAX_ANSWERS, MAX_COMMAND, ConnectionRecord, RecordError, decode
-
-PIECE = 64 << 10
-WINDOW = 32  # connections frozen at a time, or under way: they bound bytes, descriptors and time stood still
-MAX_RECORD = MAX_ANSWERS + MAX_COMMAND
-LEARNT_PIECE = 95 << 10  # takers of earlier versions read one message of 96 KiB, and know no pieces
-MAX_LEARNT = 8 << 20  # some 60,000 servers
-LEARNT_PART, LEARNT, CONNECTION, PART, LAST = b"l", b"L", b"C", b"P", b"M"
-HELLO, TAKEN, TURNED_DOWN = b"H", b"A", b"N"
+from saltport.handover.record import (
+    MAX_COMMAND_BYTES,
+    MAX_REPLY_BYTES,
+    ConnectionRecord,
+    RecordError,
+    decode,
+)
+
+RECORD_PART_BYTES = 64 << 10
+MAX_IN_FLIGHT = (
+    32  # connections frozen or sent at a time: bounds memory, descriptors and time without progress
+)
+MAX_RECORD_BYTES = MAX_REPLY_BYTES + MAX_COMMAND_BYTES
+LEARNED_PART_BYTES = 95 << 10  # receivers of earlier versions read one message of 96 KiB, and know no parts
+MAX_LEARNED_BYTES = 8 << 20  # some 60,000 servers
+LEARNED_PART, LEARNED_LAST, IDLE_CONNECTION, RECORD_PART, RECORD_LAST = b"l", b"L", b"C", b"P", b"M"
+HELLO, ACCEPTED, REJECTED = b"H", b"A", b"N"
 
 
 @dataclass(slots=True)
-class Parcel:
-    """A frozen connection: its record in words, its descriptors, and how it goes on here."""
+class ConnectionTransfer:
+    """A frozen connection that is to be transferred: its encoded record and its descriptors."""
 
     record: bytes
     descriptors: Sequence[int]
-    thaw: Callable[[], None]
-    """Takes the connection up again in this process; the descriptors are the caller's then."""
-    at: int = field(default=0)
-    """How much of the record has been sent."""
+    resume: Callable[[], None]
+    """Resumes the connection in this process, and takes ownership of the descriptors."""
+    sent_bytes: int = field(default=0)
+    """Bytes of the record that have been sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Message:
-    """One message for the link."""
+    """One message for the link, with the descriptors that go with it."""
 
     data: bytes
     descriptors: Sequence[int] = ()
 
 
-class Giver:
-    """The end of the process that goes."""
+class TransferSender:
+    """The protocol state of the process that exits."""
 
-    def __init__(self, release: Callable[[Sequence[int]], None]) -> None:
-        """`release` closes descriptors that nobody here needs any more."""
-        self._release = release
-        self._learnt: deque[bytes] = deque()
-        """Messages that tell what was learnt; they go before all connections."""
-        self._queue: deque[Parcel] = deque()
-        self._sent: deque[Parcel] = deque()
-        self.version = 0
-        """The version of records that the taker said it takes; 0: it said none."""
-        self.moved = self.refused = 0
-        """Connections that went over, and records that were turned down."""
+    def __init__(self, close_descriptors: Callable[[Sequence[int]], None]) -> None:
+        """`close_descriptors` closes the descriptors of connections that this process no longer needs."""
+        self._close_descriptors = close_descriptors
+        self._learned: deque[bytes] = deque()
+        """Unsent messages with learned state; they are sent before all connections."""
+        self._queue: deque[ConnectionTransfer] = deque()
+        self._unacknowledged: deque[ConnectionTransfer] = deque()
+        self.receiver_version = 0
+        """The record version that the receiver announced; 0 if it announced none."""
+        self.accepted = self.rejected = 0
+        """Numbers of connections that the receiver accepted and rejected."""
 
     @property
-    def room(self) -> int:
-        """How many more connections may be frozen."""
-        return WINDOW - len(self._queue) - len(self._sent)
+    def free_capacity(self) -> int:
+        """The number of connections that may still be frozen."""
+        return MAX_IN_FLIGHT - len(self._queue) - len(self._unacknowledged)
 
     @property
     def busy(self) -> bool:
-        """Whether something is frozen, or sent and not answered."""
-        return bool(self._queue or self._sent)
+        """Whether a connection is queued, or sent and not yet answered."""
+        return bool(self._queue or self._unacknowledged)
 
-    def tell(self, learnt: bytes) -> None:
-        """Begin with what was learnt; beyond `MAX_LEARNT` bytes the taker starts without it."""
-        if len(learnt) > MAX_LEARNT:
+    def send_learned(self, learned: bytes) -> None:
+        """Queue learned state for sending; beyond `MAX_LEARNED_BYTES` the receiver starts without it."""
+        if len(learned) > MAX_LEARNED_BYTES:
             return
-        pieces = [learnt[at : at + LEARNT_PIECE] for at in range(0, len(learnt), LEARNT_PIECE)] or [b""]
-        self._learnt.extend(LEARNT_PART + piece for piece in pieces[:-1])
-        self._learnt.append(LEARNT + pieces[-1])
-
-    def offer(self, parcel: Parcel) -> None:
-        """Take a frozen connection, to be sent when the link has room."""
-        self._queue.append(parcel)
-
-    def outgoing(self) -> Message | None:
-        """The next message; None: nothing now. `sent` has to follow before it is asked again."""
-        if self._learnt:
-            return Message(self._learnt[0])
+        parts = [
+            learned[at : at + LEARNED_PART_BYTES] for at in range(0, len(learned), LEARNED_PART_BYTES)
+        ] or [b""]
+        self._learned.extend(LEARNED_PART + part for part in parts[:-1])
+        self._learned.append(LEARNED_LAST + parts[-1])
+
+    def enqueue(self, transfer: ConnectionTransfer) -> None:
+        """Queue a frozen connection, to be sent when the link has capacity."""
+        self._queue.append(transfer)
+
+    def next_message(self) -> Message | None:
+        """Return the message to send next, or None. Call `message_sent` before calling this again."""
+        if self._learned:
+            return Message(self._learned[0])
         if not self._queue:
             return None
-        parcel = self._queue[0]
-        piece = parcel.record[parcel.at : parcel.at + PIECE]
-        if parcel.at + len(piece) < len(parcel.record):
-            return Message(PART + piece)
-        return Message(LAST + piece, parcel.descriptors)
-
-    def sent(self) -> None:
-        """The link has taken that message, whole."""
-        if self._learnt:
-            self._learnt.popleft()
+        transfer = self._queue[0]
+        part = transfer.record[transfer.sent_bytes : transfer.sent_bytes + RECORD_PART_BYTES]
+        if transfer.sent_bytes + len(part) < len(transfer.record):
+            return Message(RECORD_PART + part)
+        return Message(RECORD_LAST + part, transfer.descriptors)
+
+    def message_sent(self) -> None:
+        """Record that the link has taken the message that `next_message` returned last."""
+        if self._learned:
+            self._learned.popleft()
             return
-        parcel = self._queue[0]
-        parcel.at += PIECE
-        if parcel.at >= len(parcel.record):
-            self._sent.append(self._queue.popleft())
+        transfer = self._queue[0]
+        transfer.sent_bytes += RECORD_PART_BYTES
+        if transfer.sent_bytes >= len(transfer.record):
+            self._unacknowledged.append(self._queue.popleft())
 
-    def heard(self, data: bytes) -> str:
-        """Take a message of the taker; returns what is to be logged of it, or nothing."""
+    def receive(self, data: bytes) -> str:
+        """Process a message of the receiver; return the reason of a rejection, otherwise an empty text."""
         if data[:1] == HELLO:
-            self.version = int(data[1:]) if data[1:].isdigit() and len(data) < 6 else 0
-        elif data[:1] in (TAKEN, TURNED_DOWN) and self._sent:
-            parcel = self._sent.popleft()
-            if data[:1] == TAKEN:
-                self.moved += 1
-                self._release(parcel.descriptors)
+            self.receiver_version = int(data[1:]) if data[1:].isdigit() and len(data) < 6 else 0
+        elif data[:1] in (ACCEPTED, REJECTED) and self._unacknowledged:
+            transfer = self._unacknowledged.popleft()
+            if data[:1] == ACCEPTED:
+                self.accepted += 1
+                self._close_descriptors(transfer.descriptors)
             else:
-                self.refused += 1
-                parcel.thaw()
+                self.rejected += 1
+                transfer.resume()
                 return data[1:101].decode(errors="replace")
         return ""
 
-    def ended(self) -> None:
-        """The link is gone: what was sent whole went with it, and the rest goes on here."""
-        self._learnt.clear()
-        sent, self._sent = self._sent, deque()
+    def link_closed(self) -> None:
+        """Give up the connections that were sent completely, and resume the others in this process."""
+        self._learned.clear()
+        unacknowledged, self._unacknowledged = self._unacknowledged, deque()
         queue, self._queue = self._queue, deque()
-        self.version = 0
-        for parcel in sent:
-            self._release(parcel.descriptors)
-        for parcel in queue:
-            parcel.at = 0
-            parcel.thaw()
+        self.receiver_version = 0
+        for transfer in unacknowledged:
+            self._close_descriptors(transfer.descriptors)
+        for transfer in queue:
+            transfer.sent_bytes = 0
+            transfer.resume()
 
 
-class Taker:
-    """The end of the process that comes."""
+class TransferReceiver:
+    """The protocol state of the process that starts: assembles learned state and connection records."""
 
     def __init__(self) -> None:
-        self._pieces: list[bytes] = []
+        self._parts: list[bytes] = []
         self._size = 0
-        self._learnt: list[bytes] = []
-        self._learnt_size = 0
+        self._learned: list[bytes] = []
+        self._learned_size = 0
 
     @property
     def learning(self) -> bool:
-        """Whether what was learnt has begun to come, and more of it is on its way."""
-        return self._learnt_size > 0
-
-    def learn(self, data: bytes) -> bytes:
-        """Take a piece of what was learnt; returns it with its last piece, or nothing (yet, or too long)."""
-        self._learnt_size += len(data) - 1
-        if self._learnt_size <= MAX_LEARNT:
-            self._learnt.append(data[1:])
+        """Whether a part of the learned state has arrived and its last part has not."""
+        return self._learned_size > 0
+
+    def receive_learned(self, data: bytes) -> bytes:
+        """Add a part of the learned state; return all of it with the last part, otherwise empty bytes.
+
+        Learned state beyond `MAX_LEARNED_BYTES` is dropped, and empty bytes are returned for it.
+        """
+        self._learned_size += len(data) - 1
+        if self._learned_size <= MAX_LEARNED_BYTES:
+            self._learned.append(data[1:])
         else:
-            self._learnt.clear()
-        if data[:1] != LEARNT:
+            self._learned.clear()
+        if data[:1] != LEARNED_LAST:
             return b""
-        pieces, self._learnt, self._learnt_size = self._learnt, [], 0
-        return b"".join(pieces)
+        parts, self._learned, self._learned_size = self._learned, [], 0
+        return b"".join(parts)
 
-    def heard(self, data: bytes, descriptors: int) -> ConnectionRecord | None:
-        """Take a piece; returns the record with its last one. Raises RecordError, once for a whole record.
+    def receive_record(self, data: bytes, descriptors: int) -> ConnectionRecord | None:
+        """Add a part of a record; return the record with its last part, which brought so many descriptors.
 
-        The caller closes what came with pieces that give no record, and answers each last piece.
+        Raises RecordError with the last part of an invalid record. The caller closes descriptors that came
+        with parts for which no record is returned, and answers each last part.
         """
         self._size += len(data) - 1
-        if self._size <= MAX_RECORD:
-            self._pieces.append(data[1:])
+        if self._size <= MAX_RECORD_BYTES:
+            self._parts.append(data[1:])
         else:
-            self._pieces.clear()
-        if data[:1] != LAST:
+            self._parts.clear()
+        if data[:1] != RECORD_LAST:
             return None
-        pieces, self._pieces = self._pieces, []
+        parts, self._parts = self._parts, []
         size, self._size = self._size, 0
-        if size > MAX_RECORD:
+        if size > MAX_RECORD_BYTES:
             raise RecordError("record too long")
-        return decode(b"".join(pieces), descriptors)
+        return decode(b"".join(parts), descriptors)
--- a/saltport/handover/record.py
+++ b/saltport/handover/record.py
@@ -1,7 +1,8 @@
-"""What a client's connection is at one moment, for another process to go on from. No I/O.
+"""The serialized state of a client connection, from which another process can continue it. No I/O.
 
-A record is a head of JSON in one line and the bytes that it counts out. It is versioned, and read whole or
-not at all: its descriptors (the client's first, then one for each value under way) mean nothing without it.
+A record is a header (JSON in one line), followed by the payload whose lengths the header states. Records are
+versioned. An invalid record is rejected as a whole: its descriptors (the client's first, then one for each
+value in progress) cannot be used without it.
 """
 
 from __future__ import annotations
@@ -10,107 +11,107 @@
 
 import orjson
 
-VERSION = 1
-MAX_COMMAND = (4 << 20) + (64 << 10)  # a value and far more words than a command has
-MAX_ANSWERS = 32 << 20  # bytes of answers that wait behind each other
+RECORD_VERSION = 1
+MAX_COMMAND_BYTES = (4 << 20) + (64 << 10)  # a value, and far more than the other words of a command need
+MAX_REPLY_BYTES = 32 << 20  # total of the pipelined replies of one connection
 MAX_SEGMENTS = 512
-MAX_STREAMS = 64  # the kernel passes 253 descriptors with one message
-MAX_HEAD = 256 << 10
-MAX_VALUE = 4 << 20
-MAX_AGE_MS = 60_000
-MAX_REST = 128 << 10  # of an answer's end, which its node's codec bounds further
-MAX_NAME = 1024
-END_MARK = 2
-FORMS = {"cache": frozenset("123456789"), "origin": frozenset([""])}
+MAX_VALUES_IN_PROGRESS = 64  # the kernel passes at most 253 descriptors with one message
+MAX_HEADER_BYTES = 256 << 10
+MAX_VALUE_BYTES = 4 << 20
+MAX_COMMAND_AGE_MS = 60_000
+MAX_REST_BYTES = 128 << 10  # of the end of an answer; the codec of its server sets stricter bounds
+MAX_TEXT_LENGTH = 1024
+END_MARK_BYTES = 2
+ANSWER_FORMS = {"cache": frozenset("123456789"), "origin": frozenset([""])}
 
 
 class RecordError(ValueError):
-    """This is no record that can be gone on from; the text says why."""
+    """A record is invalid, or its connection cannot be continued here; the text gives the reason."""
 
 
 @dataclass(frozen=True, slots=True)
-class Flow:
-    """Where a server's connection stands within a value."""
+class ReadPosition:
+    """How far a value has been read from a connection to a cache server or the origin."""
 
     kind: str
-    """`cache` or `origin`: which codec reads it."""
+    """`cache` or `origin`: selects the codec that reads the connection."""
     server: str
     address: tuple[str, int]
     length: int
-    """Bytes of the whole value."""
+    """Total length of the value in bytes."""
     left: int
-    """Bytes that have not been read until the value's end mark, where its wire has one, is passed."""
+    """Bytes still to be read, including the value's end mark if the protocol has one."""
     form: str
-    """What the codec has to know of the answer's head: the places of a RESP array, of HTTP nothing."""
+    """The structure of the answer: the number of elements of a RESP array; empty for HTTP."""
     rest: bytes = b""
-    """What came behind the value, if the answer is not whole yet."""
+    """Bytes of an incomplete answer that were read after the value."""
     closes: bool = False
-    """Whether the connection is of no use behind this answer."""
+    """Whether the connection cannot be reused after this answer."""
 
 
 @dataclass(frozen=True, slots=True)
-class Value:
-    """A value under way, and the request that it answers."""
+class PartialValue:
+    """A value that has been passed on in part, and the request that it answers."""
 
-    flow: Flow
+    position: ReadPosition
     request_class: str
     tail: bytes
-    """What the client is told behind the value."""
+    """Bytes that the client receives after the value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A part of what the client is owed: bytes, and then perhaps a value that is still coming."""
+    """A part of the output that the client has not received: bytes, then optionally a partial value."""
 
     data: bytes
-    value: Value | None = None
+    value: PartialValue | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionRecord:
-    """One client's connection."""
+    """The state of one client connection."""
 
     dialect: str
     carried: bool
-    """Whether a request ever came on it."""
+    """Whether the connection has carried a request."""
     command: bytes
-    """What was read of a command under way."""
+    """The bytes that were read of an incomplete command."""
     segments: tuple[Segment, ...] = ()
     command_age_ms: int = 0
-    """For how long that command has been under way, or since it last came on."""
+    """Milliseconds since the incomplete command began, or since its last bytes arrived."""
 
     @property
-    def values(self) -> tuple[Value, ...]:
-        """The values under way, in the order of their descriptors."""
+    def values(self) -> tuple[PartialValue, ...]:
+        """The partial values, in the order of their descriptors."""
         return tuple(segment.value for segment in self.segments if segment.value is not None)
 
     @property
-    def descriptors(self) -> int:
-        """How many descriptors go with it."""
+    def descriptor_count(self) -> int:
+        """The number of descriptors that are sent with the record."""
         return 1 + len(self.values)
 
 
 def encode(record: ConnectionRecord) -> bytes:
-    """Word a record."""
+    """Return the encoded record."""
     payload = [record.command]
     segments = []
     for segment in record.segments:
         payload.append(segment.data)
         value = segment.value
-        told = None
+        value_header = None
         if value is not None:
-            flow = value.flow
-            payload += (flow.rest, value.tail)
-            told = {
+            position = value.position
+            payload += (position.rest, value.tail)
+            value_header = {
                 "class": value.request_class,
                 "tail": len(value.tail),
-                **{field.name: getattr(flow, field.name) for field in fields(Flow)},
-                "rest": len(flow.rest),
+                **{field.name: getattr(position, field.name) for field in fields(ReadPosition)},
+                "rest": len(position.rest),
             }
-        segments.append([len(segment.data), told])
-    head = orjson.dumps(
+        segments.append([len(segment.data), value_header])
+    header = orjson.dumps(
         {
-            "version": VERSION,
+            "version": RECORD_VERSION,
             "dialect": record.dialect,
             "carried": record.carried,
             "command": len(record.command),
@@ -118,117 +119,124 @@
             "segments": segments,
         }
     )
-    return b"".join([head, b"\n", *payload])
+    return b"".join([header, b"\n", *payload])
 
 
 def decode(message: bytes, descriptors: int) -> ConnectionRecord:
-    """Read a record that came with so many descriptors; raises RecordError."""
-    end = message.find(b"\n", 0, MAX_HEAD)
+    """Return the decoded record of a message that came with so many descriptors; raises RecordError."""
+    end = message.find(b"\n", 0, MAX_HEADER_BYTES)
     if end < 0:
         raise RecordError("no head")
     try:
-        head = orjson.loads(message[:end])
+        header = orjson.loads(message[:end])
     except orjson.JSONDecodeError as error:
         raise RecordError(f"broken head: {error}") from None
-    if not isinstance(head, dict) or head.get("version") != VERSION:
+    if not isinstance(header, dict) or header.get("version") != RECORD_VERSION:
         raise RecordError("another version")
-    rest = _Rest(memoryview(message)[end + 1 :])
-    told = _Told(head)
-    command = rest.take(told.count("command", MAX_COMMAND))
-    items = head.get("segments")
+    payload = _Payload(memoryview(message)[end + 1 :])
+    header_fields = _Fields(header)
+    command = payload.take(header_fields.count("command", MAX_COMMAND_BYTES))
+    items = header.get("segments")
     if not isinstance(items, list) or len(items) > MAX_SEGMENTS:
         raise RecordError("segments are no list, or too many")
     record = ConnectionRecord(
-        told.name("dialect"),
-        told.truth("carried"),
+        header_fields.text("dialect"),
+        header_fields.boolean("carried"),
         command,
-        tuple(_segment(item, rest) for item in items),
-        # Processes of earlier versions don't tell it.
-        told.count("command_age_ms", MAX_AGE_MS) if "command_age_ms" in head else 0,
+        tuple(_segment(item, payload) for item in items),
+        # Processes of earlier versions do not send this field.
+        header_fields.count("command_age_ms", MAX_COMMAND_AGE_MS) if "command_age_ms" in header else 0,
     )
-    if rest.left:
-        raise RecordError(f"{rest.left} bytes too many")
-    if len(record.values) > MAX_STREAMS or record.descriptors != descriptors:
-        raise RecordError(f"{record.descriptors} descriptors wanted, {descriptors} came")
-    if sum(len(segment.data) for segment in record.segments) > MAX_ANSWERS:
+    if payload.left:
+        raise RecordError(f"{payload.left} bytes too many")
+    if len(record.values) > MAX_VALUES_IN_PROGRESS or record.descriptor_count != descriptors:
+        raise RecordError(f"{record.descriptor_count} descriptors wanted, {descriptors} came")
+    if sum(len(segment.data) for segment in record.segments) > MAX_REPLY_BYTES:
         raise RecordError("answers too long")
     return record
 
 
-def _segment(item: object, rest: _Rest) -> Segment:
+def _segment(item: object, payload: _Payload) -> Segment:
     if not isinstance(item, list) or len(item) != 2:
         raise RecordError("a segment of an unknown form")
     size, value = item
-    data = rest.take(_count("segment", size, MAX_ANSWERS))
+    data = payload.take(_checked_count("segment", size, MAX_REPLY_BYTES))
     if value is None:
         return Segment(data)
     if not isinstance(value, dict):
         raise RecordError("a value of an unknown form")
-    told = _Told(value)
-    length = told.count("length", MAX_VALUE)
-    flow = Flow(
-        told.name("kind"),
-        told.name("server"),
-        told.address("address"),
+    value_fields = _Fields(value)
+    length = value_fields.count("length", MAX_VALUE_BYTES)
+    position = ReadPosition(
+        value_fields.text("kind"),
+        value_fields.text("server"),
+        value_fields.address("address"),
         length,
-        told.count("left", length + END_MARK),
-        told.name("form"),
-        rest.take(told.count("rest", MAX_REST)),
-        told.truth("closes"),
+        value_fields.count("left", length + END_MARK_BYTES),
+        value_fields.text("form"),
+        payload.take(value_fields.count("rest", MAX_REST_BYTES)),
+        value_fields.boolean("closes"),
     )
-    if flow.kind not in FORMS or flow.form not in FORMS[flow.kind]:
-        raise RecordError(f"no such server: {flow.kind}, {flow.form}")
-    if flow.kind == "origin" and not flow.left:
+    if position.kind not in ANSWER_FORMS or position.form not in ANSWER_FORMS[position.kind]:
+        raise RecordError(f"no such server: {position.kind}, {position.form}")
+    if position.kind == "origin" and not position.left:
         raise RecordError("a body that has ended")
-    return Segment(data, Value(flow, told.name("class"), rest.take(told.count("tail", MAX_NAME))))
+    return Segment(
+        data,
+        PartialValue(
+            position,
+            value_fields.text("class"),
+            payload.take(value_fields.count("tail", MAX_TEXT_LENGTH)),
+        ),
+    )
 
 
-class _Rest:
-    """The bytes behind the head, taken from the front."""
+class _Payload:
+    """The bytes after the header, consumed from the front."""
 
     def __init__(self, data: memoryview) -> None:
-        self._data, self._at = data, 0
+        self._data, self._offset = data, 0
 
     @property
     def left(self) -> int:
-        return len(self._data) - self._at
+        return len(self._data) - self._offset
 
     def take(self, size: int) -> bytes:
         if size > self.left:
             raise RecordError(f"{size - self.left} bytes are missing")
-        self._at += size
-        return bytes(self._data[self._at - size : self._at])
+        self._offset += size
+        return bytes(self._data[self._offset - size : self._offset])
 
 
-def _count(what: str, value: object, most: int) -> int:
-    if type(value) is not int or not 0 <= value <= most:
-        raise RecordError(f"{what}: no number from 0 to {most}")
+def _checked_count(name: str, value: object, maximum: int) -> int:
+    if type(value) is not int or not 0 <= value <= maximum:
+        raise RecordError(f"{name}: no number from 0 to {maximum}")
     return value
 
 
-class _Told:
-    """Named facts, each checked as it is read."""
+class _Fields:
+    """Named fields of a header; each is checked when it is read. Raises RecordError for an invalid field."""
 
-    def __init__(self, facts: dict[str, object]) -> None:
-        self._facts = facts
+    def __init__(self, values: dict[str, object]) -> None:
+        self._values = values
 
-    def count(self, name: str, most: int) -> int:
-        return _count(name, self._facts.get(name), most)
+    def count(self, name: str, maximum: int) -> int:
+        return _checked_count(name, self._values.get(name), maximum)
 
-    def name(self, name: str) -> str:
-        value = self._facts.get(name)
-        if not isinstance(value, str) or len(value) > MAX_NAME:
+    def text(self, name: str) -> str:
+        value = self._values.get(name)
+        if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
             raise RecordError(f"{name}: no name")
         return value
 
-    def truth(self, name: str) -> bool:
-        value = self._facts.get(name)
+    def boolean(self, name: str) -> bool:
+        value = self._values.get(name)
         if not isinstance(value, bool):
             raise RecordError(f"{name}: neither true nor false")
         return value
 
     def address(self, name: str) -> tuple[str, int]:
-        match self._facts.get(name):
-            case [str(host), int(port)] if 0 < port < 1 << 16 and len(host) < MAX_NAME:
+        match self._values.get(name):
+            case [str(host), int(port)] if 0 < port < 1 << 16 and len(host) < MAX_TEXT_LENGTH:
                 return host, port
         raise RecordError(f"{name}: no address")
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -19,19 +19,19 @@
 from pathlib import Path
 
 from saltport.handover.exchange import (
-    CONNECTION,
+    ACCEPTED,
     HELLO,
-    LAST,
-    LEARNT,
-    LEARNT_PART,
-    PART,
-    TAKEN,
-    TURNED_DOWN,
-    Giver,
-    Parcel,
-    Taker,
+    IDLE_CONNECTION,
+    LEARNED_LAST,
+    LEARNED_PART,
+    RECORD_LAST,
+    RECORD_PART,
+    REJECTED,
+    ConnectionTransfer,
+    TransferReceiver,
+    TransferSender,
 )
-from saltport.handover.record import MAX_STREAMS, VERSION, ConnectionRecord, RecordError
+from saltport.handover.record import MAX_VALUES_IN_PROGRESS, RECORD_VERSION, ConnectionRecord, RecordError
 from saltport.transport.acceptor import Acceptor
 from saltport.transport.packets import Packet, PacketLink
 from saltport.transport.shortage import OF_DIALS, outlast
@@ -70,8 +70,8 @@
         self._before: PacketLink | None = None
         self._after: PacketLink | None = None
         self._acceptor: Acceptor | None = None
-        self.giver = Giver(_close_all)
-        self._taker = Taker()
+        self.giver = TransferSender(_close_all)
+        self._taker = TransferReceiver()
         self._again: asyncio.TimerHandle | None = None
         self.taken = 0
         """Connections that came with what was under way on them."""
@@ -105,7 +105,9 @@
         # connections would all end with it. And its own place would then be taken for the other's.
         with suppress(OSError):  # nobody is there, or has died, or is a stranger
             link = await outlast(partial(_join, path), PATIENCE_S, OF_DIALS)
-            self._before = PacketLink(self._loop, link, self._receive, MAX_MESSAGE, 1 + MAX_STREAMS)
+            self._before = PacketLink(
+                self._loop, link, self._receive, MAX_MESSAGE, 1 + MAX_VALUES_IN_PROGRESS
+            )
             self._changed()
         try:
             listener = await outlast(partial(_listen, path), PATIENCE_S)
@@ -135,7 +137,7 @@
             # Danger: a process that died before it took over must not keep the next one out.
             self._end_after()
         self._after = PacketLink(self._loop, link, self._hear, MAX_HEARD)
-        self.giver.tell(self._learnt())
+        self.giver.send_learned(self._learnt())
         self._give_more()
         self._changed()
 
@@ -145,7 +147,7 @@
             self._end_after()
             self._changed()
             return
-        if why := self.giver.heard(packet.data):
+        if why := self.giver.receive(packet.data):
             log.warning("the next process can't go on with a connection: %s", why)
         self._give_more()
 
@@ -153,39 +155,39 @@
         assert self._after is not None
         self._after.close()
         self._after = None
-        self.giver.ended()
+        self.giver.link_closed()
 
     @property
     def takes_records(self) -> bool:
         """See Successor."""
-        return self._after is not None and self.giver.version == VERSION
+        return self._after is not None and self.giver.receiver_version == RECORD_VERSION
 
     @property
     def room(self) -> int:
         """See Successor."""
-        return self.giver.room
+        return self.giver.free_capacity
 
     def give(self, descriptor: int, pending: bytes) -> bool:
         """See Successor."""
-        return self._after is not None and self._after.send(CONNECTION + pending, [descriptor])
+        return self._after is not None and self._after.send(IDLE_CONNECTION + pending, [descriptor])
 
-    def offer(self, parcel: Parcel) -> None:
+    def offer(self, parcel: ConnectionTransfer) -> None:
         """See Successor."""
         if self._after is None:
-            parcel.thaw()
+            parcel.resume()
             return
-        self.giver.offer(parcel)
+        self.giver.enqueue(parcel)
         self._give_more()
 
     def _give_more(self) -> None:
-        while self._after is not None and (message := self.giver.outgoing()) is not None:
+        while self._after is not None and (message := self.giver.next_message()) is not None:
             if not self._after.send(message.data, message.descriptors):
                 # Danger: waiting for the link alone would wait for ever where the kernel's count of
                 # descriptors under way is what is full.
                 if self._again is None:
                     self._again = self._loop.call_later(AGAIN_S, self._try_again)
                 return
-            self.giver.sent()
+            self.giver.message_sent()
 
     def _try_again(self) -> None:
         self._again = None
@@ -200,17 +202,17 @@
             _close_all(descriptors)
             self._before.close()
             self._before = None
-            self._taker = Taker()
+            self._taker = TransferReceiver()
             self._changed()
             return
         kind = message[:1]
-        if kind in (LEARNT_PART, LEARNT):
-            self.inherited = self._taker.learn(message) or self.inherited
-            self._has_learnt = kind == LEARNT
-        elif kind in (PART, LAST):
+        if kind in (LEARNED_PART, LEARNED_LAST):
+            self.inherited = self._taker.receive_learned(message) or self.inherited
+            self._has_learnt = kind == LEARNED_LAST
+        elif kind in (RECORD_PART, RECORD_LAST):
             self._take(message, descriptors, packet.is_cut)
             return
-        elif kind == CONNECTION and len(descriptors) == 1:
+        elif kind == IDLE_CONNECTION and len(descriptors) == 1:
             with suppress(RecordError):
                 self._adopt(ConnectionRecord("", False, message[1:]), descriptors)
                 return
@@ -218,9 +220,9 @@
 
     def _take(self, message: bytes, descriptors: Sequence[int], cut: bool) -> None:
         """Take a piece of a record; what is no record is dropped whole, and the other process told why."""
-        answer = TAKEN
+        answer = ACCEPTED
         try:
-            record = self._taker.heard(message, -1 if cut else len(descriptors))
+            record = self._taker.receive_record(message, -1 if cut else len(descriptors))
             if record is None:
                 _close_all(descriptors)
                 return
@@ -229,7 +231,7 @@
             self.taken += 1
         except RecordError as error:
             _close_all(descriptors)
-            answer = TURNED_DOWN + str(error).encode()[: MAX_HEARD - 1]
+            answer = REJECTED + str(error).encode()[: MAX_HEARD - 1]
         assert self._before is not None
         self._before.answer(answer)
 
@@ -292,7 +294,7 @@
         link.connect(str(path))
         if not _same_user(link):
             raise PermissionError("another user's process is there")
-        link.send(HELLO + b"%d" % VERSION)
+        link.send(HELLO + b"%d" % RECORD_VERSION)
     except OSError:
         link.close()
         raise
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -47,7 +47,7 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.ordering import KeyOrder
 from saltport.downstream.replies import Reply
-from saltport.handover.record import Value
+from saltport.handover.record import PartialValue
 from saltport.lag import HEARTBEAT_NS, LagMeter
 from saltport.membership.listing import Listing
 from saltport.messages import Request
@@ -217,11 +217,11 @@
         if reply.request is not None:
             reply.request.client_gone()
 
-    def go_on(self, value: Value, descriptor: int, reply: Reply) -> MovedValue:
+    def go_on(self, value: PartialValue, descriptor: int, reply: Reply) -> MovedValue:
         """Take up a value that another process began, and the server's connection that it comes on."""
         moved = reply.request = MovedValue(self, value, reply)
-        dialect = OriginConnection if value.flow.kind == "origin" else CacheConnection
-        moved.begin(value.flow.left, self._pool.adopt(value.flow, descriptor, dialect, moved))
+        dialect = OriginConnection if value.position.kind == "origin" else CacheConnection
+        moved.begin(value.position.left, self._pool.adopt(value.position, descriptor, dialect, moved))
         return moved
 
     def settle(self, request: OpenRequest) -> None:
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -21,8 +21,8 @@
 )
 from saltport.decisions.ordering import NOTHING, KeyOrder
 from saltport.downstream.replies import Reply
-from saltport.handover.choice import Progress
-from saltport.handover.record import Value
+from saltport.handover.choice import ValueProgress
+from saltport.handover.record import PartialValue
 from saltport.lag import LagMeter
 from saltport.messages import Request, ValueSource
 from saltport.router.event_host import EventHost
@@ -240,9 +240,11 @@
         self.give_up(Outcome.CANCELLED)
 
     @property
-    def progress(self) -> Progress:
+    def progress(self) -> ValueProgress:
         """How it gets on."""
-        return Progress(self._size - self._given, self._given, self._host.loop.time() - self._begun_relay)
+        return ValueProgress(
+            self._size - self._given, self._given, self._host.loop.time() - self._begun_relay
+        )
 
     @property
     def movable(self) -> bool:
@@ -254,11 +256,11 @@
         assert self.connection is not None
         return self.connection.copy_descriptor()
 
-    def suspend(self) -> Value:
+    def suspend(self) -> PartialValue:
         """Stop here for good, for another process to go on with a copy of the descriptor."""
         assert self.connection is not None
         flow = self.connection.suspend()
-        value = Value(flow, self._class, self._reply.tail)
+        value = PartialValue(flow, self._class, self._reply.tail)
         self._source = None
         self._moved()
         self.end(Outcome.CANCELLED)
@@ -431,7 +433,7 @@
     Danger: told of its end, the module would count an attempt that it never made.
     """
 
-    def __init__(self, host: RequestHost, value: Value, reply: Reply) -> None:
+    def __init__(self, host: RequestHost, value: PartialValue, reply: Reply) -> None:
         super().__init__(host, reply, value.request_class)
         self._counted = False
         host.figures.current += 1
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -15,7 +15,7 @@
 
 from saltport.address import Address
 from saltport.decisions import CacheNote, Outcome
-from saltport.handover.record import Flow
+from saltport.handover.record import ReadPosition
 from saltport.messages import Request, ValueSource
 from saltport.transport.readiness import Readiness
 from saltport.transport.stream import StreamProtocol, TcpStream
@@ -259,11 +259,11 @@
         self.server.pool.descriptor_freed()
         self._late_timer = self.server.pool.loop.call_later(wait_s, self.close)
 
-    def flow(self) -> Flow | None:
+    def flow(self) -> ReadPosition | None:
         """Where it stands within a long value; None: within none."""
         return None
 
-    def go_on(self, flow: Flow) -> None:
+    def go_on(self, flow: ReadPosition) -> None:
         """Read on from where another process has stopped."""
         raise NotImplementedError
 
@@ -279,7 +279,7 @@
         assert self.transport is not None
         return os.dup(self.transport.get_extra_info("socket").fileno())
 
-    def suspend(self) -> Flow:
+    def suspend(self) -> ReadPosition:
         """Read no more, for whoever has a copy of its descriptor; returns where it stands."""
         flow = self.flow()
         assert flow is not None
--- a/saltport/upstream/http.py
+++ b/saltport/upstream/http.py
@@ -5,7 +5,7 @@
 from urllib.parse import quote
 
 from saltport.decisions import Outcome
-from saltport.handover.record import Flow
+from saltport.handover.record import ReadPosition
 from saltport.upstream.connection import Connection, Exchange, Server
 from saltport.wire.http import HttpError, HttpReader, request
 from saltport.wire.resp import LARGE, MAX_VALUE, info_with
@@ -24,15 +24,15 @@
         self._streaming = False
         self._length = self._left = 0  # of a long value
 
-    def flow(self) -> Flow | None:
+    def flow(self) -> ReadPosition | None:
         """See Connection."""
         if not self._streaming:
             return None
         server = self.server
         closes = self.retired or not self.stays_open
-        return Flow("origin", server.id, server.address, self._length, self._left, "", closes=closes)
+        return ReadPosition("origin", server.id, server.address, self._length, self._left, "", closes=closes)
 
-    def go_on(self, flow: Flow) -> None:
+    def go_on(self, flow: ReadPosition) -> None:
         """See Connection: the parser is told of an answer that has just what is left."""
         self._streaming = True
         self._length, self._left = flow.length, flow.left
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -10,7 +10,7 @@
 
 from saltport.address import Address
 from saltport.decisions import Outcome
-from saltport.handover.record import Flow
+from saltport.handover.record import ReadPosition
 from saltport.transport import shortage
 from saltport.transport.dialing import dial
 from saltport.transport.stream import TcpStream
@@ -121,7 +121,7 @@
         self._dial_for(server)
 
     def adopt(
-        self, flow: Flow, descriptor: int, connect: Callable[[Server], Connection], exchange: Exchange
+        self, flow: ReadPosition, descriptor: int, connect: Callable[[Server], Connection], exchange: Exchange
     ) -> Connection:
         """Go on with a value that another process began; its server need not be listed any more."""
         server = self._servers.get(flow.server)
--- a/saltport/upstream/resp.py
+++ b/saltport/upstream/resp.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from saltport.decisions import CacheNote, Outcome
-from saltport.handover.record import Flow
+from saltport.handover.record import ReadPosition
 from saltport.upstream.connection import Connection, Exchange, Server
 from saltport.wire.resp import FramingError, command, info_with
 from saltport.wire.resp_answers import (
@@ -31,12 +31,12 @@
         super().__init__(server)
         self._reader = AnswerReader()
 
-    def flow(self) -> Flow | None:
+    def flow(self) -> ReadPosition | None:
         """See Connection."""
         reader, server = self._reader, self.server
         if not reader.length:
             return None
-        return Flow(
+        return ReadPosition(
             "cache",
             server.id,
             server.address,
@@ -47,7 +47,7 @@
             self.retired,
         )
 
-    def go_on(self, flow: Flow) -> None:
+    def go_on(self, flow: ReadPosition) -> None:
         """See Connection."""
         self._reader.resume(flow.length, flow.left, flow.rest)
 
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -18,8 +18,8 @@
 
 from benchmarks.platform import Platform, Process, platform
 from saltport.admin.client import ask
-from saltport.handover.exchange import LAST, PART, TAKEN, TURNED_DOWN
-from saltport.handover.record import ConnectionRecord, Flow, Segment, Value, decode, encode
+from saltport.handover.exchange import ACCEPTED, RECORD_LAST, RECORD_PART, REJECTED
+from saltport.handover.record import ConnectionRecord, PartialValue, ReadPosition, Segment, decode, encode
 from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit
 
 VALUE = bytes(range(256)) * (4 << 10)
@@ -78,9 +78,9 @@
         while True:
             message, descriptors, _, _ = socket.recv_fds(self.socket, 1 << 20, 8)
             data += message[1:]
-            if message[:1] == LAST:
+            if message[:1] == RECORD_LAST:
                 return decode(data, len(descriptors)), descriptors
-            assert message[:1] == PART
+            assert message[:1] == RECORD_PART
 
 
 def reset(client: Client) -> None:
@@ -126,7 +126,7 @@
 
 @LEAVES
 @pytest.mark.parametrize(
-    "receipt", [TAKEN, TURNED_DOWN + b"no room", b""], ids=["taken", "turned down", "none"]
+    "receipt", [ACCEPTED, REJECTED + b"no room", b""], ids=["taken", "turned down", "none"]
 )
 def test_nothing_more_is_read_for_a_client_that_leaves_while_it_is_moved(
     tmp_path: Path, leave: Callable[[Client], None], receipt: bytes
@@ -169,10 +169,10 @@
         leave(client)
         head = ANSWER.index(VALUE[:256])
         left = len(VALUE) - (FIRST - head)
-        flow = Flow("cache", "s1", ("127.0.0.1", node.peer.port), len(VALUE), left + 2, "3")
-        record = ConnectionRecord("resp", True, b"", (Segment(b"", Value(flow, "get", b"\r\n")),))
-        socket.send_fds(link, [LAST + encode(record)], [ours.fileno(), upstream.fileno()])
-        assert link.recv(256) == TAKEN
+        flow = ReadPosition("cache", "s1", ("127.0.0.1", node.peer.port), len(VALUE), left + 2, "3")
+        record = ConnectionRecord("resp", True, b"", (Segment(b"", PartialValue(flow, "get", b"\r\n")),))
+        socket.send_fds(link, [RECORD_LAST + encode(record)], [ours.fileno(), upstream.fileno()])
+        assert link.recv(256) == ACCEPTED
         ours.close()
         upstream.close()
         assert node.left.wait(PATIENCE_S)
--- a/tests/handover/test_learnt.py
+++ b/tests/handover/test_learnt.py
@@ -1,4 +1,4 @@
-"""What a process has learnt of a large fleet goes to the next one in pieces."""
+"""Learned state of a large fleet is transferred to the next process in several messages."""
 
 from __future__ import annotations
 
@@ -11,15 +11,22 @@
 import pytest
 
 from benchmarks.platform import platform
-from saltport.handover.exchange import LEARNT, LEARNT_PART, LEARNT_PIECE, MAX_LEARNT, Giver, Taker
+from saltport.handover.exchange import (
+    LEARNED_LAST,
+    LEARNED_PART,
+    LEARNED_PART_BYTES,
+    MAX_LEARNED_BYTES,
+    TransferReceiver,
+    TransferSender,
+)
 from saltport.lifecycle.takeover import MAX_MESSAGE
 from tests.sockets import PATIENCE_S, entry, eventually, get, serving
 
 SERVERS = 1_600
 
 
-def learnt(servers: int) -> dict[str, Any]:
-    """As the decision module words it, with figures as long as they get."""
+def learned_state(servers: int) -> dict[str, Any]:
+    """Learned state in the decision module's format, with the longest numbers that occur."""
     rng = random.Random(5)
     figures = {
         f"server-{n:05d}": [*(rng.uniform(1e6, 1e8) for _ in range(5)), rng.uniform(0.5, 1.0)]
@@ -28,78 +35,80 @@
     return {"form": 1, "tenants": {}, "servers": figures, "ejected": {}}
 
 
-def pass_on(giver: Giver, taker: Taker) -> bytes:
-    """Everything that the giver has to say; what the taker makes of it."""
-    told = b""
-    while (message := giver.outgoing()) is not None:
-        assert len(message.data) <= MAX_MESSAGE, "the link takes and gives no more at once"
-        assert not told, "whole, and then more"
-        giver.sent()
-        told = taker.learn(message.data)
-    return told
+def transfer(sender: TransferSender, receiver: TransferReceiver) -> bytes:
+    """Deliver all messages of the sender; return the learned state that the receiver assembled."""
+    learned = b""
+    while (message := sender.next_message()) is not None:
+        assert len(message.data) <= MAX_MESSAGE, "a message exceeds the maximum that the link transmits"
+        assert not learned, "a message follows the last part"
+        sender.message_sent()
+        learned = receiver.receive_learned(message.data)
+    return learned
 
 
-@pytest.mark.parametrize("size", [1, LEARNT_PIECE, LEARNT_PIECE + 1, 5 * LEARNT_PIECE, MAX_LEARNT])
-def test_what_was_learnt_comes_whole_and_bounded_in_each_message(size: int) -> None:
-    giver, taker = Giver(lambda _: None), Taker()
+@pytest.mark.parametrize(
+    "size", [1, LEARNED_PART_BYTES, LEARNED_PART_BYTES + 1, 5 * LEARNED_PART_BYTES, MAX_LEARNED_BYTES]
+)
+def test_learned_state_is_reassembled_from_messages_of_bounded_size(size: int) -> None:
+    sender, receiver = TransferSender(lambda _: None), TransferReceiver()
     data = random.Random(size).randbytes(size)
-    giver.tell(data)
-    assert pass_on(giver, taker) == data
-    assert not taker.learning
+    sender.send_learned(data)
+    assert transfer(sender, receiver) == data
+    assert not receiver.learning
 
 
-def test_too_much_is_not_told_at_all() -> None:
-    giver = Giver(lambda _: None)
-    giver.tell(bytes(MAX_LEARNT + 1))
-    assert giver.outgoing() is None
+def test_oversized_learned_state_is_not_sent() -> None:
+    sender = TransferSender(lambda _: None)
+    sender.send_learned(bytes(MAX_LEARNED_BYTES + 1))
+    assert sender.next_message() is None
 
 
-def test_taker_holds_no_more_than_the_bound_and_goes_on() -> None:
-    taker = Taker()
-    for _ in range(MAX_LEARNT // LEARNT_PIECE + 2):
-        assert taker.learn(LEARNT_PART + bytes(LEARNT_PIECE)) == b""
-    assert sum(map(len, taker._learnt)) <= MAX_LEARNT
-    assert taker.learn(LEARNT + b"x") == b""
-    assert taker.learn(LEARNT + b"whole") == b"whole"
+def test_receiver_drops_oversized_learned_state_and_continues() -> None:
+    receiver = TransferReceiver()
+    for _ in range(MAX_LEARNED_BYTES // LEARNED_PART_BYTES + 2):
+        assert receiver.receive_learned(LEARNED_PART + bytes(LEARNED_PART_BYTES)) == b""
+    assert sum(map(len, receiver._learned)) <= MAX_LEARNED_BYTES
+    assert receiver.receive_learned(LEARNED_LAST + b"x") == b""
+    assert receiver.receive_learned(LEARNED_LAST + b"whole") == b"whole"
 
 
-def test_link_that_ends_within_it_leaves_nothing_for_the_next_taker() -> None:
-    giver = Giver(lambda _: None)
-    giver.tell(bytes(3 * LEARNT_PIECE))
-    giver.outgoing()
-    giver.sent()
-    giver.ended()
-    giver.tell(b"new")
-    assert pass_on(giver, Taker()) == b"new"
+def test_link_closed_within_learned_state_leaves_no_parts_for_the_next_receiver() -> None:
+    sender = TransferSender(lambda _: None)
+    sender.send_learned(bytes(3 * LEARNED_PART_BYTES))
+    sender.next_message()
+    sender.message_sent()
+    sender.link_closed()
+    sender.send_learned(b"new")
+    assert transfer(sender, TransferReceiver()) == b"new"
 
 
-def test_figures_of_1600_servers_go_through_a_process_to_the_next(tmp_path: Path) -> None:
+def test_learned_state_of_1600_servers_passes_through_a_process_to_the_next(tmp_path: Path) -> None:
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
     listener.settimeout(PATIENCE_S)
-    told, peer = learnt(SERVERS), serving()
-    with platform(tmp_path, {"s1": peer}) as held:
-        held.discovery.change(*(entry(peer, name) for name in told["servers"]))
-        process = held.start()
+    learned, peer = learned_state(SERVERS), serving()
+    with platform(tmp_path, {"s1": peer}) as cluster:
+        cluster.discovery.change(*(entry(peer, name) for name in learned["servers"]))
+        process = cluster.start()
         before, _ = listener.accept()
         before.settimeout(PATIENCE_S)
         assert before.recv(64) == b"H1"
-        giver = Giver(lambda _: None)
-        giver.tell(json.dumps(told).encode())
-        while (message := giver.outgoing()) is not None:
+        sender = TransferSender(lambda _: None)
+        sender.send_learned(json.dumps(learned).encode())
+        while (message := sender.next_message()) is not None:
             before.send(message.data)
-            giver.sent()
+            sender.message_sent()
         process.ready()
-        # Its own place in the folder is where the next one looks.
+        # The process now listens where its successor connects.
         after = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         after.settimeout(PATIENCE_S)
-        eventually(lambda: after.connect_ex(str(tmp_path / "saltport.takeover")) == 0, "it listens")
-        taker, passed_on = Taker(), b""
-        while not passed_on:
-            passed_on = taker.learn(after.recv(MAX_MESSAGE))
-        assert json.loads(passed_on)["servers"] == told["servers"]
-        assert held.client().ask(get("c1")) == b"c1"
+        eventually(lambda: after.connect_ex(str(tmp_path / "saltport.takeover")) == 0, "the process listens")
+        receiver, received = TransferReceiver(), b""
+        while not received:
+            received = receiver.receive_learned(after.recv(MAX_MESSAGE))
+        assert json.loads(received)["servers"] == learned["servers"]
+        assert cluster.client().ask(get("c1")) == b"c1"
         before.close()
         after.close()
     listener.close()
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -1,4 +1,4 @@
-"""Two processes and their link in every order of give, send, take, refuse, answer and die; the records."""
+"""The hand-over protocol in every order of its events (an exhaustive model), and the record format."""
 
 from __future__ import annotations
 
@@ -11,100 +11,127 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saltport.handover import record as form
-from saltport.handover.choice import Choice, Progress, choose
-from saltport.handover.exchange import LAST, PIECE, TAKEN, TURNED_DOWN, WINDOW, Giver, Parcel, Taker
-from saltport.handover.record import ConnectionRecord, Flow, RecordError, Segment, Value, decode, encode
+from saltport.handover import record as record_format
+from saltport.handover.choice import TransferDecision, ValueProgress, decide_transfer
+from saltport.handover.exchange import (
+    ACCEPTED,
+    MAX_IN_FLIGHT,
+    RECORD_LAST,
+    RECORD_PART_BYTES,
+    REJECTED,
+    ConnectionTransfer,
+    TransferReceiver,
+    TransferSender,
+)
+from saltport.handover.record import (
+    ConnectionRecord,
+    PartialValue,
+    ReadPosition,
+    RecordError,
+    Segment,
+    decode,
+    encode,
+)
 
-FLOW = Flow("cache", "s1", ("127.0.0.1", 7000), 1 << 20, 5000, "3", b"\r\n$3", False)
-OWED = {
+POSITION = ReadPosition("cache", "s1", ("127.0.0.1", 7000), 1 << 20, 5000, "3", b"\r\n$3", False)
+RECORDS = {
     "value": ConnectionRecord(
-        "resp", True, b"*4", (Segment(b"x" * (PIECE + 9), Value(FLOW, "get", b"\r\n")),)
+        "resp",
+        True,
+        b"*4",
+        (Segment(b"x" * (RECORD_PART_BYTES + 9), PartialValue(POSITION, "get", b"\r\n")),),
     ),
     "write": ConnectionRecord("resp", True, b""),
 }
-LINK = 2  # messages that the link holds
+LINK_CAPACITY = 2  # messages that the link holds
 
 
 class World:
-    """What each process has in its hands, moved by the real exchange; the kernel's part is two queues."""
+    """Two processes with the real protocol code; two queues stand for the kernel's side of the link."""
 
     def __init__(self) -> None:
-        self.place = dict.fromkeys(OWED, "old")
+        self.location = dict.fromkeys(RECORDS, "old")
         self.effects: Counter[str] = Counter()
         self.answers: Counter[str] = Counter()
         self.alive = {"old", "new"}
         self.link: deque[tuple[bytes, Sequence[int]]] = deque()
-        self.back: deque[bytes] = deque()
-        self.giver, self.taker = Giver(lambda _: None), Taker()
-        self.may_be_lost: set[str] = set()
-        self.over = False
-        """Whether the old process has heard that the link is gone."""
-
-    def moves(self) -> dict[str, Any]:
-        """All that may happen next."""
-        found: dict[str, Any] = {}
+        self.answers_in_transit: deque[bytes] = deque()
+        self.sender, self.receiver = TransferSender(lambda _: None), TransferReceiver()
+        self.allowed_losses: set[str] = set()
+        self.link_closed = False
+        """Whether the old process has noticed that the link is closed."""
+
+    def events(self) -> dict[str, Any]:
+        """Return all events that can happen next."""
+        events: dict[str, Any] = {}
         old, new = "old" in self.alive, "new" in self.alive
-        for name, place in self.place.items():
-            if place in self.alive and not self.answers[name]:
-                found[f"answer {name}"] = lambda name=name: self.answer(name)
-            if old and not self.over and place == "old" and self.choice(name) is Choice.MOVE:
-                found[f"give {name}"] = lambda name=name: self.give(name)
-        if old and new and len(self.link) < LINK and self.giver.outgoing() is not None:
-            found["send"] = self.send
+        for name, location in self.location.items():
+            if location in self.alive and not self.answers[name]:
+                events[f"answer {name}"] = lambda name=name: self.answer(name)
+            if (
+                old
+                and not self.link_closed
+                and location == "old"
+                and self.choice(name) is TransferDecision.MOVE
+            ):
+                events[f"give {name}"] = lambda name=name: self.give(name)
+        if old and new and len(self.link) < LINK_CAPACITY and self.sender.next_message() is not None:
+            events["send"] = self.send
         if new and self.link:
-            found["take"] = self.take
-            if self.link[0][0][:1] == LAST:
-                found["refuse"] = lambda: self.take(refuse=True)
-        if old and (self.back or not (new or self.over)):
-            found["hear"] = self.hear
+            events["take"] = self.take
+            if self.link[0][0][:1] == RECORD_LAST:
+                events["refuse"] = lambda: self.take(refuse=True)
+        if old and (self.answers_in_transit or not (new or self.link_closed)):
+            events["hear"] = self.hear
         if old and new:
-            found["old dies"], found["new dies"] = self.old_dies, self.new_dies
-        return found
+            events["old dies"], events["new dies"] = self.old_dies, self.new_dies
+        return events
 
-    def choice(self, name: str) -> Choice:
-        return choose(int(name == "write" and not self.answers[name]), [], 1.0)
+    def choice(self, name: str) -> TransferDecision:
+        return decide_transfer(int(name == "write" and not self.answers[name]), [], 1.0)
 
     def answer(self, name: str) -> None:
         self.effects[name] += 1
         self.answers[name] += 1
 
     def give(self, name: str) -> None:
-        self.place[name] = "frozen"
-        record = OWED[name]
+        self.location[name] = "frozen"
+        record = RECORDS[name]
 
-        def thaw() -> None:
-            self.place[name] = "old"
+        def resume() -> None:
+            self.location[name] = "old"
 
-        self.giver.offer(Parcel(encode(record), [ord(name[0])] * record.descriptors, thaw))
+        self.sender.enqueue(
+            ConnectionTransfer(encode(record), [ord(name[0])] * record.descriptor_count, resume)
+        )
 
     def send(self) -> None:
-        message = self.giver.outgoing()
+        message = self.sender.next_message()
         assert message is not None
         self.link.append((message.data, message.descriptors))
-        self.giver.sent()
-        if message.data[:1] == LAST:
-            self.place[self.named(message.descriptors)] = "link"
+        self.sender.message_sent()
+        if message.data[:1] == RECORD_LAST:
+            self.location[self.name_of(message.descriptors)] = "link"
 
     @staticmethod
-    def named(descriptors: Sequence[int]) -> str:
-        return next(name for name in OWED if ord(name[0]) == descriptors[0])
+    def name_of(descriptors: Sequence[int]) -> str:
+        return next(name for name in RECORDS if ord(name[0]) == descriptors[0])
 
     def take(self, refuse: bool = False) -> None:
         data, descriptors = self.link.popleft()
-        record = self.taker.heard(data, len(descriptors))
+        record = self.receiver.receive_record(data, len(descriptors))
         if record is None:
             return
-        name = self.named(descriptors)
-        assert record == OWED[name]
+        name = self.name_of(descriptors)
+        assert record == RECORDS[name]
         if refuse:
-            self.place[name] = "refused"
+            self.location[name] = "refused"
             if "old" not in self.alive:
                 self.lose("refused")
-            self.back.append(TURNED_DOWN)
+            self.answers_in_transit.append(REJECTED)
         else:
-            self.place[name] = "new"
-            self.back.append(TAKEN)
+            self.location[name] = "new"
+            self.answers_in_transit.append(ACCEPTED)
 
     def old_dies(self) -> None:
         self.alive.discard("old")
@@ -116,121 +143,138 @@
         self.lose("new", "link")
 
     def hear(self) -> None:
-        """What a dead process had said is heard before its end is."""
-        if self.back:
-            self.giver.heard(self.back.popleft())
+        """The old process reads the messages of a dead process before the end of the link."""
+        if self.answers_in_transit:
+            self.sender.receive(self.answers_in_transit.popleft())
         else:
-            self.over = True
-            self.giver.ended()
+            self.link_closed = True
+            self.sender.link_closed()
 
-    def lose(self, *places: str) -> None:
-        for name, place in self.place.items():
-            if place in places:
-                self.place[name] = "lost"
-                self.may_be_lost.add(name)
+    def lose(self, *locations: str) -> None:
+        for name, location in self.location.items():
+            if location in locations:
+                self.location[name] = "lost"
+                self.allowed_losses.add(name)
 
     @property
     def key(self) -> tuple[Any, ...]:
-        parcels = [parcel.at for parcel in self.giver._queue]
-        queues = (len(self.giver._sent), [data[:1] for data, _ in self.link], list(self.back))
-        counts = (sorted(self.effects.items()), sorted(self.alive), self.over, len(self.taker._pieces))
-        return (str(self.place), str(parcels), str(queues), str(counts))
+        transfers = [transfer.sent_bytes for transfer in self.sender._queue]
+        queues = (
+            len(self.sender._unacknowledged),
+            [data[:1] for data, _ in self.link],
+            list(self.answers_in_transit),
+        )
+        counts = (
+            sorted(self.effects.items()),
+            sorted(self.alive),
+            self.link_closed,
+            len(self.receiver._parts),
+        )
+        return (str(self.location), str(transfers), str(queues), str(counts))
 
     def check(self) -> None:
         assert all(count <= 1 for count in (*self.effects.values(), *self.answers.values()))
-        assert not (self.place["write"] == "frozen" and not self.answers["write"]), "an open request moved"
-        for place in self.place.values():
-            assert place in (*self.alive, "frozen", "link", "refused", "lost")
-            assert place != "frozen" or self.giver.busy
+        assert not (self.location["write"] == "frozen" and not self.answers["write"]), (
+            "a connection with an unanswered request was frozen"
+        )
+        for location in self.location.values():
+            assert location in (*self.alive, "frozen", "link", "refused", "lost")
+            assert location != "frozen" or self.sender.busy
 
 
-def played(path: Sequence[str]) -> World:
+def replay(path: Sequence[str]) -> World:
     world = World()
-    for move in path:
-        world.moves()[move]()
+    for event in path:
+        world.events()[event]()
         world.check()
     return world
 
 
-def test_every_order_keeps_each_request_in_one_pair_of_hands() -> None:
-    seen = set()
-    ahead: deque[tuple[str, ...]] = deque([()])
-    ends = Counter[str]()
-    while ahead:
-        path = ahead.popleft()
-        world = played(path)
-        if world.key in seen:
+def test_every_order_of_events_leaves_each_connection_with_one_process() -> None:
+    seen_states = set()
+    pending_paths: deque[tuple[str, ...]] = deque([()])
+    final_states = Counter[str]()
+    while pending_paths:
+        path = pending_paths.popleft()
+        world = replay(path)
+        if world.key in seen_states:
             continue
-        seen.add(world.key)
-        moves = list(world.moves())
-        ahead.extend((*path, move) for move in moves)
-        if not moves:
-            ends[str(sorted(world.alive))] += 1
-            for name in OWED:
-                lost = world.place[name] == "lost"
+        seen_states.add(world.key)
+        events = list(world.events())
+        pending_paths.extend((*path, event) for event in events)
+        if not events:
+            final_states[str(sorted(world.alive))] += 1
+            for name in RECORDS:
+                lost = world.location[name] == "lost"
                 assert world.answers[name] or lost, path
-                assert not lost or name in world.may_be_lost
-                assert lost or world.place[name] in world.alive, path
-    assert len(seen) > 300
-    assert set(ends) == {"['new']", "['old']"}, "with both alive one may always still die"
-
-
-def test_link_that_ends_before_a_receipt_closes_what_was_sent_and_thaws_what_was_not() -> None:
-    released: list[Sequence[int]] = []
-    thawed: list[str] = []
-    giver = Giver(released.append)
-    giver.offer(Parcel(b"sent", [7, 8], lambda: thawed.append("sent")))
-    giver.offer(Parcel(b"x" * (PIECE + 1), [9], lambda: thawed.append("half sent")))
-    giver.offer(Parcel(b"waits", [10], lambda: thawed.append("waits")))
+                assert not lost or name in world.allowed_losses
+                assert lost or world.location[name] in world.alive, path
+    assert len(seen_states) > 300
+    assert set(final_states) == {"['new']", "['old']"}, "while both live, one of them can still die"
+
+
+def test_link_closed_before_an_answer_releases_sent_connections_and_resumes_unsent_ones() -> None:
+    closed: list[Sequence[int]] = []
+    resumed: list[str] = []
+    sender = TransferSender(closed.append)
+    sender.enqueue(ConnectionTransfer(b"sent", [7, 8], lambda: resumed.append("sent")))
+    sender.enqueue(
+        ConnectionTransfer(b"x" * (RECORD_PART_BYTES + 1), [9], lambda: resumed.append("half sent"))
+    )
+    sender.enqueue(ConnectionTransfer(b"waits", [10], lambda: resumed.append("waits")))
     for _ in range(2):
-        assert giver.outgoing() is not None
-        giver.sent()
-    giver.ended()
-    assert released == [[7, 8]], "the taker may have gone on with it: nobody here may"
-    assert thawed == ["half sent", "waits"]
-    assert not giver.busy
-
-
-def test_window_bounds_what_is_frozen_or_under_way() -> None:
-    giver = Giver(lambda _: None)
-    for left in range(WINDOW, 0, -1):
-        assert giver.room == left
-        giver.offer(Parcel(encode(OWED["write"]), [1], lambda: None))
-    for _ in range(WINDOW // 2):
-        assert giver.outgoing() is not None
-        giver.sent()
-    assert giver.room == 0
-    giver.heard(TAKEN)
-    giver.heard(TURNED_DOWN)
-    assert giver.room == 2
+        assert sender.next_message() is not None
+        sender.message_sent()
+    sender.link_closed()
+    assert closed == [[7, 8]], "the receiver may have continued the connection, so this process must not"
+    assert resumed == ["half sent", "waits"]
+    assert not sender.busy
+
+
+def test_number_of_frozen_and_unacknowledged_connections_is_bounded() -> None:
+    sender = TransferSender(lambda _: None)
+    for left in range(MAX_IN_FLIGHT, 0, -1):
+        assert sender.free_capacity == left
+        sender.enqueue(ConnectionTransfer(encode(RECORDS["write"]), [1], lambda: None))
+    for _ in range(MAX_IN_FLIGHT // 2):
+        assert sender.next_message() is not None
+        sender.message_sent()
+    assert sender.free_capacity == 0
+    sender.receive(ACCEPTED)
+    sender.receive(REJECTED)
+    assert sender.free_capacity == 2
 
 
 @pytest.mark.parametrize(
-    ("unanswered", "under_way", "left_s", "chosen"),
+    ("unanswered", "under_way", "time_left_s", "expected"),
     [
-        (0, [], 1.0, Choice.MOVE),
-        (1, [], 1.0, Choice.WAIT),
-        (1, [Progress(100, 100, 1.0)], 1.0, Choice.WAIT),
-        (0, [Progress(1000, 0, 0.0)], 9.0, Choice.MOVE),  # nothing has moved
-        (0, [Progress(100, 1000, 1.0)], 9.0, Choice.WAIT),  # 0.1 s to go
-        (0, [Progress(100, 1000, 1.0)], 0.25, Choice.MOVE),  # the process has not that long
-        (0, [Progress(100, 1000, 1.0), Progress(1000, 1000, 1.0)], 9.0, Choice.MOVE),
+        (0, [], 1.0, TransferDecision.MOVE),
+        (1, [], 1.0, TransferDecision.WAIT),
+        (1, [ValueProgress(100, 100, 1.0)], 1.0, TransferDecision.WAIT),
+        (0, [ValueProgress(1000, 0, 0.0)], 9.0, TransferDecision.MOVE),  # nothing has been delivered
+        (0, [ValueProgress(100, 1000, 1.0)], 9.0, TransferDecision.WAIT),  # 0.1 s to go
+        (0, [ValueProgress(100, 1000, 1.0)], 0.25, TransferDecision.MOVE),  # the process exits earlier
+        (0, [ValueProgress(100, 1000, 1.0), ValueProgress(1000, 1000, 1.0)], 9.0, TransferDecision.MOVE),
     ],
 )
-def test_choice(unanswered: int, under_way: list[Progress], left_s: float, chosen: Choice) -> None:
-    assert choose(unanswered, under_way, left_s) is chosen
+def test_transfer_decision(
+    unanswered: int, under_way: list[ValueProgress], time_left_s: float, expected: TransferDecision
+) -> None:
+    assert decide_transfer(unanswered, under_way, time_left_s) is expected
 
 
 names = st.text(max_size=20)
-flows = st.builds(
-    Flow, st.just("cache"), names, st.tuples(names, st.integers(1, 65535)), st.just(1 << 20),
+positions = st.builds(
+    ReadPosition, st.just("cache"), names, st.tuples(names, st.integers(1, 65535)), st.just(1 << 20),
     st.integers(0, 1 << 20), st.sampled_from("123456789"), st.binary(max_size=50), st.booleans(),
 ) | st.builds(
-    Flow, st.just("origin"), names, st.tuples(names, st.integers(1, 65535)), st.just(1 << 20),
+    ReadPosition, st.just("origin"), names, st.tuples(names, st.integers(1, 65535)), st.just(1 << 20),
     st.integers(1, 1 << 20), st.just(""), st.just(b""), st.booleans(),
 )  # fmt: skip
 segments = st.builds(
-    Segment, st.binary(max_size=90), st.none() | st.builds(Value, flows, names, st.binary(max_size=9))
+    Segment,
+    st.binary(max_size=90),
+    st.none() | st.builds(PartialValue, positions, names, st.binary(max_size=9)),
 )
 records = st.builds(
     ConnectionRecord, names, st.booleans(), st.binary(max_size=90), st.lists(segments, max_size=5).map(tuple)
@@ -238,50 +282,52 @@
 
 
 @given(records)
-def test_record_is_read_as_it_was_told(record: ConnectionRecord) -> None:
-    assert decode(encode(record), record.descriptors) == record
+def test_decoded_record_equals_the_encoded_one(record: ConnectionRecord) -> None:
+    assert decode(encode(record), record.descriptor_count) == record
 
 
 @settings(max_examples=400)
 @given(records, st.data())
-def test_record_that_is_damaged_is_refused_or_read_within_bounds(record: ConnectionRecord, data: Any) -> None:
+def test_damaged_record_is_rejected_or_decoded_within_bounds(record: ConnectionRecord, data: Any) -> None:
     message = bytearray(encode(record))
     for _ in range(data.draw(st.integers(1, 3))):
         at = data.draw(st.integers(0, len(message) - 1))
         message[at : at + data.draw(st.integers(0, 2))] = data.draw(st.binary(max_size=3))
     try:
-        read = decode(bytes(message), record.descriptors)
+        read = decode(bytes(message), record.descriptor_count)
     except RecordError:
         return
-    assert read.descriptors == record.descriptors
+    assert read.descriptor_count == record.descriptor_count
     assert sum(len(segment.data) for segment in read.segments) <= len(message)
 
 
-def test_bounds_of_a_record_are_told() -> None:
-    value = Value(FLOW, "get", b"")
+def test_record_fields_out_of_bounds_are_rejected() -> None:
+    value = PartialValue(POSITION, "get", b"")
     for damaged, why in [
-        (Flow(**{**dataclasses.asdict(FLOW), "left": FLOW.length + 3}), "left"),
-        (Flow(**{**dataclasses.asdict(FLOW), "kind": "disk"}), "no such server"),
-        (Flow(**{**dataclasses.asdict(FLOW), "form": "11"}), "no such server"),
-        (Flow("origin", "o", ("h", 1), 9, 0, ""), "has ended"),
-        (Flow(**{**dataclasses.asdict(FLOW), "address": ("h", 0)}), "address"),
+        (ReadPosition(**{**dataclasses.asdict(POSITION), "left": POSITION.length + 3}), "left"),
+        (ReadPosition(**{**dataclasses.asdict(POSITION), "kind": "disk"}), "no such server"),
+        (ReadPosition(**{**dataclasses.asdict(POSITION), "form": "11"}), "no such server"),
+        (ReadPosition("origin", "o", ("h", 1), 9, 0, ""), "has ended"),
+        (ReadPosition(**{**dataclasses.asdict(POSITION), "address": ("h", 0)}), "address"),
     ]:
         record = ConnectionRecord(
-            "resp", True, b"", (Segment(b"", dataclasses.replace(value, flow=damaged)),)
+            "resp", True, b"", (Segment(b"", dataclasses.replace(value, position=damaged)),)
         )
         with pytest.raises(RecordError, match=why):
             decode(encode(record), 2)
-    many = ConnectionRecord("resp", True, b"", (Segment(b"", value),) * (form.MAX_STREAMS + 1))
+    many = ConnectionRecord(
+        "resp", True, b"", (Segment(b"", value),) * (record_format.MAX_VALUES_IN_PROGRESS + 1)
+    )
     with pytest.raises(RecordError):
-        decode(encode(many), many.descriptors)
+        decode(encode(many), many.descriptor_count)
 
 
-def test_pieces_beyond_the_longest_record_are_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("saltport.handover.exchange.MAX_RECORD", 1000)
-    taker = Taker()
+def test_parts_beyond_the_maximum_record_size_are_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr("saltport.handover.exchange.MAX_RECORD_BYTES", 1000)
+    receiver = TransferReceiver()
     for _ in range(50):
-        assert taker.heard(b"P" + bytes(100), 0) is None
-    assert sum(map(len, taker._pieces)) <= 1000
+        assert receiver.receive_record(b"P" + bytes(100), 0) is None
+    assert sum(map(len, receiver._parts)) <= 1000
     with pytest.raises(RecordError, match="too long"):
-        taker.heard(b"M", 1)
-    assert taker.heard(b"M" + encode(OWED["write"]), 1) == OWED["write"]
+        receiver.receive_record(b"M", 1)
+    assert receiver.receive_record(b"M" + encode(RECORDS["write"]), 1) == RECORDS["write"]
