--- a/benchmarks/mutate_answers.py
+++ b/benchmarks/mutate_answers.py
@@ -14,7 +14,7 @@
 
 from hypothesis import HealthCheck, given, seed, settings
 
-from tests.wire.mutations import CACHE, ORIGIN, Case, Wire, cases, check, quiet
+from tests.wire.mutations import CACHE, ORIGIN, Case, Wire, cases, check, logging_disabled
 
 EXAMPLES = 5_000  # cases of a round
 
@@ -40,7 +40,7 @@
     counts: dict[str, Counter[str]] = {"cache": Counter(), "origin": Counter()}
     end, number = time.monotonic() + told.seconds, told.seed
     print(f"seed {told.seed}", flush=True)
-    with quiet():
+    with logging_disabled():
         while time.monotonic() < end:
             for name, wire in (("cache", CACHE), ("origin", ORIGIN)):
                 try:
--- a/benchmarks/scale/data_path.py
+++ b/benchmarks/scale/data_path.py
@@ -30,7 +30,7 @@
 
 from benchmarks.relay import TICKS, cpu_s
 from benchmarks.scale.stand_ins import Load, machine_load, memory_kb, router, servers_apart
-from saltport.wire.resp import MAX_VALUE
+from saltport.wire.resp import MAX_VALUE_BYTES
 
 MIB = 1 << 20
 SHOWN = 24
@@ -139,7 +139,7 @@
             servers_apart(servers) as registry,
             router(Path(folder), registry, log=log) as (process, address),
         ):
-            ordinary, over = Load(address, _spread_keys()), Load(address, _keys(MAX_VALUE + 1, 1))
+            ordinary, over = Load(address, _spread_keys()), Load(address, _keys(MAX_VALUE_BYTES + 1, 1))
             await ordinary.paced(per_s, 2.0)
             ordinary.forget()
             before = cpu_s(process.pid)
@@ -291,7 +291,7 @@
         for exponent in (0.8, 1.0, 1.2):
             print(orjson.dumps(asdict(skew(exponent))).decode())
         for sigma in (0.5, 1.0, 1.5, 2.0):
-            share = share_over(MAX_VALUE, BYTES_PER_S / REQUESTS_PER_S, sigma)
+            share = share_over(MAX_VALUE_BYTES, BYTES_PER_S / REQUESTS_PER_S, sigma)
             print(orjson.dumps({"sigma": sigma, "share_over_4_mib": share}).decode())
     elif told.oversize:
         for over_per_s in (0.0, 1.0, 5.0, 20.0):
--- a/saltport/downstream/memcached.py
+++ b/saltport/downstream/memcached.py
@@ -133,12 +133,12 @@
     @property
     def need(self) -> int:
         """See ClientDialect."""
-        return 0 if self._quit else self._reader.need
+        return 0 if self._quit else self._reader.needed_bytes
 
     @property
     def held(self) -> bytes:
         """See ClientDialect; a reply needs nothing but its own packet, so the one under way is all."""
-        return self._reader.held
+        return self._reader.pending
 
     @property
     def broken(self) -> str:
--- a/saltport/downstream/resp.py
+++ b/saltport/downstream/resp.py
@@ -7,7 +7,7 @@
 
 from saltport.downstream.words import check_key
 from saltport.messages import Answers, Malformed, Message, Ping, Request
-from saltport.wire.resp import MAX_WORD, CommandReader, bulk, parse_info
+from saltport.wire.resp import MAX_COMMAND_OVERHEAD_BYTES, CommandReader, bulk, parse_info
 
 
 class RespAnswers:
@@ -59,12 +59,12 @@
     @property
     def need(self) -> int:
         """See ClientDialect."""
-        return self._reader.need
+        return self._reader.needed_bytes
 
     @property
     def held(self) -> bytes:
         """See ClientDialect."""
-        return self._reader.held
+        return self._reader.pending
 
     @property
     def broken(self) -> str:
@@ -98,7 +98,7 @@
     if len(words) != (5 if is_write else 4):
         raise ValueError(f"wrong number of arguments for {name.decode()}")
     key, request, info = words[1:4]
-    if len(key) + len(request) + len(info) > MAX_WORD:
+    if len(key) + len(request) + len(info) > MAX_COMMAND_OVERHEAD_BYTES:
         raise ValueError("key, id or list too long")
     # Danger: these words become HTTP lines at the origin, where a line break would forge a header.
     if not _PLAIN(request) or not _TEXT(info):
--- a/saltport/membership/registry.py
+++ b/saltport/membership/registry.py
@@ -83,7 +83,7 @@
             if self.read(data):
                 status, body = self.status, bytes(self._body)
                 self._body.clear()
-                if not self.answer_done():
+                if not self.finish_answer():
                     self.close()
                 if self._answer is not None and not self._answer.done():
                     self._answer.set_result((status, body))
@@ -91,10 +91,10 @@
             self._fail(error)
             self.close()
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         pass
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         self._body += data
         if len(self._body) > MAX_BODY:
             raise HttpError("list too long")
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -27,7 +27,7 @@
 from saltport.messages import Request, ValueSource
 from saltport.router.event_host import EventHost
 from saltport.upstream.connection import Exchange
-from saltport.wire.resp import read_report
+from saltport.wire.resp import parse_load_report
 
 Order: TypeAlias = "KeyOrder[OpenRequest]"
 
@@ -417,7 +417,7 @@
             request.closed,
             latency,
             note,
-            read_report(self.report, self._host.settings.load_fields) if self.report else None,
+            parse_load_report(self.report, self._host.settings.load_fields) if self.report else None,
             lag,
             self.kept,
             self._size if value is None else len(value),
--- a/saltport/upstream/http.py
+++ b/saltport/upstream/http.py
@@ -8,7 +8,7 @@
 from saltport.handover.record import ReadPosition
 from saltport.upstream.connection import Connection, Exchange, Server
 from saltport.wire.http import HttpError, HttpReader, request
-from saltport.wire.resp import LARGE, MAX_VALUE, info_with
+from saltport.wire.resp import MAX_VALUE_BYTES, STREAMING_THRESHOLD_BYTES, with_remaining_time
 
 _NEVER_RAN = (503, 504)
 KEY_SAFE = "/:@!$&'()*+,;=-._~"  # what a path may hold as it is
@@ -29,7 +29,7 @@
         if not self._streaming:
             return None
         server = self.server
-        closes = self.retired or not self.stays_open
+        closes = self.retired or not self.keep_alive
         return ReadPosition("origin", server.id, server.address, self._length, self._left, "", closes=closes)
 
     def go_on(self, flow: ReadPosition) -> None:
@@ -46,7 +46,7 @@
         method = "GET" if asked.value is None else "PUT"
         headers = b"Request-Id: %b\r\nRequest-Info: %b\r\n" % (
             asked.id,
-            info_with(asked.info, remaining_ms),
+            with_remaining_time(asked.info, remaining_ms),
         )
         return request(method, "/" + quote(asked.key, safe=KEY_SAFE), f"{host}:{port}", headers, asked.value)
 
@@ -63,7 +63,7 @@
     def eof_received(self) -> bool:
         """The origin has ended, which is the end of an answer that names none."""
         self.server.pool.touched()
-        if self.exchange is not None and self.ended():
+        if self.exchange is not None and self.end_of_stream():
             self._answered()
         return False
 
@@ -73,7 +73,7 @@
         value = None if self._streaming else bytes(self._body)
         self._streaming = False
         self._body.clear()
-        self.retired = not self.answer_done() or self.retired
+        self.retired = not self.finish_answer() or self.retired
         if status == 200:
             self.finish(Outcome.OK, value)
         elif status in _NEVER_RAN and not_started:
@@ -81,18 +81,23 @@
         else:
             self.finish(Outcome.ERROR)
 
-    def body_starts(self, length: int | None) -> None:
+    def body_started(self, length: int | None) -> None:
         """Pass a long value on as it comes; a short one, or one of unknown length, is gathered."""
         if self._streaming:
             return  # goes on
-        if length is not None and length > MAX_VALUE:
+        if length is not None and length > MAX_VALUE_BYTES:
             raise HttpError("value too long")
-        if length is not None and length > LARGE and self.status == 200 and self.exchange is not None:
+        if (
+            length is not None
+            and length > STREAMING_THRESHOLD_BYTES
+            and self.status == 200
+            and self.exchange is not None
+        ):
             self._streaming = True
             self._length = self._left = length
             self.exchange.value_started(length, self)
 
-    def body_came(self, data: bytes) -> None:
+    def body_received(self, data: bytes) -> None:
         """Take a part of the body."""
         if self._streaming:
             self._left -= len(data)
@@ -100,5 +105,5 @@
                 self.exchange.value_came(data)
             return
         self._body += data
-        if len(self._body) > MAX_VALUE:
+        if len(self._body) > MAX_VALUE_BYTES:
             raise HttpError("value too long")
--- a/saltport/upstream/resp.py
+++ b/saltport/upstream/resp.py
@@ -5,9 +5,9 @@
 from saltport.decisions import CacheNote, Outcome
 from saltport.handover.record import ReadPosition
 from saltport.upstream.connection import Connection, Exchange, Server
-from saltport.wire.resp import FramingError, command, info_with
+from saltport.wire.resp import FramingError, command, with_remaining_time
 from saltport.wire.resp_answers import (
-    ELEMENTS,
+    ANSWER_ELEMENTS,
     Answer,
     AnswerReader,
     ErrorLine,
@@ -34,16 +34,16 @@
     def flow(self) -> ReadPosition | None:
         """See Connection."""
         reader, server = self._reader, self.server
-        if not reader.length:
+        if not reader.value_length:
             return None
         return ReadPosition(
             "cache",
             server.id,
             server.address,
-            reader.length,
-            reader.left,
-            str(ELEMENTS),
-            reader.rest,
+            reader.value_length,
+            reader.remaining_bytes,
+            str(ANSWER_ELEMENTS),
+            reader.pending,
             self.retired,
         )
 
@@ -58,7 +58,7 @@
             if words := exchange.plain_command(remaining_ms):
                 return command(*words)
             return command(b"INFO", b"load") if exchange.wants_load else command(b"PING")
-        info = info_with(request.info, remaining_ms)
+        info = with_remaining_time(request.info, remaining_ms)
         if request.value is None:
             key, name = request.key, request.id
             # The most common command, in one step.
@@ -76,7 +76,7 @@
             return
         # Danger: more bytes after the answer would be taken for the next request's answer. They are not
         # read: noise there does not spoil the answer before it.
-        self.retired = self.retired or self._reader.trailing
+        self.retired = self.retired or self._reader.has_trailing_data
         for message in messages:
             self._take(message)
 
--- a/saltport/wire/http.py
+++ b/saltport/wire/http.py
@@ -1,7 +1,7 @@
-"""A small HTTP/1.1 client on one connection: a request at a time, and never sent twice.
+"""An HTTP/1.1 answer reader for one connection, one answer at a time, and an encoder of requests. No I/O.
 
-httptools reads strictly what decides where a message ends: one length without a sign, no length beside
-chunks, whole line ends, no folded lines. What it lets pass and RFC 9112 does not is refused here.
+httptools is strict about message framing: one unsigned length, no length together with chunks, complete line
+ends, no folded lines. This module rejects what httptools accepts although RFC 9112 forbids it.
 """
 
 from __future__ import annotations
@@ -10,32 +10,32 @@
 
 import httptools
 
-MAX_HEAD = 32 << 10
-"""Bytes of a head, and of what else may stand beside a body on end: chunk extensions and trailers."""
-MAX_INTERIM = 16
-"""Interim answers ahead of one."""
+MAX_HEADER_BYTES = 32 << 10
+"""Limit for a header, and for consecutive bytes outside a body (chunk extensions, trailers)."""
+MAX_INTERIM_ANSWERS = 16
+"""Maximum number of interim (1xx) answers before a final answer."""
 _VERSIONS = ("1.0", "1.1")
-_FIRST = b"H"
-_LINE_EXTRA = len(": \r\n")
-_CONTROL = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+_FIRST_BYTE = b"H"
+_HEADER_LINE_OVERHEAD_BYTES = len(": \r\n")
+_CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
 
 
 class HttpError(Exception):
-    """The bytes are no HTTP/1.1 answer."""
+    """The bytes are not a valid HTTP/1.1 answer."""
 
 
 class HttpReader:
-    """Reads the answers of one connection; a subclass takes their parts."""
+    """Reads the answers of one connection; a subclass receives the parts of their bodies."""
 
     def __init__(self) -> None:
-        self._next_answer()
+        self._reset_parser()
 
-    def _next_answer(self) -> None:
+    def _reset_parser(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
-        self._beside = 0  # bytes read since the last one of a body
-        self._head = self._interim = 0
-        self._in_body = self._whole = self._keep = False
+        self._bytes_outside_body = 0  # since the last body byte
+        self._header_bytes = self._interim_answers = 0
+        self._in_body = self._complete = self._keep_alive = False
 
     @property
     def status(self) -> int:
@@ -43,117 +43,120 @@
         return self._parser.get_status_code()
 
     @property
-    def stays_open(self) -> bool:
-        """Whether the head of the answer being read says that the connection may be kept."""
+    def keep_alive(self) -> bool:
+        """Whether the header of the answer being read allows the connection to be reused."""
         return bool(self._parser.should_keep_alive())
 
     def read(self, data: bytes) -> bool:
-        """Read a part of an answer; returns whether it is whole."""
-        if not self._beside and not self._in_body and data[:1] != _FIRST:
+        """Parse a part of an answer; return whether the answer is complete. Raises HttpError."""
+        if not self._bytes_outside_body and not self._in_body and data[:1] != _FIRST_BYTE:
             raise HttpError("expected a status line")
-        self._beside += len(data)
+        self._bytes_outside_body += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            if not self._whole:
+            if not self._complete:
                 raise HttpError(str(error.__context__ or error) or type(error).__name__) from None
-            # Danger: what stands behind a whole answer does not spoil it, but may never be read as the next.
-            self._keep = False
-        if not self._whole and self._beside > MAX_HEAD:
-            raise HttpError("head too long" if not self._in_body else "too much beside the body")
-        return self._whole
-
-    def ended(self) -> bool:
-        """The other side has ended cleanly; whether that makes the answer whole.
-
-        Danger: only where the head names no end of its own; and a reset is no end.
+            # Danger: bytes after a complete answer do not invalidate it, but must never be read as the next.
+            self._keep_alive = False
+        if not self._complete and self._bytes_outside_body > MAX_HEADER_BYTES:
+            raise HttpError(
+                "header too long" if not self._in_body else "chunk extensions or trailers too long"
+            )
+        return self._complete
+
+    def end_of_stream(self) -> bool:
+        """Process a clean end of the connection; return whether it completes the answer.
+
+        Danger: it does so only if the header states neither a length nor chunks; a reset never completes an
+        answer, as part of the body may be missing.
         """
         if (
             not self._in_body
-            or self._whole
+            or self._complete
             or self.headers.keys() & {b"content-length", b"transfer-encoding"}
         ):
             return False
-        self._whole, self._keep = True, False
+        self._complete, self._keep_alive = True, False
         return True
 
-    def answer_done(self) -> bool:
-        """Make ready for the next answer; returns whether the connection may be kept."""
-        keep = self._keep
-        self._next_answer()
-        return keep
+    def finish_answer(self) -> bool:
+        """Prepare for the next answer; return whether the connection can be reused."""
+        keep_alive = self._keep_alive
+        self._reset_parser()
+        return keep_alive
 
     def on_status(self, reason: bytes) -> None:
-        """Called by httptools with the status line's last part, or a piece of it."""
-        self._count(len(reason))
-        if _CONTROL.search(reason):
-            raise HttpError("a control character in the status line")
+        """Check the reason phrase, or a part of it (called by httptools)."""
+        self._count_header_bytes(len(reason))
+        if _CONTROL_CHARACTER.search(reason):
+            raise HttpError("control character in the status line")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by httptools, for trailers as well: these are dropped, as they come from behind the body."""
-        self._count(len(name) + len(value) + _LINE_EXTRA)
+        """Store a header field; drop a trailer, as it follows the body (called by httptools for both)."""
+        self._count_header_bytes(len(name) + len(value) + _HEADER_LINE_OVERHEAD_BYTES)
         if self._in_body:
             return
-        # Spaces only: behind a tab httptools does not know the coding, and neither may we.
+        # Strips spaces only: httptools does not recognize a transfer coding after a tab, and this must agree.
         name, value = name.lower(), value.strip(b" ")
         former = self.headers.get(name)
         self.headers[name] = value if former is None else b"%b, %b" % (former, value)
 
-    def _count(self, size: int) -> None:
-        self._head += size
-        if self._head > MAX_HEAD:
-            raise HttpError("head too long")
+    def _count_header_bytes(self, size: int) -> None:
+        self._header_bytes += size
+        if self._header_bytes > MAX_HEADER_BYTES:
+            raise HttpError("header too long")
 
     def on_headers_complete(self) -> None:
-        """Called by httptools."""
+        """Check the header, and announce the body of a final answer (called by httptools)."""
         status, version = self.status, self._parser.get_http_version()
         if version not in _VERSIONS or not 100 <= status <= 599:
-            raise HttpError(f"a status of {status} in HTTP/{version}")
+            raise HttpError(f"unsupported status {status} or version HTTP/{version}")
         if status == 101:
-            raise HttpError("a change of protocol was not asked for")
+            raise HttpError("unrequested protocol upgrade")
         if status < 200:
-            self._interim += 1
-            if self._interim > MAX_INTERIM:
+            self._interim_answers += 1
+            if self._interim_answers > MAX_INTERIM_ANSWERS:
                 raise HttpError("too many interim answers")
-            return  # Danger: an interim answer may stand ahead of the real one, and is none itself
+            return  # Danger: an interim answer precedes the final answer and must not be taken for it
         coding = self.headers.get(b"transfer-encoding")
         if coding is not None and (version == "1.0" or coding.lower() != b"chunked"):
-            raise HttpError("a transfer coding that was not asked for")
+            raise HttpError("unsupported transfer coding")
         length = self.headers.get(b"content-length")
         self._in_body = True
-        self.body_starts(int(length) if length is not None else None)
+        self.body_started(int(length) if length is not None else None)
 
     def on_body(self, data: bytes) -> None:
-        """Called by httptools."""
-        if self._whole:
-            raise HttpError("more than one answer")
-        self._beside = 0
-        self.body_came(data)
+        """Pass a part of the body on (called by httptools)."""
+        if self._complete:
+            raise HttpError("more than one answer to a request")
+        self._bytes_outside_body = 0
+        self.body_received(data)
 
     def on_message_begin(self) -> None:
-        """Called by httptools: a second answer in the same bytes is none that was asked for."""
-        if self._whole:
-            raise HttpError("more than one answer")
+        """Reject a second answer in the same bytes, as no request asked for it (called by httptools)."""
+        if self._complete:
+            raise HttpError("more than one answer to a request")
 
     def on_message_complete(self) -> None:
-        """Called by httptools."""
+        """Mark a final answer as complete, or discard an interim answer (called by httptools)."""
         if not self._in_body:
-            self.headers.clear()  # an interim answer's
+            self.headers.clear()  # of an interim answer
             return
-        self._whole = True
-        self._keep = self._parser.should_keep_alive()
+        self._complete = True
+        self._keep_alive = self._parser.should_keep_alive()
 
-    def body_starts(self, length: int | None) -> None:
-        """The head is whole; `length` is that of the body, where it is told."""
+    def body_started(self, length: int | None) -> None:
+        """Called when the header is complete; `length` is the length of the body if the header states it."""
         raise NotImplementedError
 
-    def body_came(self, data: bytes) -> None:
-        """Take a part of the body."""
+    def body_received(self, data: bytes) -> None:
+        """Called with each part of the body."""
         raise NotImplementedError
 
 
 def request(method: str, target: str, host: str, headers: bytes = b"", body: bytes | None = None) -> bytes:
-    """Write a request down; `headers` are whole lines."""
+    """Return an encoded request; `headers` are complete header lines with their line ends."""
     length = b"" if body is None else b"Content-Length: %d\r\n" % len(body)
     head = f"{method} {target} HTTP/1.1\r\nHost: {host}\r\n".encode("ascii")
     return b"%b%b%b\r\n%b" % (head, headers, length, body or b"")
--- a/saltport/wire/memcached.py
+++ b/saltport/wire/memcached.py
@@ -1,12 +1,12 @@
-"""The memcached binary protocol off and on the wire, without I/O: both sides' packets, checked and bounded.
+"""The memcached binary protocol: reads and encodes requests and responses within size limits. No I/O.
 
-Source: memcached's `protocol_binary` page and header, whose names the opcodes and statuses have. A packet is
-24 bytes of header, then extras, key and value. A header is checked before its body is waited for:
+Opcodes and statuses have the names of memcached's `protocol_binary` page and header file. A packet is a
+header of 24 bytes, then extras, key and value. The header is checked before the body arrives:
 
-- what can't be followed (a wrong magic, lengths that don't fit one another, a body over the limit) breaks the
-  stream, as nobody can tell where the next packet begins;
-- what can be followed and breaks its opcode's rules (extras, key or value that it must not have, or lacks) is
-  a packet with a `fault`, and the stream goes on behind it.
+- an invalid header (wrong magic, inconsistent lengths, a value over the limit) is a framing error that ends
+  the stream, as the start of the next packet is unknown;
+- a packet with a valid header that breaks the rules of its opcode (extras, key or value missing or not
+  allowed) is returned with a `fault`, and reading continues after it.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 
 HEADER = struct.Struct(">BBHBBHIIQ")
 REQUEST_MAGIC, RESPONSE_MAGIC = 0x80, 0x81
-MAX_KEY = 250
-MAX_VALUE = 4 << 20
-MAX_EXTRAS = 20
+MAX_KEY_BYTES = 250
+MAX_VALUE_BYTES = 4 << 20
+MAX_EXTRAS_BYTES = 20
 
 
 class Opcode(IntEnum):
-    """What a packet asks for; the ones that end in Q are quiet: only what is remarkable is answered."""
+    """The command of a packet. Names that end in Q are quiet: only an unusual outcome is answered."""
 
     GET = 0x00
     SET = 0x01
@@ -64,7 +64,7 @@
 
 
 class Status(IntEnum):
-    """How a request went."""
+    """The outcome of a request."""
 
     OK = 0x00
     KEY_NOT_FOUND = 0x01
@@ -83,10 +83,10 @@
     TEMPORARY_FAILURE = 0x86
 
 
-QUIET = frozenset(code for code in Opcode if code.name.endswith("Q"))
-"""Opcodes whose ordinary outcome is not answered."""
+QUIET_OPCODES = frozenset(code for code in Opcode if code.name.endswith("Q"))
+"""Opcodes whose usual outcome is not answered."""
 
-_NEEDED, _NONE, _EITHER = "needs", "must not have", "may have"
+_REQUIRED, _FORBIDDEN, _OPTIONAL = "needs", "must not have", "may have"
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,25 +99,25 @@
         if extras not in self.extras:
             return f"extras of {extras} bytes"
         for name, rule, size in (("key", self.key, key), ("value", self.value, value)):
-            if rule == _NEEDED and not size:
+            if rule == _REQUIRED and not size:
                 return f"no {name}"
-            if rule == _NONE and size:
+            if rule == _FORBIDDEN and size:
                 return f"a {name}"
         return ""
 
 
 _RULES: dict[int, _Rule] = {}
 for _names, _rule in (
-    ("GET GETQ GETK GETKQ DELETE DELETEQ", _Rule((0,), _NEEDED, _NONE)),
-    ("SET SETQ ADD ADDQ REPLACE REPLACEQ", _Rule((8,), _NEEDED, _EITHER)),
-    ("INCREMENT INCREMENTQ DECREMENT DECREMENTQ", _Rule((20,), _NEEDED, _NONE)),
-    ("APPEND APPENDQ PREPEND PREPENDQ", _Rule((0,), _NEEDED, _EITHER)),
-    ("TOUCH GAT GATQ GATK GATKQ", _Rule((4,), _NEEDED, _NONE)),
-    ("QUIT QUITQ NOOP VERSION SASL_LIST", _Rule((0,), _NONE, _NONE)),
-    ("FLUSH FLUSHQ", _Rule((0, 4), _NONE, _NONE)),
-    ("VERBOSITY", _Rule((4,), _NONE, _NONE)),
-    ("STAT", _Rule((0,), _EITHER, _NONE)),
-    ("SASL_AUTH SASL_STEP", _Rule((0,), _NEEDED, _EITHER)),
+    ("GET GETQ GETK GETKQ DELETE DELETEQ", _Rule((0,), _REQUIRED, _FORBIDDEN)),
+    ("SET SETQ ADD ADDQ REPLACE REPLACEQ", _Rule((8,), _REQUIRED, _OPTIONAL)),
+    ("INCREMENT INCREMENTQ DECREMENT DECREMENTQ", _Rule((20,), _REQUIRED, _FORBIDDEN)),
+    ("APPEND APPENDQ PREPEND PREPENDQ", _Rule((0,), _REQUIRED, _OPTIONAL)),
+    ("TOUCH GAT GATQ GATK GATKQ", _Rule((4,), _REQUIRED, _FORBIDDEN)),
+    ("QUIT QUITQ NOOP VERSION SASL_LIST", _Rule((0,), _FORBIDDEN, _FORBIDDEN)),
+    ("FLUSH FLUSHQ", _Rule((0, 4), _FORBIDDEN, _FORBIDDEN)),
+    ("VERBOSITY", _Rule((4,), _FORBIDDEN, _FORBIDDEN)),
+    ("STAT", _Rule((0,), _OPTIONAL, _FORBIDDEN)),
+    ("SASL_AUTH SASL_STEP", _Rule((0,), _REQUIRED, _OPTIONAL)),
 ):
     for _name in _names.split():
         _RULES[Opcode[_name]] = _rule
@@ -125,28 +125,28 @@
 
 @dataclass(slots=True)
 class Packet:
-    """One packet of either side."""
+    """A request or a response."""
 
     opcode: int
-    """Also one that is not in `Opcode`: such a packet can be followed and is answered as unknown."""
+    """May be a value that is not in `Opcode`; such a request is answered as an unknown command."""
     key: bytes = b""
     extras: bytes = b""
     value: bytes = b""
     status: int = 0
-    """Of a response; of a request its vbucket, which nobody here uses."""
+    """The status of a response; in a request the vbucket, which is not used."""
     opaque: int = 0
     cas: int = 0
     fault: str = ""
-    """Why a request breaks its opcode's rules; empty: it doesn't."""
+    """Why a request breaks the rules of its opcode; empty if it is valid."""
 
     @property
     def quiet(self) -> bool:
-        """Whether its ordinary outcome is not answered."""
-        return self.opcode in QUIET
+        """Whether the usual outcome of the request is not answered."""
+        return self.opcode in QUIET_OPCODES
 
 
 def encode(packet: Packet, magic: int) -> bytes:
-    """Write a packet down; raises ValueError where a length does not fit its field."""
+    """Return the encoded packet; raises ValueError if a number does not fit its field."""
     body = len(packet.extras) + len(packet.key) + len(packet.value)
     try:
         head = HEADER.pack(
@@ -159,32 +159,32 @@
 
 
 class PacketReader:
-    """Cuts one side's bytes into packets; holds no more than one packet and what came with it."""
+    """Splits a byte stream into packets; buffers at most one incomplete packet."""
 
-    def __init__(self, magic: int, max_value: int = MAX_VALUE) -> None:
-        self._magic, self._max_value = magic, max_value
-        self._held = bytearray()
-        self.need = 0
-        """Bytes that the packet under way is known to need; 0 between packets."""
+    def __init__(self, magic: int, max_value_bytes: int = MAX_VALUE_BYTES) -> None:
+        self._magic, self._max_value_bytes = magic, max_value_bytes
+        self._buffer = bytearray()
+        self.needed_bytes = 0
+        """Bytes that the incomplete packet needs at least, counted from its start; 0 between packets."""
         self.broken = ""
-        """Why the stream can't be followed any further, once that is so."""
+        """The framing error that ended the stream; empty if there is none."""
 
     @property
-    def held(self) -> bytes:
-        """What has come of the packet under way."""
-        return bytes(self._held)
+    def pending(self) -> bytes:
+        """The bytes received of the incomplete packet."""
+        return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[Packet]:
-        """The packets that are now whole, up to a broken one if `broken` is set by it."""
+        """Return the packets completed by `data`; a framing error sets `broken` and ends the list."""
         if self.broken:
             return []
-        if self.need:
-            self._held += data
-            if len(self._held) < self.need:
+        if self.needed_bytes:
+            self._buffer += data
+            if len(self._buffer) < self.needed_bytes:
                 return []
-            data = bytes(self._held)
-            self._held.clear()
-            self.need = 0
+            data = bytes(self._buffer)
+            self._buffer.clear()
+            self.needed_bytes = 0
         packets: list[Packet] = []
         at = 0
         while at < len(data):
@@ -192,41 +192,47 @@
                 self.broken = f"magic 0x{data[at]:02x} for 0x{self._magic:02x}"
                 break
             if len(data) - at < HEADER.size:
-                self.need = HEADER.size
+                self.needed_bytes = HEADER.size
                 break
             _, opcode, key, extras, kind, status, body, opaque, cas = HEADER.unpack_from(data, at)
-            self.broken = self._broken(opcode, key, extras, kind, body)
+            self.broken = self._header_error(opcode, key, extras, kind, body)
             if self.broken:
                 break
             end = at + HEADER.size + body
             if end > len(data):
-                self.need = end - at
+                self.needed_bytes = end - at
                 break
             start = at + HEADER.size
-            middle, last = start + extras, start + extras + key
+            key_start, value_start = start + extras, start + extras + key
             packet = Packet(
-                opcode, data[middle:last], data[start:middle], data[last:end], status, opaque, cas
+                opcode,
+                data[key_start:value_start],
+                data[start:key_start],
+                data[value_start:end],
+                status,
+                opaque,
+                cas,
             )
             if self._magic == REQUEST_MAGIC:
-                packet.fault = self._fault(packet)
+                packet.fault = self._packet_fault(packet)
             packets.append(packet)
             at = end
-        if self.need:
-            self._held += data[at:]
+        if self.needed_bytes:
+            self._buffer += data[at:]
         return packets
 
-    def _broken(self, opcode: int, key: int, extras: int, kind: int, body: int) -> str:
+    def _header_error(self, opcode: int, key: int, extras: int, kind: int, body: int) -> str:
         if kind:
             return f"data type 0x{kind:02x}"
         if extras + key > body:
             return f"extras and key of {extras + key} bytes in a body of {body}"
-        if body - extras - key > self._max_value:
-            return f"a value of {body - extras - key} bytes; {self._max_value} at most"
+        if body - extras - key > self._max_value_bytes:
+            return f"a value of {body - extras - key} bytes; {self._max_value_bytes} at most"
         return ""
 
     @staticmethod
-    def _fault(packet: Packet) -> str:
-        if len(packet.key) > MAX_KEY:
-            return f"a key of {len(packet.key)} bytes; {MAX_KEY} at most"
+    def _packet_fault(packet: Packet) -> str:
+        if len(packet.key) > MAX_KEY_BYTES:
+            return f"a key of {len(packet.key)} bytes; {MAX_KEY_BYTES} at most"
         rule = _RULES.get(packet.opcode)
         return "" if rule is None else rule.fault(len(packet.extras), len(packet.key), len(packet.value))
--- a/saltport/wire/resp.py
+++ b/saltport/wire/resp.py
@@ -1,60 +1,60 @@
-"""RESP2: clients' commands off the wire, read strictly and within bounds, and commands put on it.
+"""RESP2: reads clients' commands strictly and within size limits, and encodes commands.
 
-The elements that commands and answers have in common (length lines, bulk strings) are read here; answers of
-cache servers are read in `resp_answers`.
+Contains the elements that commands and answers have in common (length lines, bulk strings). Answers of cache
+servers are read in `resp_answers`.
 """
 
 from __future__ import annotations
 
 import math
 
-MAX_VALUE = 4 << 20  # PROTOCOL: values hold at most 4 MiB
-LARGE = 64 << 10
-SHORT = 2048
-MAX_PARTS = 16
-MAX_WORD = 16 << 10  # all words of a command but its value together: far more than any has
-MAX_REPORT = 256
-MAX_HEADER = 16  # a length line: its mark, digits and end
-END = b"\r\n"
+MAX_VALUE_BYTES = 4 << 20  # PROTOCOL: the maximum length of a value
+STREAMING_THRESHOLD_BYTES = 64 << 10
+MAX_FAST_PATH_BYTES = 2048
+MAX_WORDS = 16
+MAX_COMMAND_OVERHEAD_BYTES = 16 << 10  # all of a command except its value; valid commands need far less
+MAX_REPORT_BYTES = 256
+MAX_LENGTH_LINE_BYTES = 16  # type byte, digits and line end
+CRLF = b"\r\n"
 
 
 class FramingError(Exception):
-    """The stream breaks the protocol's framing; the text is for the client, or for the log."""
+    """The stream violates the framing of the protocol; the text goes to the client or to the log."""
 
 
-class Unfinished(Exception):  # noqa: N818 - no error: it goes on with the next bytes
-    """What is being read is not whole; it takes at least `need` bytes, counted from the start of the data."""
+class IncompleteError(Exception):
+    """The data ends within an element; at least `needed_bytes` from the start of the data are required."""
 
-    def __init__(self, need: int) -> None:
-        super().__init__(need)
-        self.need = need
+    def __init__(self, needed_bytes: int) -> None:
+        super().__init__(needed_bytes)
+        self.needed_bytes = needed_bytes
 
 
 class CommandReader:
-    """Cuts a client's bytes into commands, each a list of its words."""
+    """Splits the bytes of a client into commands, each a list of words."""
 
     def __init__(self) -> None:
-        self._held = bytearray()
-        self.need = 0
-        """Bytes that the command under way is known to need; 0 between commands."""
+        self._buffer = bytearray()
+        self.needed_bytes = 0
+        """Bytes that the incomplete command needs at least, counted from its start; 0 between commands."""
         self.broken = ""
-        """Why the stream can't be followed any further, once that is so."""
+        """The framing error that ended the stream; empty if there is none."""
 
     @property
-    def held(self) -> bytes:
-        """What has come of the command under way."""
-        return bytes(self._held)
+    def pending(self) -> bytes:
+        """The bytes received of the incomplete command."""
+        return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Return the commands that are now whole, up to a broken one if `broken` is set by it."""
-        if self.need:
-            self._held += data
-            if len(self._held) < self.need:
+        """Return the commands completed by `data`; a framing error sets `broken` and ends the list."""
+        if self.needed_bytes:
+            self._buffer += data
+            if len(self._buffer) < self.needed_bytes:
                 return []
-            data = bytes(self._held)
-            self._held.clear()
-            self.need = 0
-        words = _plain_command(data)
+            data = bytes(self._buffer)
+            self._buffer.clear()
+            self.needed_bytes = 0
+        words = _fast_path_command(data)
         if words is not None:
             return [words]
         commands: list[list[bytes]] = []
@@ -62,9 +62,9 @@
         while position < len(data):
             try:
                 words, end = self._command(data, position)
-            except Unfinished as unfinished:
-                self.need = unfinished.need - position
-                self._held += data[position:]
+            except IncompleteError as incomplete:
+                self.needed_bytes = incomplete.needed_bytes - position
+                self._buffer += data[position:]
                 break
             except FramingError as error:
                 self.broken = str(error)
@@ -74,45 +74,45 @@
         return commands
 
     def _command(self, data: bytes, begin: int) -> tuple[list[bytes], int]:
-        count, position = length_line(data, begin, b"*")
-        if not 1 <= count <= MAX_PARTS:
+        count, position = read_length_line(data, begin, b"*")
+        if not 1 <= count <= MAX_WORDS:
             raise FramingError("invalid multibulk length")
         words: list[bytes] = []
         while len(words) < count:
-            size, start = length_line(data, position, b"$")
-            if size > MAX_VALUE:
+            size, start = read_length_line(data, position, b"$")
+            if size > MAX_VALUE_BYTES:
                 raise FramingError("value too long")
-            if start + size + len(END) - begin > MAX_VALUE + MAX_WORD:
+            if start + size + len(CRLF) - begin > MAX_VALUE_BYTES + MAX_COMMAND_OVERHEAD_BYTES:
                 raise FramingError("command too long")
-            word, position = string_of(data, start, size)
+            word, position = read_bulk_string(data, start, size)
             words.append(word)
         return words, position
 
 
-def length_line(data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
-    """Return a length line's number and where the line ends; raises Unfinished and FramingError."""
-    end = data.find(END, begin, begin + MAX_HEADER)
-    if end < 0 and len(data) - begin < MAX_HEADER and mark.startswith(data[begin : begin + 1]):
-        raise Unfinished(len(data) + 1)
+def read_length_line(data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
+    """Return the number in a length line and the end of the line; raises IncompleteError or FramingError."""
+    end = data.find(CRLF, begin, begin + MAX_LENGTH_LINE_BYTES)
+    if end < 0 and len(data) - begin < MAX_LENGTH_LINE_BYTES and mark.startswith(data[begin : begin + 1]):
+        raise IncompleteError(len(data) + 1)
     digits = data[begin + 1 : end] if end > 0 else b""
     if data[begin : begin + 1] != mark or not digits.isdigit():
         raise FramingError(f"expected {mark.decode()!r} and a length")
-    return int(digits), end + len(END)
+    return int(digits), end + len(CRLF)
 
 
-def string_of(data: bytes, start: int, size: int) -> tuple[bytes, int]:
-    """Return a bulk string that has so many bytes and where it ends; raises Unfinished and FramingError."""
+def read_bulk_string(data: bytes, start: int, size: int) -> tuple[bytes, int]:
+    """Return a bulk string of `size` bytes and its end; raises IncompleteError or FramingError."""
     end = start + size
-    if len(data) < end + len(END):
-        raise Unfinished(end + len(END))
-    if data[end : end + len(END)] != END:
+    if len(data) < end + len(CRLF):
+        raise IncompleteError(end + len(CRLF))
+    if data[end : end + len(CRLF)] != CRLF:
         raise FramingError("bulk string without its end")
-    return data[start:end], end + len(END)
+    return data[start:end], end + len(CRLF)
 
 
-def _plain_command(data: bytes) -> list[bytes] | None:
-    """The words of one whole, short command, as most reads come; None: it is to be read strictly."""
-    if len(data) > SHORT:
+def _fast_path_command(data: bytes) -> list[bytes] | None:
+    """Return the words if `data` is exactly one short, valid command; None sends it to the full parser."""
+    if len(data) > MAX_FAST_PATH_BYTES:
         return None
     lines = data.split(b"\r\n")
     words = lines[2:-1:2]
@@ -121,11 +121,11 @@
     for at, word in enumerate(words, 1):
         if lines[2 * at - 1] != b"$%d" % len(word):
             return None
-    return words if len(words) <= MAX_PARTS else None
+    return words if len(words) <= MAX_WORDS else None
 
 
 def parse_info(info: bytes) -> dict[str, str]:
-    """Take a request's list of names and values apart; raises ValueError in words for the client."""
+    """Return the fields of a request's info (`name=value,...`); raises ValueError with a text for clients."""
     fields: dict[str, str] = {}
     try:
         text = info.decode()
@@ -136,28 +136,28 @@
         if not sign:
             raise ValueError("expected a list of names and values")
         if field in fields:
-            # Danger: of a `d` that stands there twice, one would go on as the client wrote it.
+            # Danger: of two `d` fields only one would be rewritten; the other would be forwarded unchanged.
             raise ValueError(f"{field} is told twice")
         fields[field] = value
     return fields
 
 
-def read_report(report: bytes, fields: tuple[str, ...]) -> tuple[float, ...] | None:
-    """The values of a load report in the order of `fields`; None where it can't be read."""
-    if len(report) > MAX_REPORT:
+def parse_load_report(report: bytes, fields: tuple[str, ...]) -> tuple[float, ...] | None:
+    """Return the values of a load report in the order of `fields`, or None if the report is invalid."""
+    if len(report) > MAX_REPORT_BYTES:
         return None
     try:
-        told = dict(part.split("=") for part in report.decode("ascii").split(","))
-        values = tuple([float(told[field]) for field in fields])
-    except (ValueError, KeyError):  # one that isn't ASCII is a ValueError too
+        reported = dict(part.split("=") for part in report.decode("ascii").split(","))
+        values = tuple([float(reported[field]) for field in fields])
+    except (ValueError, KeyError):  # UnicodeDecodeError is a ValueError
         return None
     return values if all(0.0 <= value < math.inf for value in values) else None
 
 
-def info_with(info: bytes, remaining_ms: int) -> bytes:
-    """The list of names and values, its `d` telling what is left of the client's time.
+def with_remaining_time(info: bytes, remaining_ms: int) -> bytes:
+    """Return a request's info with its `d` field set to the remaining time of the request.
 
-    On every wire to servers, time is worded here and nowhere else.
+    All protocols towards servers use this function to state the remaining time.
     """
     info = b"," + info
     start = info.index(b",d=") + 3
@@ -166,10 +166,10 @@
 
 
 def bulk(value: bytes) -> bytes:
-    """Encode one bulk string."""
+    """Return an encoded bulk string."""
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
 def command(*words: bytes) -> bytes:
-    """Encode one command."""
+    """Return an encoded command."""
     return b"*%d\r\n%b" % (len(words), b"".join([b"$%d\r\n%b\r\n" % (len(word), word) for word in words]))
--- a/saltport/wire/resp_answers.py
+++ b/saltport/wire/resp_answers.py
@@ -1,7 +1,7 @@
-"""Answers of cache servers off the wire (RESP2): read strictly and within bounds, as typed messages. No I/O.
+"""Reads answers of cache servers (RESP2) strictly and within size limits, as typed messages. No I/O.
 
-What a strict reader has to refuse is refused as soon as it shows: every length has to fit its bytes and their
-end mark. A length that does not would make a part of a value look like a whole one.
+Invalid answers are rejected as early as possible. Every length must agree with the bytes and the end mark
+that follow: with a wrong length, a part of a value would look like a complete value.
 """
 
 from __future__ import annotations
@@ -9,190 +9,195 @@
 from typing import NamedTuple
 
 from saltport.wire.resp import (
-    END,
-    LARGE,
-    MAX_HEADER,
-    MAX_VALUE,
+    CRLF,
+    MAX_LENGTH_LINE_BYTES,
+    MAX_VALUE_BYTES,
+    STREAMING_THRESHOLD_BYTES,
     FramingError,
-    Unfinished,
-    length_line,
-    string_of,
+    IncompleteError,
+    read_bulk_string,
+    read_length_line,
 )
 
-ELEMENTS = 3
-"""Elements of the array that answers a read or a write: the value, how it went, the load report."""
-MAX_TEXT = 4 << 10
-"""Bytes of any other string or line of an answer: far more than a note, a load report or an error takes."""
+ANSWER_ELEMENTS = 3
+"""Elements of the array that answers a read or a write: value, note (how a read went), load report."""
+MAX_TEXT_BYTES = 4 << 10
+"""Limit for any other string or line of an answer; notes, load reports and errors are far shorter."""
 NULL = b"$-1\r\n"
 
-_BEGINNING = b"*%d\r\n$" % ELEMENTS
-_AT = len(_BEGINNING)  # where the value's length stands
-_LINES = 6  # the end of the value's, the note's two, the report's two, and nothing behind
-_ZERO = ord(b"0")
+_ANSWER_PREFIX = b"*%d\r\n$" % ANSWER_ELEMENTS
+_LENGTH_OFFSET = len(_ANSWER_PREFIX)  # of the digits of the value's length
+_LINES_AFTER_VALUE = 6  # end of the value, two of the note, two of the report, and an empty rest
+_ZERO_DIGIT = ord(b"0")
 
 
 class Answer(NamedTuple):
-    """A whole answer to a read or a write; a value of None is a miss."""
+    """A complete answer to a read or a write; a value of None is a miss."""
 
     value: bytes | None
     note: bytes | None
-    """How a read went, in the server's word."""
+    """How a read went (for example `hit` or `miss`), as the server states it."""
     report: bytes | None
-    """The load report, not yet taken apart."""
+    """The unparsed load report."""
 
 
 class ErrorLine(NamedTuple):
-    """A whole answer that begins with `-`, without its mark and end."""
+    """A complete error line (`-`), without its type byte and line end."""
 
     text: bytes
 
 
-class PlainAnswer(NamedTuple):
-    """A whole answer of another kind: the text of a status line, an integer or a lone string."""
+class SimpleAnswer(NamedTuple):
+    """A complete answer that is a status line, an integer or a single bulk string."""
 
     text: bytes
 
 
 class ValueStarted(NamedTuple):
-    """A value of over 64 KiB begins, which comes in parts."""
+    """The start of a value of more than 64 KiB, which is returned in parts."""
 
     length: int
 
 
 class ValuePart(NamedTuple):
-    """A part of it."""
+    """A part of a value of more than 64 KiB."""
 
     data: bytes
 
 
 class ValueEnded(NamedTuple):
-    """The answer that held it is whole."""
+    """The end of an answer whose value was returned in parts."""
 
     note: bytes | None
     report: bytes | None
 
 
-Message = Answer | ErrorLine | PlainAnswer | ValueStarted | ValuePart | ValueEnded
+Message = Answer | ErrorLine | SimpleAnswer | ValueStarted | ValuePart | ValueEnded
 
 
 class AnswerReader:
-    """Reads one answer at a time: what comes behind a whole one is dropped, as nobody has asked for it."""
+    """Reads one answer at a time; drops bytes after a complete answer, as no request asked for them."""
 
     def __init__(self) -> None:
-        self.trailing = False
-        """Whether anything has come behind a whole answer. No further answer may be read then."""
-        self.length = 0
-        """Bytes of the long value under way; 0 where there is none."""
-        self.left = 0
-        """Bytes of it, with its end mark, that are still to come."""
-        self._held = bytearray()
-        self._need = 0  # bytes that have to be held before it is worth reading them again
+        self.has_trailing_data = False
+        """Whether bytes followed a complete answer. No further answer may be read then."""
+        self.value_length = 0
+        """Length of the value that is being returned in parts; 0 if there is none."""
+        self.remaining_bytes = 0
+        """Bytes of that value, including its end mark, that have not been received."""
+        self._buffer = bytearray()
+        self._needed_bytes = 0  # to be buffered before parsing can progress
 
     @property
-    def rest(self) -> bytes:
-        """What has come behind the long value under way."""
-        return bytes(self._held)
+    def pending(self) -> bytes:
+        """The bytes received after the value that is being returned in parts."""
+        return bytes(self._buffer)
 
-    def resume(self, length: int, left: int, rest: bytes) -> None:
-        """Go on within an answer whose long value another reader has read in part."""
-        self.length, self.left = length, left
-        self._held += rest
+    def resume(self, value_length: int, remaining_bytes: int, pending: bytes) -> None:
+        """Continue an answer whose value another reader has returned in part."""
+        self.value_length, self.remaining_bytes = value_length, remaining_bytes
+        self._buffer += pending
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return what these bytes have brought; raises FramingError, after which the stream is lost."""
-        if not self._held and not self.length:
-            answer = _plain_answer(data)
+        """Return the messages completed by `data`; after a FramingError the reader must not be used again."""
+        if not self._buffer and not self.value_length:
+            answer = _fast_path_answer(data)
             if answer is not None:
                 return [answer]
         messages: list[Message] = []
-        if self.left:
-            data = self._pass_on(data, messages)
-        self._held += data
-        if self._held and len(self._held) >= self._need:
+        if self.remaining_bytes:
+            data = self._consume_value(data, messages)
+        self._buffer += data
+        if self._buffer and len(self._buffer) >= self._needed_bytes:
             try:
-                self._read(bytes(self._held), messages)
-            except Unfinished as unfinished:
-                self._need = unfinished.need
+                self._read(bytes(self._buffer), messages)
+            except IncompleteError as incomplete:
+                self._needed_bytes = incomplete.needed_bytes
         return messages
 
     def _read(self, data: bytes, messages: list[Message]) -> None:
-        """Read a whole answer, or the whole rest of one with a long value, from its first byte."""
+        """Parse a complete answer, or the elements after a value that was returned in parts."""
         match data[:1]:
-            case b"$" if self.length:
-                note, position = _string_or_null(data, 0, MAX_TEXT)
-                report, position = _string_or_null(data, position, MAX_TEXT)
-                self._whole(ValueEnded(note, report), data, position, messages)
-            case b"*" if not self.length:
+            case b"$" if self.value_length:
+                note, position = _read_string_or_null(data, 0, MAX_TEXT_BYTES)
+                report, position = _read_string_or_null(data, position, MAX_TEXT_BYTES)
+                self._complete_answer(ValueEnded(note, report), data, position, messages)
+            case b"*" if not self.value_length:
                 self._read_array(data, messages)
-            case b"$" | b"+" | b"-" | b":" if not self.length:
-                answer, position = _single(data)
-                self._whole(answer, data, position, messages)
+            case b"$" | b"+" | b"-" | b":" if not self.value_length:
+                answer, position = _read_simple_answer(data)
+                self._complete_answer(answer, data, position, messages)
             case _:
                 raise FramingError("an element of an unknown type")
 
     def _read_array(self, data: bytes, messages: list[Message]) -> None:
-        count, position = _length(data, 0, b"*")
-        if count != ELEMENTS:
+        count, position = _read_length(data, 0, b"*")
+        if count != ANSWER_ELEMENTS:
             raise FramingError(f"an array of {count} elements")
         if not data.startswith(NULL, position):
-            size, start = _length(data, position, b"$")
-            if size > MAX_VALUE:
+            size, start = _read_length(data, position, b"$")
+            if size > MAX_VALUE_BYTES:
                 raise FramingError("value too long")
-            if size > LARGE:
+            if size > STREAMING_THRESHOLD_BYTES:
                 self._start_value(size, data[start:], messages)
                 return
-        value, position = _string_or_null(data, position, LARGE)
-        note, position = _string_or_null(data, position, MAX_TEXT)
-        report, position = _string_or_null(data, position, MAX_TEXT)
-        self._whole(Answer(value, note, report), data, position, messages)
+        value, position = _read_string_or_null(data, position, STREAMING_THRESHOLD_BYTES)
+        note, position = _read_string_or_null(data, position, MAX_TEXT_BYTES)
+        report, position = _read_string_or_null(data, position, MAX_TEXT_BYTES)
+        self._complete_answer(Answer(value, note, report), data, position, messages)
 
     def _start_value(self, length: int, data: bytes, messages: list[Message]) -> None:
         messages.append(ValueStarted(length))
-        self.length, self.left = length, length + len(END)
-        self._held.clear()
-        self._need = 0
-        rest = self._pass_on(data, messages)
+        self.value_length, self.remaining_bytes = length, length + len(CRLF)
+        self._buffer.clear()
+        self._needed_bytes = 0
+        rest = self._consume_value(data, messages)
         if rest:
-            self._held += rest
+            self._buffer += rest
             self._read(rest, messages)
 
-    def _pass_on(self, data: bytes, messages: list[Message]) -> bytes:
-        """Take what belongs to the long value and its end mark; returns what comes behind them."""
-        part = data[: max(self.left - len(END), 0)]
+    def _consume_value(self, data: bytes, messages: list[Message]) -> bytes:
+        """Consume bytes of the value and its end mark; return the bytes that follow them."""
+        part = data[: max(self.remaining_bytes - len(CRLF), 0)]
         if part:
             messages.append(ValuePart(part))
-            self.left -= len(part)
+            self.remaining_bytes -= len(part)
             data = data[len(part) :]
-        if data and self.left:
-            mark = data[: self.left]
-            if not END[-self.left :].startswith(mark):
+        if data and self.remaining_bytes:
+            mark = data[: self.remaining_bytes]
+            if not CRLF[-self.remaining_bytes :].startswith(mark):
                 raise FramingError("bulk string without its end")
-            self.left -= len(mark)
+            self.remaining_bytes -= len(mark)
             data = data[len(mark) :]
         return data
 
-    def _whole(self, answer: Message, data: bytes, position: int, messages: list[Message]) -> None:
+    def _complete_answer(self, answer: Message, data: bytes, position: int, messages: list[Message]) -> None:
         messages.append(answer)
-        self.trailing = self.trailing or position < len(data)
-        self._held.clear()
-        self._need = self.length = 0
+        self.has_trailing_data = self.has_trailing_data or position < len(data)
+        self._buffer.clear()
+        self._needed_bytes = self.value_length = 0
 
 
-def _plain_answer(data: bytes) -> Answer | None:
-    """One whole answer with a value of at most 64 KiB, as most come; None: it is to be read strictly."""
-    if not data.startswith(_BEGINNING):
+def _fast_path_answer(data: bytes) -> Answer | None:
+    """Return the answer if `data` is exactly one with a value of at most 64 KiB; None: use the parser."""
+    if not data.startswith(_ANSWER_PREFIX):
         return None
-    if data.startswith(b"-1\r\n", _AT):
-        value, end = None, _AT + 2
+    if data.startswith(b"-1\r\n", _LENGTH_OFFSET):
+        value, end = None, _LENGTH_OFFSET + 2
     else:
-        line_end = data.find(END, _AT, _AT + MAX_HEADER)
-        digits = data[_AT:line_end]
-        if line_end < 0 or not digits.isdigit() or digits[0] == _ZERO or (size := int(digits)) > LARGE:
+        line_end = data.find(CRLF, _LENGTH_OFFSET, _LENGTH_OFFSET + MAX_LENGTH_LINE_BYTES)
+        digits = data[_LENGTH_OFFSET:line_end]
+        if (
+            line_end < 0
+            or not digits.isdigit()
+            or digits[0] == _ZERO_DIGIT
+            or (size := int(digits)) > STREAMING_THRESHOLD_BYTES
+        ):
             return None
-        end = line_end + len(END) + size
+        end = line_end + len(CRLF) + size
         value = data[end - size : end]
-    lines = data[end:].split(END)
-    if len(lines) == _LINES:
+    lines = data[end:].split(CRLF)
+    if len(lines) == _LINES_AFTER_VALUE:
         behind_value, note_size, note, report_size, report, last = lines
         if behind_value or last or note_size != b"$%d" % len(note) or report_size != b"$%d" % len(report):
             return None
@@ -200,54 +205,54 @@
     return None
 
 
-def _length(data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
-    """A length line as a server may word it: with no zero ahead of its digits."""
-    number, end = length_line(data, begin, mark)
-    if end - begin != len(mark) + len(b"%d" % number) + len(END):
+def _read_length(data: bytes, begin: int, mark: bytes) -> tuple[int, int]:
+    """Return the number in a length line and the end of the line; rejects leading zeros."""
+    number, end = read_length_line(data, begin, mark)
+    if end - begin != len(mark) + len(b"%d" % number) + len(CRLF):
         raise FramingError("a length with leading zeros")
     return number, end
 
 
-def _string_or_null(data: bytes, begin: int, longest: int) -> tuple[bytes | None, int]:
-    """An element of an array and where it ends."""
+def _read_string_or_null(data: bytes, begin: int, longest: int) -> tuple[bytes | None, int]:
+    """Return an element of an array (None for null) and its end."""
     if data.startswith(NULL, begin):
         return None, begin + len(NULL)
-    size, start = _length(data, begin, b"$")
+    size, start = _read_length(data, begin, b"$")
     if size > longest:
         raise FramingError("string too long")
-    return string_of(data, start, size)
+    return read_bulk_string(data, start, size)
 
 
-def _single(data: bytes) -> tuple[Message, int]:
-    """An answer that is no array: an error, a status, an integer or a lone string."""
+def _read_simple_answer(data: bytes) -> tuple[Message, int]:
+    """Return an answer that is no array (error, status, integer or bulk string) and its end."""
     if data[:1] == b"$":
-        size, start = _length(data, 0, b"$")
-        if size > MAX_TEXT:
+        size, start = _read_length(data, 0, b"$")
+        if size > MAX_TEXT_BYTES:
             raise FramingError("string too long")
-        text, position = string_of(data, start, size)
-        return PlainAnswer(text), position
-    text, position = _line(data)
+        text, position = read_bulk_string(data, start, size)
+        return SimpleAnswer(text), position
+    text, position = _read_line(data)
     if data[:1] == b"-":
         return ErrorLine(text), position
     if data[:1] == b":" and not _is_integer(text):
         raise FramingError("expected an integer")
-    return PlainAnswer(text), position
+    return SimpleAnswer(text), position
 
 
-def _line(data: bytes) -> tuple[bytes, int]:
-    """The text of a line behind its mark, and where the line ends."""
+def _read_line(data: bytes) -> tuple[bytes, int]:
+    """Return the text of a line after its type byte, and the end of the line."""
     end = data.find(b"\r")
     text = data[1:end] if end >= 0 else data[1:]
-    if len(text) > MAX_TEXT:
+    if len(text) > MAX_TEXT_BYTES:
         raise FramingError("line too long")
     if b"\n" in text:
         raise FramingError("a line that ends without a carriage return")
     if end < 0 or len(data) == end + 1:
-        raise Unfinished(len(data) + 1)
-    if not data.startswith(END, end):
+        raise IncompleteError(len(data) + 1)
+    if not data.startswith(CRLF, end):
         raise FramingError("a carriage return within a line")
-    return text, end + len(END)
+    return text, end + len(CRLF)
 
 
 def _is_integer(text: bytes) -> bool:
-    return len(text) < MAX_HEADER and text.isdigit() and (text == b"0" or text[0] != _ZERO)
+    return len(text) < MAX_LENGTH_LINE_BYTES and text.isdigit() and (text == b"0" or text[0] != _ZERO_DIGIT)
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -14,10 +14,10 @@
 from benchmarks.scale.connections import measure as measure_connections
 from benchmarks.scale.data_path import busiest, fit, measure, share_over, skew, zipf_shares
 from saltport.upstream.pool import PER_SERVER
-from saltport.wire.resp import MAX_VALUE
+from saltport.wire.resp import MAX_VALUE_BYTES
 from tests.sockets import MISS, Peer, bulk, get, hit, http_answer, routed
 
-TOO_LONG = b"v" * (MAX_VALUE + 1)
+TOO_LONG = b"v" * (MAX_VALUE_BYTES + 1)
 
 
 def test_reads_of_short_and_long_values_are_answered_whole() -> None:
@@ -84,7 +84,9 @@
 def test_the_share_of_long_values_is_that_of_a_sample() -> None:
     sigma, mean = 1.0, 737_000.0
     sample = numpy.random.default_rng(1).lognormal(math.log(mean) - sigma**2 / 2, sigma, 200_000)
-    assert share_over(MAX_VALUE, mean, sigma) == pytest.approx((sample > MAX_VALUE).mean(), rel=0.05)
+    assert share_over(MAX_VALUE_BYTES, mean, sigma) == pytest.approx(
+        (sample > MAX_VALUE_BYTES).mean(), rel=0.05
+    )
 
 
 def test_the_busiest_router_has_at_least_the_hottest_object_and_an_even_share() -> None:
--- a/tests/wire/mutations.py
+++ b/tests/wire/mutations.py
@@ -1,4 +1,4 @@
-"""Valid answers made invalid byte by byte, and what a connection makes of them, without sockets."""
+"""Generates mutated answers, and checks how a connection reads them, without sockets."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 from tests.wire.reference import Read, cache_answer, origin_answer
 
 NOTES = {b"hit": CacheNote.HIT, b"miss": CacheNote.MISS, b"pending": CacheNote.FETCH_OUT}
-ENDS = {"value": Outcome.OK, "miss": Outcome.MISS, "busy": Outcome.FULL, "error": Outcome.ERROR}
-TRICKY = [
+OUTCOMES = {"value": Outcome.OK, "miss": Outcome.MISS, "busy": Outcome.FULL, "error": Outcome.ERROR}
+TRICKY_BYTES = [
     b"\r",
     b"\n",
     b"\r\n",
@@ -43,7 +43,7 @@
 
 
 class _Pool:
-    """What a connection asks of its pool."""
+    """The part of a pool that a connection uses."""
 
     def touched(self) -> None: ...
 
@@ -61,7 +61,7 @@
 
 
 class Received(Exchange):
-    """A read, what of its answer came, and its end."""
+    """A read that records the parts of its answer and its outcome."""
 
     request = Request(b"r", b"k", "get", "acme", 5000, None, False, b"c=get,t=acme,d=5000")
 
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True)
 class Wire:
-    """One of the two wires: its connections, its reference, and where a value counts as long."""
+    """A protocol: its connection class, its reference reader, and the module with its streaming threshold."""
 
     connect: Callable[[Server], Connection]
     reference: Callable[[bytes], Read | None]
@@ -105,15 +105,15 @@
 
 @dataclass(frozen=True)
 class Case:
-    """Bytes that a server sends until it ends the connection, and how they arrive."""
+    """The bytes that a server sends before it closes the connection, and how they arrive."""
 
     data: bytes
     cuts: tuple[int, ...] | None
-    """Where pieces end; (): all at once; None: byte by byte."""
-    large: int
-    """Bytes from which on a value is passed on in parts."""
-    moves: bool
-    """Whether another connection object goes on wherever a hand-over is possible."""
+    """Positions at which the bytes are split; (): not at all; None: after every byte."""
+    streaming_threshold: int
+    """Length in bytes above which a value is passed on in parts."""
+    transfers: bool
+    """Whether a new connection object continues at every point where a transfer is possible."""
 
     def pieces(self) -> Iterator[bytes]:
         cuts = range(len(self.data)) if self.cuts is None else self.cuts
@@ -124,8 +124,8 @@
 
 
 @contextmanager
-def quiet() -> Iterator[None]:
-    """Thousands of broken answers are not logged."""
+def logging_disabled() -> Iterator[None]:
+    """Disable logging, as the tests read thousands of invalid answers."""
     logging.disable(logging.CRITICAL)
     try:
         yield
@@ -134,34 +134,37 @@
 
 
 def receive(wire: Wire, case: Case) -> Received:
-    """Let a connection read the case up to its clean end."""
+    """Return what a connection reads from the case up to a clean end."""
     server, received = cast(Server, _Server()), Received()
     connection = wire.connect(server)
     connection.exchange = received
-    former, wire.module.LARGE = wire.module.LARGE, case.large
+    original, wire.module.STREAMING_THRESHOLD_BYTES = (
+        wire.module.STREAMING_THRESHOLD_BYTES,
+        case.streaming_threshold,
+    )
     try:
         for piece in case.pieces():
             connection.data_received(piece)
-            if case.moves and not connection.retired and (flow := connection.flow()) is not None:
+            if case.transfers and not connection.retired and (flow := connection.flow()) is not None:
                 connection = wire.connect(server)
                 connection.go_on(flow)
                 connection.exchange = received
         connection.eof_received()
         connection.connection_lost(None)
     finally:
-        wire.module.LARGE = former
+        wire.module.STREAMING_THRESHOLD_BYTES = original
     return received
 
 
 def check(wire: Wire, case: Case) -> Outcome:
-    """What is served is exactly what a plain strict reader makes of the same bytes; all else is an error."""
+    """Assert that a connection returns what the reference reader returns, or an error; return the outcome."""
     received = receive(wire, case)
     outcome, read = received.outcome, wire.reference(case.data)
     assert outcome is not None
     if read is None or (read.unusual and outcome in (Outcome.ERROR, Outcome.RESET)):
         assert outcome in (Outcome.ERROR, Outcome.RESET), (outcome, received.value)
         return outcome
-    assert outcome is ENDS[read.kind], (outcome, read)
+    assert outcome is OUTCOMES[read.kind], (outcome, read)
     assert received.value == read.value
     if wire is CACHE and read.kind in ("value", "miss"):
         assert received.note == (NOTES.get(read.note) if read.note is not None else None)
@@ -171,14 +174,14 @@
 
 VALUES = st.one_of(
     st.binary(max_size=24),
-    st.lists(st.sampled_from(TRICKY), max_size=12).map(b"".join),
+    st.lists(st.sampled_from(TRICKY_BYTES), max_size=12).map(b"".join),
     st.integers(100, 300).map(lambda size: b"v" * size),
 )
 
 
 @st.composite
 def cache_answers(draw: st.DrawFn) -> bytes:
-    """Valid answers of a cache server."""
+    """Generate valid answers of a cache server."""
     if draw(st.integers(0, 9)) == 0:
         return draw(
             st.sampled_from([b"-BUSY\r\n", b"-ERR failed\r\n", b"-ERR failed latency_ms=1,queue=2\r\n"])
@@ -194,7 +197,7 @@
 
 @st.composite
 def origin_answers(draw: st.DrawFn) -> bytes:
-    """Valid answers of the origin: with a length, in chunks, or up to the connection's end."""
+    """Generate valid answers of the origin: with a length, in chunks, or ended by the connection."""
     status = draw(st.sampled_from([b"200 OK", b"200", b"500 X", b"503 X", b"504 X"]))
     version = draw(st.sampled_from([b"1.1", b"1.1", b"1.0"]))
     lines = draw(
@@ -221,12 +224,12 @@
 
 @st.composite
 def mutated(draw: st.DrawFn, answers: st.SearchStrategy[bytes]) -> bytes:
-    """A valid answer with up to three faults: a part cut out, doubled, swapped, inserted or replaced."""
+    """Generate an answer with up to three faults: a part cut out, doubled, reversed, inserted or replaced."""
     data = draw(answers)
     for _ in range(draw(st.integers(0, 3))):
         begin = draw(st.integers(0, len(data)))
         end = min(begin + draw(st.sampled_from([1, 1, 1, 2, 5, 40])), len(data))
-        part, more = data[begin:end], draw(st.sampled_from(TRICKY) | st.binary(min_size=1, max_size=2))
+        part, more = data[begin:end], draw(st.sampled_from(TRICKY_BYTES) | st.binary(min_size=1, max_size=2))
         made = {
             "cut out": b"",
             "cut off": None,
@@ -240,7 +243,7 @@
 
 
 def cases(wire: Wire) -> st.SearchStrategy[Case]:
-    """Mutated answers in any split, with values passed on whole or in parts, at one place or at two."""
+    """Generate mutated answers with any split, streaming threshold, and with or without transfers."""
     answers = cache_answers() if wire is CACHE else origin_answers()
     return st.builds(
         Case,
--- a/tests/wire/reference.py
+++ b/tests/wire/reference.py
@@ -1,6 +1,6 @@
-"""Plain strict readers of one whole answer, written for tests: slow, and sharing nothing with the program.
+"""Simple strict reference readers of one complete answer for tests; they share no code with the program.
 
-Each takes all bytes that came until the connection ended and returns what a client may be given, or None.
+Each takes all bytes received until the connection ended and returns the answer, or None if it is invalid.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 
 @dataclass(frozen=True)
 class Read:
-    """What an answer says."""
+    """The contents of an answer."""
 
     kind: str
     value: bytes | None = None
     note: bytes | None = None
     report: bytes | None = None
     unusual: bool = False
-    """A reader may as well refuse it: chunk extensions, tabs in a head, framing beside no body."""
+    """Whether a reader may also reject it: chunk extensions, tabs in a header, framing without a body."""
 
 
 def cache_answer(data: bytes) -> Read | None:
-    """One answer of a cache server (RESP2) at the start of `data`; what stands behind it does not matter."""
+    """Return the answer of a cache server (RESP2) at the start of `data`; bytes after it are ignored."""
     if line := re.match(rb"-([^\r\n]{0,4096})\r\n", data):
         return Read("busy" if line[1].startswith(b"BUSY") else "error")
     if not data.startswith(b"*3\r\n"):
@@ -52,7 +52,7 @@
 
 
 def origin_answer(data: bytes) -> Read | None:
-    """One answer of the origin (HTTP/1.1, RFC 9112) at the start of `data`; the connection has ended."""
+    """Return the answer of the origin (HTTP/1.1, RFC 9112) in `data`, after which the connection ended."""
     at, unusual = 0, False
     while True:
         status = _STATUS.match(data, at)
@@ -68,7 +68,7 @@
         if status[2] == b"101":
             return None
         unusual = unusual or bool(lengths or codings)
-        while data[at : at + 1] in (b"\r", b"\n"):  # ahead of a status line they frame nothing
+        while data[at : at + 1] in (b"\r", b"\n"):  # empty lines before a status line are ignored
             at += 1
     unusual = unusual or b"\t" in data[:at]
     if codings:
--- a/tests/wire/test_memcached.py
+++ b/tests/wire/test_memcached.py
@@ -1,4 +1,4 @@
-"""The memcached binary codec: the published examples, any split, any noise, and every opcode's rules."""
+"""The memcached binary codec: published examples, arbitrary splits, invalid bytes, the rules of opcodes."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 from saltport.wire.memcached import (
     HEADER,
-    MAX_KEY,
-    QUIET,
+    MAX_KEY_BYTES,
+    QUIET_OPCODES,
     REQUEST_MAGIC,
     RESPONSE_MAGIC,
     Opcode,
@@ -40,7 +40,7 @@
     ],
     ids=["get", "value", "add", "not-found"],
 )
-def test_published_examples_are_read_and_written_to_the_byte(words: str, magic: int, packet: Packet) -> None:
+def test_published_examples_are_decoded_and_encoded_exactly(words: str, magic: int, packet: Packet) -> None:
     data = bytes.fromhex(words)
     assert PacketReader(magic).feed(data) == [packet]
     assert encode(packet, magic) == data
@@ -73,28 +73,28 @@
     for packet in read:
         packet.fault = ""
     assert read == packets
-    assert (reader.need, reader.broken) == (0, "")
+    assert (reader.needed_bytes, reader.broken) == (0, "")
 
 
-@given(noise=strategies.lists(strategies.binary(max_size=120), max_size=6))
+@given(pieces=strategies.lists(strategies.binary(max_size=120), max_size=6))
 @profile(derandomize=True, max_examples=400, deadline=None)
-def test_noise_ends_in_one_stated_error_or_waits_for_no_more_than_a_packet(noise: list[bytes]) -> None:
-    reader = PacketReader(REQUEST_MAGIC, max_value=1000)
-    for data in noise:
+def test_random_bytes_end_in_one_lasting_error_or_wait_for_at_most_a_packet(pieces: list[bytes]) -> None:
+    reader = PacketReader(REQUEST_MAGIC, max_value_bytes=1000)
+    for data in pieces:
         reader.feed(data)
-        assert reader.need <= HEADER.size + 255 + 0xFFFF + 1000
+        assert reader.needed_bytes <= HEADER.size + 255 + 0xFFFF + 1000
         if reader.broken:
-            told = reader.broken
+            error = reader.broken
             assert reader.feed(b"\x80" * 50) == []
-            assert reader.broken == told
+            assert reader.broken == error
 
 
 @given(packet=PACKETS, place=strategies.integers(0, 23), byte=strategies.integers(0, 255))
 @profile(derandomize=True, max_examples=400, deadline=None)
-def test_a_spoilt_header_never_raises(packet: Packet, place: int, byte: int) -> None:
+def test_corrupt_header_never_raises(packet: Packet, place: int, byte: int) -> None:
     data = bytearray(encode(packet, REQUEST_MAGIC))
     data[place] = byte
-    reader = PacketReader(REQUEST_MAGIC, max_value=1000)
+    reader = PacketReader(REQUEST_MAGIC, max_value_bytes=1000)
     reader.feed(bytes(data) + encode(Packet(Opcode.NOOP), REQUEST_MAGIC))
 
 
@@ -113,7 +113,7 @@
     ],
     ids=["4 GB", "lengths", "response", "data-type", "http"],
 )
-def test_what_cannot_be_followed_is_told_from_its_header_alone(head: bytes, words: str) -> None:
+def test_framing_error_is_detected_from_the_header_alone(head: bytes, words: str) -> None:
     reader = PacketReader(REQUEST_MAGIC)
     good = encode(Packet(Opcode.GET, b"k"), REQUEST_MAGIC)
     assert [packet.key for packet in reader.feed(good + head)] == [b"k"]
@@ -131,11 +131,13 @@
         (Packet(Opcode.NOOP, b"k"), "a key"),
         (Packet(Opcode.FLUSH, extras=b"12"), "extras of 2 bytes"),
         (Packet(Opcode.TOUCH, b"k"), "extras of 0 bytes"),
-        (Packet(Opcode.GET, b"k" * (MAX_KEY + 1)), "a key of 251 bytes"),
+        (Packet(Opcode.GET, b"k" * (MAX_KEY_BYTES + 1)), "a key of 251 bytes"),
     ],
-    ids=lambda told: told if isinstance(told, str) else f"0x{told.opcode:02x}",
+    ids=lambda value: value if isinstance(value, str) else f"0x{value.opcode:02x}",
 )
-def test_what_breaks_its_opcodes_rules_is_told_and_the_stream_goes_on(packet: Packet, words: str) -> None:
+def test_packet_that_breaks_its_opcodes_rules_has_a_fault_and_reading_continues(
+    packet: Packet, words: str
+) -> None:
     reader = PacketReader(REQUEST_MAGIC)
     noop = Packet(Opcode.NOOP, opaque=9)
     bad, after = reader.feed(encode(packet, REQUEST_MAGIC) + encode(noop, REQUEST_MAGIC))
@@ -144,12 +146,12 @@
     assert reader.broken == ""
 
 
-def test_every_opcode_has_a_rule_and_unknown_ones_are_followed() -> None:
+def test_every_opcode_has_a_rule_and_unknown_opcodes_are_accepted() -> None:
     for code in Opcode:
         bare = PacketReader(REQUEST_MAGIC).feed(encode(Packet(code, extras=b"1" * 19), REQUEST_MAGIC))[0]
         assert bare.fault, code
-    (strange,) = PacketReader(REQUEST_MAGIC).feed(encode(Packet(0x77, b"k", b"e", b"v"), REQUEST_MAGIC))
-    assert (strange.opcode, strange.fault) == (0x77, "")
+    (unknown,) = PacketReader(REQUEST_MAGIC).feed(encode(Packet(0x77, b"k", b"e", b"v"), REQUEST_MAGIC))
+    assert (unknown.opcode, unknown.fault) == (0x77, "")
 
 
 def test_quiet_opcodes() -> None:
@@ -157,10 +159,10 @@
     assert Packet(Opcode.QUITQ).quiet
     assert not Packet(Opcode.QUIT).quiet
     assert not Packet(0x77).quiet
-    assert len(QUIET) == 14
+    assert len(QUIET_OPCODES) == 14
 
 
-def test_lengths_that_fit_no_field_are_no_packet() -> None:
+def test_encoding_rejects_numbers_that_do_not_fit_their_fields() -> None:
     with pytest.raises(ValueError, match="memcached"):
         encode(Packet(Opcode.GET, b"k" * 70_000), REQUEST_MAGIC)
     with pytest.raises(ValueError, match="memcached"):
--- a/tests/wire/test_mutations.py
+++ b/tests/wire/test_mutations.py
@@ -1,8 +1,8 @@
-"""No mutation of an answer is served as another value; long runs: `python -m benchmarks.mutate_answers`.
+"""Mutated answers are never served as a wrong value; long runs: `python -m benchmarks.mutate_answers`.
 
-A mutation may yield another answer that is just as valid (a byte changed within a value, a header's name that
-is no longer a length, a cut in a body that ends with its connection). The oracle is therefore a plain strict
-reader: what is served is what it reads from the same bytes, and where it reads nothing there is an error.
+A mutated answer may still be valid (a byte changed within a value, a changed header name that was the length,
+a cut in a body that ends with its connection). The expected result is therefore that of a simple strict
+reference reader for the same bytes; where it reads no answer, the result must be an error.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 import pytest
 from hypothesis import HealthCheck, given, settings
 
-from tests.wire.mutations import CACHE, ORIGIN, TRICKY, Case, Wire, cases, check, quiet
+from tests.wire.mutations import CACHE, ORIGIN, TRICKY_BYTES, Case, Wire, cases, check, logging_disabled
 
 EXAMPLES = settings(
     derandomize=True, max_examples=600, deadline=None, suppress_health_check=[HealthCheck.too_slow]
@@ -31,27 +31,27 @@
 @given(case=cases(CACHE))
 @EXAMPLES
 def test_mutated_answer_of_a_cache_server_is_the_value_that_it_frames_or_an_error(case: Case) -> None:
-    with quiet():
+    with logging_disabled():
         check(CACHE, case)
 
 
 @given(case=cases(ORIGIN))
 @EXAMPLES
 def test_mutated_answer_of_the_origin_is_the_value_that_it_frames_or_an_error(case: Case) -> None:
-    with quiet():
+    with logging_disabled():
         check(ORIGIN, case)
 
 
 @pytest.mark.parametrize(("wire", "answers"), WIRES)
 def test_each_byte_cut_doubled_swapped_inserted_and_replaced(wire: Wire, answers: list[bytes]) -> None:
-    with quiet():
+    with logging_disabled():
         for answer in answers:
             for at in range(len(answer)):
                 before, byte, after = answer[:at], answer[at : at + 1], answer[at + 1 :]
                 mutants = [before, before + after, before + byte + byte + after]
                 mutants.append(before + after[:1] + byte + after[1:])
-                mutants += [before + more + byte + after for more in TRICKY]
-                mutants += [before + more + after for more in TRICKY]
+                mutants += [before + more + byte + after for more in TRICKY_BYTES]
+                mutants += [before + more + after for more in TRICKY_BYTES]
                 for mutant in mutants:
                     check(wire, Case(mutant, (), 4, False))
 
@@ -59,12 +59,12 @@
 @pytest.mark.parametrize(("wire", "answers"), WIRES)
 @pytest.mark.parametrize("large", [4, 64 << 10])
 def test_whole_answer_split_at_each_place(wire: Wire, answers: list[bytes], large: int) -> None:
-    with quiet():
+    with logging_disabled():
         for answer in answers:
             ends = {
-                check(wire, Case(answer, (at,), large, moves))
+                check(wire, Case(answer, (at,), large, transfers))
                 for at in range(len(answer))
-                for moves in (False, True)
+                for transfers in (False, True)
             }
             ends.add(check(wire, Case(answer, None, large, False)))
             assert len(ends) == 1
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -1,4 +1,4 @@
-"""Clients' commands off the wire: the short way and the strict one read the same, in any split."""
+"""RESP commands of clients: arbitrary splits, and equal results of the fast path and the full parser."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from saltport.wire import resp
 from saltport.wire.resp import CommandReader, command
 
-WORDS = strategies.lists(strategies.binary(max_size=40), min_size=1, max_size=resp.MAX_PARTS)
+WORDS = strategies.lists(strategies.binary(max_size=40), min_size=1, max_size=resp.MAX_WORDS)
 TRICKY = strategies.lists(
     strategies.sampled_from(
         [
@@ -35,14 +35,14 @@
 ).map(b"".join)
 
 
-def strictly(data: bytes) -> tuple[list[list[bytes]], str, int]:
-    """What the strict way alone makes of these bytes."""
+def read_with_full_parser(data: bytes) -> tuple[list[list[bytes]], str, int]:
+    """Return commands, error and needed bytes as the full parser alone reads them."""
     reader = CommandReader()
-    short, resp.SHORT = resp.SHORT, -1
+    original, resp.MAX_FAST_PATH_BYTES = resp.MAX_FAST_PATH_BYTES, -1
     try:
-        return reader.feed(data), reader.broken, reader.need
+        return reader.feed(data), reader.broken, reader.needed_bytes
     finally:
-        resp.SHORT = short
+        resp.MAX_FAST_PATH_BYTES = original
 
 
 @given(words=WORDS, cuts=strategies.lists(strategies.integers(0, 600), max_size=6))
@@ -55,17 +55,17 @@
         read += reader.feed(whole[at:cut])
         at = cut
     assert read == [words, words]
-    assert (reader.need, reader.broken) == (0, "")
+    assert (reader.needed_bytes, reader.broken) == (0, "")
 
 
 @given(data=TRICKY)
 @profile(derandomize=True, max_examples=1500, deadline=None)
-def test_the_short_way_reads_what_the_strict_one_does(data: bytes) -> None:
+def test_fast_path_and_full_parser_agree(data: bytes) -> None:
     reader = CommandReader()
-    assert (reader.feed(data), reader.broken, reader.need) == strictly(data)
+    assert (reader.feed(data), reader.broken, reader.needed_bytes) == read_with_full_parser(data)
 
 
-def test_long_lists_are_read_and_not_remembered() -> None:
+def test_long_info_is_parsed_without_the_cache() -> None:
     dialect = RespDialect()
     info = b"c=get,d=5,x=" + b"y" * 300
     ((message, _),) = dialect.feed(command(b"KV.GET", b"k", b"id", info))
