--- a/tests/crossings/__init__.py
+++ b/tests/crossings/__init__.py
@@ -1,1 +1,1 @@
-"""Two events that cross: each test forces the bad order over real connections, every time."""
+"""Tests of races between two events; each forces the critical order over real connections, every time."""
--- a/tests/crossings/slow_start_world.py
+++ b/tests/crossings/slow_start_world.py
@@ -1,7 +1,7 @@
-"""Many routers, their servers and an origin in virtual time: what cold servers get of all routers together.
+"""Simulates many routers, their servers and an origin in virtual time, to measure the load of cold servers.
 
-Each router is the decision module as it runs; a server works through what it is sent in turn, a cold one at
-the part of its speed that the settings allow to be counted on.
+Each router runs the real decision module. A server processes requests one after another; a cold server works
+at the share of its speed that the settings state.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 
 
 class Node:
-    """A server of one core."""
+    """A server with one core."""
 
-    def __init__(self, started: int, now: int, bad: str) -> None:
-        self.started, self.bad = started, bad
+    def __init__(self, started: int, now: int, fault: str) -> None:
+        self.started, self.fault = started, fault
         self.free_at = now
         self.keys: set[str] = set()
-        self.got: list[int] = []
-        """When reads came."""
+        self.arrivals: list[int] = []
+        """Arrival times of reads."""
 
 
 class World:
-    """Plays clients, servers and the origin, and counts."""
+    """Simulates clients, servers and the origin."""
 
     def __init__(self, settings: Settings, routers: int, servers: int, seed: int) -> None:
         self.settings, self.rng = settings, random.Random(seed)
@@ -65,92 +65,93 @@
         return router
 
     def restart_routers(self) -> None:
-        """Each begins anew, with nothing learnt and nothing open."""
+        """Restart all routers, without learned state and open requests."""
         self.routers = [self._router(self.rng.randrange(1 << 30)) for _ in self.routers]
         self.queue.clear()
 
     def restart(self, names: list[str]) -> None:
-        """These servers start anew, empty and cold, and all routers are told at once."""
+        """Restart these servers empty and cold; all routers receive the change at once."""
         for name in names:
             self.nodes[name] = Node(self.now, self.now, "")
             zone = self.listed[name].zone
             self.listed[name] = Server(name, zone=zone, started=self.now)
-        news = ServersChanged(ListKind.DELTA, tuple(self.listed[name] for name in names))
-        for place in range(len(self.routers)):
-            self._tell(place, news)
+        change = ServersChanged(ListKind.DELTA, tuple(self.listed[name] for name in names))
+        for index in range(len(self.routers)):
+            self._deliver(index, change)
 
     def warmth(self, node: Node, at: int) -> float:
+        """Return the share of its full speed at which a server works at this time."""
         if not node.started or at >= node.started + self.settings.cold_time:
             return 1.0
         cold = self.settings.cold_share
         return cold + (1 - cold) * (at - node.started) / self.settings.cold_time
 
-    def play(self, load: float, seconds: float) -> None:
-        """Offer this part of what all servers can do when warm."""
+    def run(self, load: float, seconds: float) -> None:
+        """Offer this share of the capacity of all warm servers for some seconds."""
         end = self.now + int(seconds * S)
         rate = load * len(self.nodes) * S / WORK
         arrival = self.now
         while True:
             arrival += int(self.rng.expovariate(rate) * S)
             while self.queue and self.queue[0][0] <= min(arrival, end):
-                self.now, _, place, event = heapq.heappop(self.queue)
-                self._tell(place, event)
+                self.now, _, index, event = heapq.heappop(self.queue)
+                self._deliver(index, event)
             if arrival >= end:
                 self.now = end
                 return
             self.now = arrival
             key = f"k{bisect_left(self.weights, self.rng.random() * self.weights[-1])}"
             self.count += 1
-            asked = RequestArrived(f"r{self.count}", "read", arrival + S, "a", key)
-            self._tell(self.rng.randrange(len(self.routers)), asked)
+            arrived = RequestArrived(f"r{self.count}", "read", arrival + S, "a", key)
+            self._deliver(self.rng.randrange(len(self.routers)), arrived)
 
-    def _tell(self, place: int, event: Event) -> None:
-        for action in self.routers[place].handle(event, self.now):
+    def _deliver(self, index: int, event: Event) -> None:
+        for action in self.routers[index].handle(event, self.now):
             if isinstance(action, Send):
-                self._send(place, action)
+                self._send(index, action)
             elif isinstance(action, SetTimer):
-                self._later(self.now + max(action.delay, 1), place, TimerFired(action.token))
+                self._schedule(self.now + max(action.delay, 1), index, TimerFired(action.token))
 
-    def _later(self, at: int, place: int, event: Event) -> None:
+    def _schedule(self, at: int, index: int, event: Event) -> None:
         self.count += 1
-        heapq.heappush(self.queue, (at, self.count, place, event))
-
-    def _send(self, place: int, send: Send) -> None:
-        request = self.routers[place].requests[send.request]
-        took, outcome = self._serve(send.server, request.key or "")
-        patience = min(send.timeout or S, request.deadline - self.now)
-        if took >= patience:
-            took, outcome = patience, Outcome.TIMEOUT
-        closed = outcome is Outcome.OK or self.now + took >= request.deadline
+        heapq.heappush(self.queue, (at, self.count, index, event))
+
+    def _send(self, index: int, send: Send) -> None:
+        request = self.routers[index].requests[send.request]
+        duration, outcome = self._serve(send.server, request.key or "")
+        timeout = min(send.timeout or S, request.deadline - self.now)
+        if duration >= timeout:
+            duration, outcome = timeout, Outcome.TIMEOUT
+        closed = outcome is Outcome.OK or self.now + duration >= request.deadline
         ended = AttemptEnded(
-            send.request, request.sends - 1, send.server, outcome, closed, took,
+            send.request, request.sends - 1, send.server, outcome, closed, duration,
         )  # fmt: skip
-        self._later(self.now + took, place, ended)
+        self._schedule(self.now + duration, index, ended)
 
     def _serve(self, name: str, key: str) -> tuple[int, Outcome]:
         if name == ORIGIN.id:
             return int(self.rng.uniform(0.5, 1.5) * 80 * MS), Outcome.OK
         node = self.nodes[name]
-        node.got.append(self.now)
-        if node.bad == "hangs":
+        node.arrivals.append(self.now)
+        if node.fault == "hangs":
             return 10 * S, Outcome.OK
         work = int(WORK * self.rng.uniform(0.5, 1.5) / self.warmth(node, self.now))
-        if node.bad == "full" or node.free_at - self.now > QUEUE * work:
+        if node.fault == "full" or node.free_at - self.now > QUEUE * work:
             return MS, Outcome.FULL
         node.free_at = max(node.free_at, self.now) + work
-        known = key in node.keys
-        node.keys.add(key)  # what the origin answers is stored where it was missed
-        return node.free_at - self.now, Outcome.OK if known else Outcome.MISS
+        is_hit = key in node.keys
+        node.keys.add(key)  # after a miss, the origin's answer is stored in the cache
+        return node.free_at - self.now, Outcome.OK if is_hit else Outcome.MISS
 
     def worst(self, name: str, multiple: float, window: int) -> float:
-        """What the fullest window of a cold server held, as a part of what it may hold there."""
+        """Return the highest number of requests in a window of a cold server, as a share of its allowance."""
         node, worst = self.nodes[name], 0.0
         first = 0
-        for last, at in enumerate(node.got):
-            while node.got[first] <= at - window:
+        for last, at in enumerate(node.arrivals):
+            while node.arrivals[first] <= at - window:
                 first += 1
-            if node.got[first] >= node.started + self.settings.cold_time:
+            if node.arrivals[first] >= node.started + self.settings.cold_time:
                 break
-            may = multiple * self.warmth(node, node.got[first]) * window / WORK
-            worst = max(worst, (last - first + 1) / (may + 2 * math.sqrt(may) + 2))
+            allowed = multiple * self.warmth(node, node.arrivals[first]) * window / WORK
+            worst = max(worst, (last - first + 1) / (allowed + 2 * math.sqrt(allowed) + 2))
         return worst
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -1,6 +1,6 @@
-"""Answers that are broken, cut or end with their connection, from cache servers and the origin.
+"""Invalid and truncated answers, and answers that end with their connection, of cache servers and the origin.
 
-What is served is what a server framed as a whole answer; a length that does not fit its bytes is an error.
+Only a completely framed answer is served; a length that does not agree with the bytes is an error.
 """
 
 from __future__ import annotations
@@ -44,7 +44,7 @@
         assert len(origin.seen) == 2
 
 
-def test_reset_within_an_answer_without_a_length_is_no_end(tmp_path: Path) -> None:
+def test_reset_within_an_answer_without_a_length_is_an_error(tmp_path: Path) -> None:
     def fetch(connection: socket.socket, _: list[bytes]) -> bytes:
         connection.sendall(HEAD + VALUE[:1000])
         sent.set()
@@ -57,14 +57,14 @@
         client, other = router.client(), router.client()
         client.send(get("r1", d=15_000))
         assert sent.wait(PATIENCE_S)
-        for i in range(5):  # the router's loop has turned: the first part is read
+        for i in range(5):  # the router's loop has run: the first part has been read
             assert other.ask(b"*1\r\n$4\r\nPING\r\n") == b"+PONG", i
         read.set()
-        assert client.answer().startswith(b"-"), "a part of a value is none"
+        assert client.answer().startswith(b"-"), "a part of a value must not be served"
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 3000", b"Transfer-Encoding: chunked"])
-def test_end_before_the_length_that_was_told_is_no_end(tmp_path: Path, head: bytes) -> None:
+def test_connection_end_before_the_stated_length_is_an_error(tmp_path: Path, head: bytes) -> None:
     def fetch(connection: socket.socket, _: list[bytes]) -> bytes:
         part = b"3e8\r\n" + VALUE[:1000] + b"\r\n" if b"chunked" in head else VALUE[:1000]
         connection.sendall(b"HTTP/1.1 200 X\r\n" + head + b"\r\n\r\n" + part)
@@ -76,7 +76,7 @@
         assert router.client().ask(get("r1", d=15_000)).startswith(b"-")
 
 
-def test_second_answer_behind_one_that_ended_reaches_nobody(tmp_path: Path) -> None:
+def test_second_answer_after_a_complete_one_is_dropped(tmp_path: Path) -> None:
     def fetch(connection: socket.socket, message: list[bytes]) -> bytes:
         return http_answer(200, message[1][1:]) + http_answer(200, b"nobody's")
 
@@ -89,15 +89,13 @@
 
 
 class Received(Exchange):
-    """A read on a pool of its own: what of its answer has come, and how it has ended."""
+    """A read that records the parts of its answer and its outcome."""
 
     request = Request(b"r", b"k", "get", "acme", 5000, None, False, b"c=get,t=acme,d=5000")
 
     def __init__(self) -> None:
         self.parts: list[bytes] = []
-        self.end_of_it: asyncio.Future[tuple[Outcome, bytes | None]] = (
-            asyncio.get_running_loop().create_future()
-        )
+        self.result: asyncio.Future[tuple[Outcome, bytes | None]] = asyncio.get_running_loop().create_future()
 
     def remaining_ms(self) -> int:
         return 5000
@@ -109,37 +107,37 @@
         self.parts.append(data)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        self.end_of_it.set_result((outcome, value))
+        self.result.set_result((outcome, value))
 
 
 def exchange_with(
     answers: list[bytes], connect: type[Connection] = CacheConnection, piece: int = 1 << 20
 ) -> list[tuple[Outcome, bytes | None, bytes]]:
-    """Ask a real server that gives these answers in turn, in pieces; returns end, value, parts of each."""
+    """Read answers that a real server sends in pieces; return outcome, value and parts of each."""
 
-    async def play() -> list[tuple[Outcome, bytes | None, bytes]]:
+    async def read_all() -> list[tuple[Outcome, bytes | None, bytes]]:
         pool = Pool(asyncio.get_running_loop(), 8, PATIENCE_S, PATIENCE_S)
         pool.list_server("s1", ("127.0.0.1", peer.port), connect)
-        came = []
+        results = []
         for _ in answers:
             received = Received()
             pool.submit("s1", received)
-            outcome, value = await asyncio.wait_for(received.end_of_it, PATIENCE_S)
-            came.append((outcome, value, b"".join(received.parts)))
+            outcome, value = await asyncio.wait_for(received.result, PATIENCE_S)
+            results.append((outcome, value, b"".join(received.parts)))
         pool.close()
-        return came
+        return results
 
     def answer(connection: socket.socket, _: list[bytes]) -> bytes | None:
-        data = next(left)
+        data = next(remaining)
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for at in range(0, len(data), piece):
             connection.sendall(data[at : at + piece])
         return None
 
-    left = iter(answers)
+    remaining = iter(answers)
     peer = Peer(answer, is_http=connect is not CacheConnection)
     try:
-        return on_router_loop(play())
+        return on_router_loop(read_all())
     finally:
         peer.close()
 
@@ -181,9 +179,9 @@
 
 
 @pytest.mark.parametrize("piece", [1 << 20, 3000])
-def test_answer_of_a_cache_server_whose_framing_is_broken_is_an_error(piece: int) -> None:
-    came = exchange_with(list(BROKEN.values()), piece=piece)
-    ends = dict(zip(BROKEN, came, strict=True))
+def test_invalid_framing_of_a_cache_server_s_answer_is_an_error(piece: int) -> None:
+    results = exchange_with(list(BROKEN.values()), piece=piece)
+    ends = dict(zip(BROKEN, results, strict=True))
     assert {how: (outcome, value) for how, (outcome, value, _) in ends.items()} == dict.fromkeys(
         BROKEN, (Outcome.ERROR, None)
     )
@@ -191,12 +189,12 @@
 
 
 @pytest.mark.parametrize("piece", [1 << 20, 7])
-def test_what_stands_behind_a_whole_answer_spoils_neither_it_nor_the_next(piece: int) -> None:
+def test_bytes_after_a_complete_answer_affect_neither_it_nor_the_next(piece: int) -> None:
     good = hit(b"\r\n$4\r\n*3\r\n")
-    came = exchange_with([good + b"\x80noise", good + good, MISS + b"*", hit(b"mine")], piece=piece)
+    results = exchange_with([good + b"\x80noise", good + good, MISS + b"*", hit(b"mine")], piece=piece)
     value = b"\r\n$4\r\n*3\r\n"
     ends = [(Outcome.OK, value), (Outcome.OK, value), (Outcome.MISS, None), (Outcome.OK, b"mine")]
-    assert [(outcome, value) for outcome, value, _ in came] == ends
+    assert [(outcome, value) for outcome, value, _ in results] == ends
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -243,14 +241,14 @@
 
 
 @pytest.mark.parametrize("piece", [1 << 20, 3000])
-def test_answer_of_the_origin_whose_framing_is_broken_is_an_error(piece: int) -> None:
-    came = exchange_with(list(BROKEN_HTTP.values()), OriginConnection, piece)
-    ends = dict(zip(BROKEN_HTTP, came, strict=True))
+def test_invalid_framing_of_an_origin_s_answer_is_an_error(piece: int) -> None:
+    results = exchange_with(list(BROKEN_HTTP.values()), OriginConnection, piece)
+    ends = dict(zip(BROKEN_HTTP, results, strict=True))
     assert ends == dict.fromkeys(BROKEN_HTTP, (Outcome.ERROR, None, b""))
 
 
-def test_what_stands_behind_a_body_says_nothing_of_the_answer() -> None:
-    """`Not-Started: 1` proves that a write never ran: from a trailer, or told in two ways, it does not."""
+def test_trailers_and_duplicate_headers_do_not_mark_a_write_as_not_started() -> None:
+    """`Not-Started: 1` proves that a write never ran, but not in a trailer or with a contradicting header."""
     failed = b"HTTP/1.1 503 X\r\n"
     answers = [
         failed + FOUR + b"Not-Started: 1\r\n\r\nabcd",
@@ -258,16 +256,16 @@
         failed + b"Not-Started: 0\r\nNot-Started: 1\r\n" + FOUR + b"\r\nabcd",
         CHUNKED + b"4;x=y\r\nabcd\r\n0\r\nA: b\r\n\r\n",
     ]
-    came = [outcome for outcome, _, _ in exchange_with(answers, OriginConnection)]
-    assert came == [Outcome.FULL, Outcome.ERROR, Outcome.ERROR, Outcome.OK]
+    outcomes = [outcome for outcome, _, _ in exchange_with(answers, OriginConnection)]
+    assert outcomes == [Outcome.FULL, Outcome.ERROR, Outcome.ERROR, Outcome.OK]
 
 
 @pytest.mark.parametrize(
     "how",
     ["a length short of its bytes", "a report's end mark", "a long value whose end mark is another"],
 )
-def test_client_never_gets_a_value_whose_framing_is_broken(tmp_path: Path, how: str) -> None:
-    """Through the whole router; a long value that has begun ends with its connection, short of its end."""
+def test_client_never_receives_a_value_with_invalid_framing(tmp_path: Path, how: str) -> None:
+    """Through a complete router; a long value that has begun is cut off by closing the connection."""
     cache = Peer(lambda _, words: BROKEN[how] if words[1] == b"bad" else hit(words[2]))
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
@@ -275,23 +273,23 @@
         answer = client.ask(get("r2", "bad"))
         assert answer.startswith(b"cut off" if "long" in how else b"-"), answer
         other = router.client()
-        eventually(lambda: other.ask(get("r3", "good")) == b"r3", "another answer")
+        eventually(lambda: other.ask(get("r3", "good")) == b"r3", "a valid answer to another client")
 
 
 @pytest.mark.parametrize("pause", [False, True])
-def test_memcached_client_never_gets_every_byte_of_a_broken_answer(tmp_path: Path, pause: bool) -> None:
-    """Its wire has no end mark: with the last byte of the value it would take the value for whole."""
+def test_memcached_client_never_receives_every_byte_of_an_invalid_answer(tmp_path: Path, pause: bool) -> None:
+    """The protocol has no end mark: with the last byte of the value the client would accept the value."""
     long = hit(b"v" * 100_000)
     broken = long.replace(b"v\r\n", b"v\n\r")
-    whole = len(b"*3\r\n$100000\r\n") + 100_000
+    value_end = len(b"*3\r\n$100000\r\n") + 100_000
 
     def serve(connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[1] != b"bad":
             return long
-        connection.sendall(broken[:whole])
+        connection.sendall(broken[:value_end])
         if pause:
             assert read.wait(PATIENCE_S)
-        return broken[whole:]
+        return broken[value_end:]
 
     read, store = threading.Event(), Store()
     store.cache.close()
@@ -302,10 +300,10 @@
         assert client.answers(1)[0].value == b"v" * 100_000
         bad.send(Packet(Opcode.GET, b"bad", opaque=1))
         if pause:
-            came = len(bad.socket.recv(1))  # the value has begun, and what there is of it is on its way
+            received = len(bad.socket.recv(1))  # the value has begun, and the rest of the sent part follows
             end = encode(Packet(Opcode.GET, extras=bytes(4), value=b"v" * 100_000, opaque=1), RESPONSE_MAGIC)
-            while came < len(end) - 1:
-                came += len(bad.socket.recv(1 << 20))
+            while received < len(end) - 1:
+                received += len(bad.socket.recv(1 << 20))
             read.set()
         with pytest.raises((AssertionError, ConnectionResetError)):
             bad.answers(1)
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -1,7 +1,7 @@
-"""A close and bytes that come in the same moment: answers arrive whole, and nothing behind the end is taken.
+"""A connection is closed while bytes arrive: replies are complete, and later commands are not executed.
 
-The front of the router runs here in the test's own loop. What a client sends is waited for at the socket,
-with the loop standing still, so that it lies unread in the kernel when the router closes.
+The client side of the router runs in the event loop of the test. The test waits for the client's bytes at the
+socket while the loop is blocked, so that they are unread in the kernel when the router closes.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 LONG = b"v" * (1 << 20)
 
 
-class Taken:
-    """A host that keeps what it is given, and answers when it is told."""
+class RecordingHost:
+    """A host that records requests; the test answers them."""
 
     ready = True
 
@@ -60,15 +60,15 @@
         return [request.id for request, _ in self.requests]
 
 
-class Front:
-    """The clients' side of a router, its clients, and what it took."""
+class ClientSide:
+    """The client side of a router, with its clients and the recorded requests."""
 
-    def __init__(self, server: ClientServer, host: Taken, port: int) -> None:
+    def __init__(self, server: ClientServer, host: RecordingHost, port: int) -> None:
         self.server, self.host, self._port = server, host, port
         self._loop = asyncio.get_running_loop()
 
     async def client(self, small: bool = False) -> tuple[socket.socket, ClientConnection]:
-        """A client and the router's end of its connection; `small`: it takes little at a time."""
+        """Return a client and the router's end of its connection; `small`: with a small receive buffer."""
         known = set(self.server._connections)
         end = socket.socket()
         end.settimeout(PATIENCE_S)
@@ -87,7 +87,7 @@
         return await asyncio.get_running_loop().run_in_executor(None, end.recv, size)
 
     async def all_of(self, end: socket.socket) -> bytes:
-        """All that a client gets up to a clean end; raises ConnectionResetError if there is none."""
+        """Return all bytes up to a clean end; raises ConnectionResetError if the connection is reset."""
 
         def read() -> bytes:
             parts = []
@@ -98,138 +98,138 @@
         return await self._loop.run_in_executor(None, read)
 
 
-def unread(connection: ClientConnection) -> None:
-    """Wait until something of a client's lies in the kernel, while the loop stands still."""
+def wait_for_unread_bytes(connection: ClientConnection) -> None:
+    """Block the loop until bytes of the client are in the kernel."""
     assert connection.transport is not None
     handle = connection.transport.get_extra_info("socket").fileno()
     assert select.select([handle], [], [], PATIENCE_S)[0]
 
 
-def play(scene: Callable[[Front], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(scenario: Callable[[ClientSide], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
-        host = Taken()
+        host = RecordingHost()
         server = ClientServer(asyncio.get_running_loop(), host, RespDialect, LIMIT, 1 << 20)
         port = server.listen(("127.0.0.1", 0))
         async with asyncio.timeout(2 * PATIENCE_S):
-            await scene(Front(server, host, port))
+            await scenario(ClientSide(server, host, port))
         server.close()
         await asyncio.sleep(0)
 
     on_router_loop(run())
 
 
-def test_idle_close_that_crosses_a_request_ends_cleanly_and_takes_nothing() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
+def test_idle_close_during_a_request_ends_cleanly_without_executing_it() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
         end.sendall(get("a1"))
-        unread(connection)
+        wait_for_unread_bytes(connection)
         connection.finish(even_midway=False)
-        assert await front.all_of(end) == b""
-        assert front.host.ids == []
+        assert await side.all_of(end) == b""
+        assert side.host.ids == []
         end.close()
-        await front.until(lambda: not front.server.connected)
+        await side.until(lambda: not side.server.connected)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_last_answer_arrives_whole_over_a_request_behind_it() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client(small=True)
+def test_last_reply_arrives_completely_despite_a_later_request() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client(small=True)
         end.sendall(get("a1"))
-        await front.until(lambda: front.host.requests)
-        front.server.emptying = True
+        await side.until(lambda: side.host.requests)
+        side.server.emptying = True
         end.sendall(get("a2"))
-        unread(connection)
-        front.host.requests[0][1].served(LONG)
-        assert await front.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
-        assert front.host.ids == [b"a1"]
-        assert front.host.gone == []
+        wait_for_unread_bytes(connection)
+        side.host.requests[0][1].served(LONG)
+        assert await side.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+        assert side.host.ids == [b"a1"]
+        assert side.host.gone == []
         end.close()
-        await front.until(lambda: not front.server.connected)
+        await side.until(lambda: not side.server.connected)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_word_on_a_malformed_command_arrives_over_what_stands_behind_it() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client(small=True)
+def test_error_reply_to_a_malformed_command_arrives_despite_later_commands() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client(small=True)
         end.sendall(get("a1") + b"?never a command\r\n")
-        await front.until(lambda: connection._dialect.broken)
-        end.sendall(get("a2") * 100)  # nothing is read any more: it lies in the kernel at the close
-        unread(connection)
-        front.host.requests[0][1].served(LONG)
-        told = await front.all_of(end)
-        assert told.startswith(b"$%d\r\n%b\r\n-ERR Protocol error" % (len(LONG), LONG))
-        assert front.host.ids == [b"a1"]
+        await side.until(lambda: connection._dialect.broken)
+        end.sendall(get("a2") * 100)  # no longer read: it is in the kernel at the close
+        wait_for_unread_bytes(connection)
+        side.host.requests[0][1].served(LONG)
+        received = await side.all_of(end)
+        assert received.startswith(b"$%d\r\n%b\r\n-ERR Protocol error" % (len(LONG), LONG))
+        assert side.host.ids == [b"a1"]
         end.close()
-        await front.until(lambda: not front.server.connected)
+        await side.until(lambda: not side.server.connected)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_commands_that_were_read_with_a_refused_one_are_served_before_the_end() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
+def test_commands_read_together_with_a_rejected_one_are_served_before_the_close() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
         end.sendall(get("a1"))
-        await front.until(lambda: front.host.requests)
-        front.server.emptying = True
-        front.host.requests[0][1].served(b"one")
-        other, beside = await front.client()
+        await side.until(lambda: side.host.requests)
+        side.server.emptying = True
+        side.host.requests[0][1].served(b"one")
+        other, other_connection = await side.client()
         half = get("b1")[:20]
         other.sendall(half)
-        await front.until(lambda: beside._dialect.need)
-        beside.carried = True  # it had been used before, and is within a command as the drain begins
+        await side.until(lambda: other_connection._dialect.need)
+        other_connection.carried = True  # used before, and within a command when the drain begins
         connection.finish(even_midway=False)
-        beside.finish(even_midway=False)
-        # Of two commands in one read the first has its answer at once; the second was taken with it.
+        other_connection.finish(even_midway=False)
+        # Of the commands in one read, the invalid one is answered at once; the one after it is executed too.
         other.sendall(get("b1")[20:] + bulk(b"NO", b"SUCH") + get("b2"))
-        await front.until(lambda: len(front.host.requests) == 3)
-        front.host.requests[1][1].served(b"two")
-        front.host.requests[2][1].served(b"three")
-        told = await front.all_of(other)
-        assert told.startswith(b"$3\r\ntwo\r\n-ERR ")
-        assert told.endswith(b"$5\r\nthree\r\n")
-        assert front.host.gone == []
-        assert await front.all_of(end) == b"$3\r\none\r\n"
-
-    play(scene)
-
-
-def test_refused_command_does_not_end_the_connection_under_the_next_of_its_read() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
-        connection.carried = front.server.emptying = True
+        await side.until(lambda: len(side.host.requests) == 3)
+        side.host.requests[1][1].served(b"two")
+        side.host.requests[2][1].served(b"three")
+        received = await side.all_of(other)
+        assert received.startswith(b"$3\r\ntwo\r\n-ERR ")
+        assert received.endswith(b"$5\r\nthree\r\n")
+        assert side.host.gone == []
+        assert await side.all_of(end) == b"$3\r\none\r\n"
+
+    run_scenario(scenario)
+
+
+def test_rejected_command_does_not_close_the_connection_before_the_next_of_its_read() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
+        connection.carried = side.server.emptying = True
         end.sendall(bulk(b"NO", b"SUCH") + get("a1"))
-        await front.until(lambda: front.host.requests)
+        await side.until(lambda: side.host.requests)
         assert not connection.closed
-        front.host.requests[0][1].served(b"one")
-        told = await front.all_of(end)
-        assert told.startswith(b"-ERR ")
-        assert told.endswith(b"$3\r\none\r\n")
+        side.host.requests[0][1].served(b"one")
+        received = await side.all_of(end)
+        assert received.startswith(b"-ERR ")
+        assert received.endswith(b"$3\r\none\r\n")
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_client_that_never_ends_is_closed_after_a_bound() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
+def test_client_that_never_closes_is_closed_after_a_time_limit() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
         connection.finish(even_midway=False)
-        assert await front.all_of(end) == b""
+        assert await side.all_of(end) == b""
         now = asyncio.get_running_loop().time()
-        front.server.lingering.check(now + LINGER_S / 2)
-        assert front.server.connected == 1
-        front.server.lingering.check(now + LINGER_S)
-        await front.until(lambda: not front.server.connected)
+        side.server.lingering.check(now + LINGER_S / 2)
+        assert side.server.connected == 1
+        side.server.lingering.check(now + LINGER_S)
+        await side.until(lambda: not side.server.connected)
         end.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_client_that_sends_without_end_is_read_to_a_bound() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
+def test_client_that_sends_endlessly_is_read_up_to_a_limit() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
         connection.finish(even_midway=False)
-        assert await front.all_of(end) == b""
+        assert await side.all_of(end) == b""
 
         def flood() -> int:
             sent = 0
@@ -241,114 +241,118 @@
             return sent
 
         assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * LINGER_BYTES
-        await front.until(lambda: not front.server.connected)
+        await side.until(lambda: not side.server.connected)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_slow_client_keeps_its_time_to_take_the_last_answer() -> None:
-    async def scene(front: Front) -> None:
-        end, _ = await front.client(small=True)
+def test_slow_client_has_time_to_receive_the_last_reply() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, _ = await side.client(small=True)
         end.sendall(get("a1"))
-        await front.until(lambda: front.host.requests)
-        front.server.emptying = True
-        front.host.requests[0][1].served(LONG)
+        await side.until(lambda: side.host.requests)
+        side.server.emptying = True
+        side.host.requests[0][1].served(LONG)
         now = asyncio.get_running_loop().time()
         for later in (LINGER_S, STALL_S / 2):
-            front.server.lingering.check(now + later)
-        assert await front.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+            side.server.lingering.check(now + later)
+        assert await side.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_room_is_made_by_the_one_longest_idle_that_loses_nothing() -> None:
-    async def scene(front: Front) -> None:
-        full, at_work = await front.client(small=True)
-        asking, asked = await front.client()
-        idle, rests = await front.client()
-        full.sendall(get("a1"))
-        await front.until(lambda: front.host.requests)
-        front.host.requests[0][1].served(LONG)  # more than its client takes now
-        await front.until(lambda: at_work.idle)
+def test_connection_limit_closes_the_longest_idle_connection_without_unread_requests() -> None:
+    async def scenario(side: ClientSide) -> None:
+        slow, busy_connection = await side.client(small=True)
+        asking, asking_connection = await side.client()
+        idle, idle_connection = await side.client()
+        slow.sendall(get("a1"))
+        await side.until(lambda: side.host.requests)
+        side.host.requests[0][1].served(LONG)  # more than the client receives now
+        await side.until(lambda: busy_connection.idle)
         now = asyncio.get_running_loop().time()
-        at_work.used_at, asked.used_at, rests.used_at = now - 0.03, now - 0.02, now - 0.01
-        rests.came_at = asked.came_at = now - FRESH_S
-        # A new client comes in the same turn of the loop in which a request lies unread.
+        busy_connection.used_at, asking_connection.used_at, idle_connection.used_at = (
+            now - 0.03,
+            now - 0.02,
+            now - 0.01,
+        )
+        idle_connection.came_at = asking_connection.came_at = now - FRESH_S
+        # A new client connects in the loop iteration in which a request of another client is unread.
         asking.sendall(get("a2"))
-        unread(asked)
-        new, _ = await front.client()
-        assert rests.closed
-        assert await front.all_of(idle) == b""
+        wait_for_unread_bytes(asking_connection)
+        new, _ = await side.client()
+        assert idle_connection.closed
+        assert await side.all_of(idle) == b""
         new.sendall(get("a3"))
-        await front.until(lambda: len(front.host.requests) == 3)
-        for _, reply in front.host.requests[1:]:
+        await side.until(lambda: len(side.host.requests) == 3)
+        for _, reply in side.host.requests[1:]:
             reply.served(b"v")
         assert await asyncio.get_running_loop().run_in_executor(None, asking.recv, 99) == b"$1\r\nv\r\n"
         assert await asyncio.get_running_loop().run_in_executor(None, new.recv, 99) == b"$1\r\nv\r\n"
-        front.server.emptying = True
-        at_work.finish(even_midway=False)
-        assert await front.all_of(full) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+        side.server.emptying = True
+        busy_connection.finish(even_midway=False)
+        assert await side.all_of(slow) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_connection_that_has_just_come_is_not_closed_before_its_request_can_be_there() -> None:
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
-        front.server.finish(even_midway=False)
+def test_new_connection_is_not_closed_before_its_first_request_can_arrive() -> None:
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
+        side.server.finish(even_midway=False)
         assert not connection.evictable
         end.sendall(get("r1"))
-        await front.until(lambda: front.host.requests)
-        front.host.requests[0][1].served(b"v")
-        assert await front.read(end, 8) == b"$1\r\nv\r\n"
-        late, connection = await front.client()
+        await side.until(lambda: side.host.requests)
+        side.host.requests[0][1].served(b"v")
+        assert await side.read(end, 8) == b"$1\r\nv\r\n"
+        late, connection = await side.client()
         await asyncio.sleep(FRESH_S)
         assert connection.evictable
-        front.server.finish(even_midway=False)
-        assert await front.all_of(late) == b""
+        side.server.finish(even_midway=False)
+        assert await side.all_of(late) == b""
         end.close()
         late.close()
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_connections_that_only_linger_make_room_first() -> None:
-    async def scene(front: Front) -> None:
-        ends = [await front.client() for _ in range(LIMIT)]
+def test_connection_limit_closes_lingering_connections_first() -> None:
+    async def scenario(side: ClientSide) -> None:
+        ends = [await side.client() for _ in range(LIMIT)]
         ends[0][1].finish(even_midway=False)
-        assert len(front.server.lingering) == 1
-        await front.client()
-        assert len(front.server.lingering) == 0
+        assert len(side.server.lingering) == 1
+        await side.client()
+        assert len(side.server.lingering) == 0
         assert not any(connection.closed for _, connection in ends[1:])
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("ends", ["close", "half"])
-def test_client_that_leaves_unread_is_noticed_within_a_tenth_of_a_second(ends: str) -> None:
-    """The bound is the timer's own; a loop that is late shifts it, so two looks are allowed here."""
+def test_disconnect_is_noticed_within_a_tenth_of_a_second_while_reading_is_paused(ends: str) -> None:
+    """The bound is that of the polling timer; as the loop can be late, two polls are allowed."""
 
-    async def scene(front: Front) -> None:
-        end, connection = await front.client()
+    async def scenario(side: ClientSide) -> None:
+        end, connection = await side.client()
         end.sendall(b"".join(get(f"a{i}") for i in range(MAX_PIPELINE + 5)))
-        await front.until(lambda: not connection._reading)
+        await side.until(lambda: not connection._reading)
         if ends == "close":
             end.close()
         else:
             end.shutdown(socket.SHUT_WR)
-        await front.until(lambda: connection.closed)
-        assert len(front.host.gone) == len(front.host.requests)
+        await side.until(lambda: connection.closed)
+        assert len(side.host.gone) == len(side.host.requests)
         assert 2 * LOOK_S < 0.1
-        assert not front.server.unread._held
+        assert not side.server.unread._held
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_small_writes_are_not_held_back_by_the_system() -> None:
-    async def scene(front: Front) -> None:
-        _, connection = await front.client()
+def test_small_writes_are_sent_without_delay() -> None:
+    async def scenario(side: ClientSide) -> None:
+        _, connection = await side.client()
         assert connection.transport is not None
-        ours = connection.transport.get_extra_info("socket")
-        assert ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        router_socket = connection.transport.get_extra_info("socket")
+        assert router_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play(scene)
+    run_scenario(scenario)
--- a/tests/crossings/test_gone_clients.py
+++ b/tests/crossings/test_disconnected_clients.py
@@ -1,6 +1,6 @@
-"""Clients that leave while something waits on their account: nothing more is sent for them.
+"""Clients that disconnect while their requests wait: no further requests are sent for them.
 
-What they wait for is held back by the stand-ins until the router has noticed that they left.
+The stand-in servers delay their answers until the router has noticed the disconnect.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
     routed,
 )
 
-LONG = 60_000  # milliseconds: longer than anything is waited for here
-WRITES_THAT_FAIL = 20  # far more than it takes for the origin to count as in trouble
+LONG_MS = 60_000  # longer than any wait in these tests
+FAILING_WRITES = 20  # far more than the number after which the origin is limited
 
 
-class HeldBack:
-    """A cache that answers each read with its id once it is let go, and PING at any time."""
+class DelayedCache:
+    """A cache server that answers each read with its request id once `let_go` is set."""
 
     def __init__(self) -> None:
         self.let_go = threading.Event()
@@ -43,13 +43,13 @@
         assert self.let_go.wait(PATIENCE_S)
         return hit(words[2])
 
-    def asked_for(self, of: str) -> list[bytes]:
-        """The ids of one client's requests that came here."""
-        return [words[2] for words in self.peer.seen if words[2].startswith(of.encode())]
+    def received_from(self, client: str) -> list[bytes]:
+        """Return the ids of the requests of one client that arrived here."""
+        return [words[2] for words in self.peer.seen if words[2].startswith(client.encode())]
 
 
-def held_origin(let_go: threading.Event) -> Peer:
-    """An origin that answers each read with its key once it is let go."""
+def delayed_origin(let_go: threading.Event) -> Peer:
+    """Return an origin that answers each read with its key once `let_go` is set."""
 
     def fetch(_: socket.socket, message: list[bytes]) -> bytes:
         assert let_go.wait(PATIENCE_S)
@@ -66,82 +66,82 @@
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def fill(router: Routed, cache: HeldBack) -> Client:
-    """Take every connection that the one server may have."""
+def fill(router: Routed, cache: DelayedCache) -> Client:
+    """Occupy all connections to the only server with requests; return their client."""
     busy = router.client()
-    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
-    eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are taken")
+    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
+    eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are in use")
     return busy
 
 
-@pytest.mark.parametrize("leave", [close, half_close])
-def test_request_in_a_server_s_queue_is_not_sent_once_its_client_left(
-    tmp_path: Path, leave: Callable[[Client], None]
+@pytest.mark.parametrize("disconnect", [close, half_close])
+def test_request_in_a_server_s_queue_is_not_sent_after_its_client_disconnects(
+    tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
-    cache = HeldBack()
+    cache = DelayedCache()
     with routed(tmp_path, {"s1": cache.peer}) as router:
-        busy, leaver, stayer = fill(router, cache), router.client(), router.client()
-        leaver.send(get("gone1", "g", LONG))
+        busy, disconnecting, staying = fill(router, cache), router.client(), router.client()
+        disconnecting.send(get("gone1", "g", LONG_MS))
         router.until("current", PER_SERVER + 1)
-        stayer.send(get("stays", "s", LONG))
+        staying.send(get("stays", "s", LONG_MS))
         router.until("current", PER_SERVER + 2)
-        leave(leaver)
+        disconnect(disconnecting)
         router.until("current", PER_SERVER + 1)
         cache.let_go.set()
         assert [busy.answer() for _ in range(PER_SERVER)] == [b"busy%d" % i for i in range(PER_SERVER)]
-        assert stayer.answer() == b"stays", "it waited behind the one that left"
-        assert cache.asked_for("gone") == []
+        assert staying.answer() == b"stays", "the request queued after the cancelled one is served"
+        assert cache.received_from("gone") == []
 
 
-@pytest.mark.parametrize("leave", [close, half_close])
-def test_client_whose_connection_is_not_read_just_now_is_seen_to_leave(
-    tmp_path: Path, leave: Callable[[Client], None]
+@pytest.mark.parametrize("disconnect", [close, half_close])
+def test_disconnect_is_noticed_while_the_connection_is_not_read(
+    tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
-    cache = HeldBack()
+    cache = DelayedCache()
     with routed(tmp_path, {"s1": cache.peer}) as router:
-        leaver = router.client()
-        many = MAX_PIPELINE + 10  # past which the router reads no more until it has answered
-        leaver.send(b"".join(get(f"gone{i}", f"g{i}", LONG) for i in range(many)))
-        eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are taken")
-        leave(leaver)
+        disconnecting = router.client()
+        many = MAX_PIPELINE + 10  # beyond this limit the router stops reading until it has answered
+        disconnecting.send(b"".join(get(f"gone{i}", f"g{i}", LONG_MS) for i in range(many)))
+        eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are in use")
+        disconnect(disconnecting)
         router.until("current", 0)
         cache.let_go.set()
         other = router.client()
         assert other.ask(get("other")) == b"other"
-        assert len(cache.asked_for("gone")) == PER_SERVER
+        assert len(cache.received_from("gone")) == PER_SERVER
 
 
-def test_fetch_of_a_client_that_left_goes_on_for_those_who_wait_for_it(tmp_path: Path) -> None:
+def test_fetch_continues_for_waiting_clients_after_its_first_client_disconnects(tmp_path: Path) -> None:
     let_go = threading.Event()
-    cache, origin = Peer(lambda _, words: MISS), held_origin(let_go)
+    cache, origin = Peer(lambda _, words: MISS), delayed_origin(let_go)
     with routed(tmp_path, {"s1": cache}, origin) as router:
         leader, waiter = router.client(), router.client()
-        leader.send(get("leader", "k", LONG))
+        leader.send(get("leader", "k", LONG_MS))
         eventually(lambda: origin.seen, "the fetch")
-        waiter.send(get("waiter", "k", LONG))
+        waiter.send(get("waiter", "k", LONG_MS))
         eventually(lambda: len(cache.seen) == 2, "the second miss")
         router.until("current", 2)
         leader.close()
         router.until("current", 1)
-        # A second fetch would be under way by now: a request after it on a new key shows the way there.
+        # A later request for another key has reached the origin, so a second fetch of `k` would have too.
         other = router.client()
-        other.send(get("other", "k2", LONG))
+        other.send(get("other", "k2", LONG_MS))
         eventually(lambda: [m for m in origin.seen if m[1] == b"/k2"], "the other fetch")
         assert len([m for m in origin.seen if m[1] == b"/k"]) == 1
         let_go.set()
         assert waiter.answer() == b"k"
 
 
-def test_fetch_that_waits_for_a_connection_passes_to_the_next_when_its_client_leaves(tmp_path: Path) -> None:
+def test_queued_fetch_passes_to_the_next_client_when_its_client_disconnects(tmp_path: Path) -> None:
     let_go = threading.Event()
-    cache, origin = Peer(lambda _, words: MISS), held_origin(let_go)
+    cache, origin = Peer(lambda _, words: MISS), delayed_origin(let_go)
     with routed(tmp_path, {"s1": cache}, origin) as router:
         busy, leader, waiter = router.client(), router.client(), router.client()
-        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
-        eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are taken")
-        leader.send(get("leader", "k", LONG))
+        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
+        eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are in use")
+        leader.send(get("leader", "k", LONG_MS))
         eventually(lambda: len(cache.seen) == PER_SERVER + 1, "the leader's miss")
-        waiter.send(get("waiter", "k", LONG))
+        waiter.send(get("waiter", "k", LONG_MS))
         eventually(lambda: len(cache.seen) == PER_SERVER + 2, "the waiter's miss")
         router.until("current", PER_SERVER + 2)
         leader.close()
@@ -151,7 +151,7 @@
         assert not [m for m in origin.seen if b"Request-Id: leader" in m[2]]
 
 
-def test_write_behind_another_of_its_key_is_not_sent_once_its_client_left(tmp_path: Path) -> None:
+def test_write_queued_behind_another_of_its_key_is_not_sent_after_a_disconnect(tmp_path: Path) -> None:
     let_go = threading.Event()
 
     def write(_: socket.socket, message: list[bytes]) -> bytes:
@@ -163,20 +163,20 @@
 
     origin = Peer(write, is_http=True)
     with routed(tmp_path, {}, origin) as router:
-        leaver = router.client()
-        leaver.send(put(b"gone1") + put(b"gone2"))
+        disconnecting = router.client()
+        disconnecting.send(put(b"gone1") + put(b"gone2"))
         eventually(lambda: origin.seen, "the first write")
         router.until("current", 2)
-        leaver.close()
+        disconnecting.close()
         router.until("current", 0)
         let_go.set()
         assert router.client().ask(put(b"other")) == b"receipt"
         assert not [m for m in origin.seen if b"Request-Id: gone2" in m[2]]
 
 
-@pytest.mark.parametrize("leave", [close, half_close])
-def test_write_held_by_the_origin_s_width_is_not_sent_once_its_client_left(
-    tmp_path: Path, leave: Callable[[Client], None]
+@pytest.mark.parametrize("disconnect", [close, half_close])
+def test_write_queued_by_the_origin_limit_is_not_sent_after_a_disconnect(
+    tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
     let_go, failing = threading.Event(), threading.Event()
     failing.set()
@@ -187,7 +187,7 @@
         assert let_go.wait(PATIENCE_S)
         return http_answer(200, b"receipt")
 
-    def put(name: str, d: int = LONG) -> bytes:
+    def put(name: str, d: int = LONG_MS) -> bytes:
         return bulk(b"KV.SET", name.encode(), name.encode(), f"c=put,t=acme,d={d},k={name}".encode(), b"v")
 
     def sent(name: str) -> bool:
@@ -196,21 +196,21 @@
     origin = Peer(write, is_http=True)
     with routed(tmp_path, {}, origin) as router:
         failed = router.client()
-        for n in range(WRITES_THAT_FAIL):  # one at a time, until no more than one is sent at a time
+        for n in range(FAILING_WRITES):  # one after another, until the router sends only one at a time
             assert failed.ask(put(f"failed{n}", d=300)).startswith(b"-")
         failing.clear()
-        first, leaver, stayer = router.client(), router.client(), router.client()
+        first, disconnecting, staying = router.client(), router.client(), router.client()
         first.send(put("first"))
         eventually(lambda: sent("first"), "the first write is at the origin")
-        # The newest of those held goes first: the one that leaves stands ahead of the one that stays.
-        stayer.send(put("stays"))
+        # The newest queued write is sent first, so the cancelled write precedes the other one.
+        staying.send(put("stays"))
         router.until("current", 2)
-        leaver.send(put("gone"))
+        disconnecting.send(put("gone"))
         router.until("current", 3)
-        leave(leaver)
+        disconnect(disconnecting)
         router.until("current", 2)
-        assert not sent("stays"), "it is held, as the one that left was"
+        assert not sent("stays"), "the write is queued, as the cancelled one was"
         let_go.set()
         assert first.answer() == b"receipt"
-        assert stayer.answer() == b"receipt"
+        assert staying.answer() == b"receipt"
         assert not sent("gone")
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -1,6 +1,6 @@
-"""What may come before a change of the list, and that it is acted on in time whatever came.
+"""Changes of the server list take effect in time, whatever failures of discovery came before.
 
-Discovery is a stand-in over real sockets, call by call as the test says; the clock jumps (jumping.py).
+Discovery is a scripted stand-in over real sockets; the clock is virtual (virtual_time.py).
 """
 
 from __future__ import annotations
@@ -19,21 +19,21 @@
 from saltport.membership.listing import Listing
 from saltport.membership.registry import Discovery
 from saltport.membership.start_times import StartTimes
-from tests.crossings.jumping import pass_time, play
+from tests.crossings.virtual_time import advance_time, run_scenario
 
 ASK_WITHIN_S = 10.0
 SLOW_S = 3.0
 ROUND_S = 0.01  # the loop's own rounding
-BAD = ("hangs", "is reset", "is refused", "can't be read", "is cut off")
+FAILURES = ("hangs", "is reset", "is refused", "can't be read", "is cut off")
 
 
 def entry(name: str, lifecycle: str = "up") -> dict[str, object]:
-    told = {"instanceId": name, "hostPort": "127.0.0.1:1", "lifecycle": lifecycle}
-    return {**told, "weight": 1.0, "startedAtMs": 0}
+    fields = {"instanceId": name, "hostPort": "127.0.0.1:1", "lifecycle": lifecycle}
+    return {**fields, "weight": 1.0, "startedAtMs": 0}
 
 
 class Scripted:
-    """Discovery, whose first calls go as told and whose later ones go well."""
+    """Discovery whose first calls go as the script says and whose later calls succeed."""
 
     def __init__(self, script: Sequence[str]) -> None:
         self._script = list(script)
@@ -41,19 +41,19 @@
         self.instances = [entry("old")]
         self.changed = asyncio.Event()
         self.calls: list[tuple[float, str]] = []
-        """When each began, and its target."""
-        self.bad_at = 0.0
-        """When the last call that went badly began."""
-        self.waits_end = 0.0
-        """When the wait of the last silent watch was over."""
+        """The start time and the target of each call."""
+        self.failed_at = 0.0
+        """Start time of the last call that failed."""
+        self.wait_ended_at = 0.0
+        """End of the wait time of the last watch that got no answer."""
         self.indented = False
         self.answer_first = False
-        """Of the answer and the call's time-out, that come in one turn."""
-        self.whole_s = 0.0
-        """In which a call for the whole list has to be answered."""
+        """Whether the answer precedes the time-out of its call if both come in one loop iteration."""
+        self.full_list_s = 0.0
+        """Time-out of a call for the full list."""
         self.connections: set[asyncio.StreamWriter] = set()
         self.outage = ""
-        """How all calls go for now, whatever was told; empty: as told."""
+        """How all calls go for now, instead of the script; empty: as the script says."""
 
     async def listen(self) -> int:
         server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -74,8 +74,8 @@
                 self.calls.append((loop.time(), target))
                 how = self.outage or (self._script.pop(0) if self._script else "goes well")
                 if how != "goes well":
-                    self.bad_at = loop.time()
-                    self.waits_end = loop.time() + wait_s
+                    self.failed_at = loop.time()
+                    self.wait_ended_at = loop.time() + wait_s
                 if how == "hangs":
                     await asyncio.sleep(10_000)
                 elif how == "is slow":
@@ -103,40 +103,40 @@
             writer.close()
 
     async def _with_the_time_out(self, target: str, wait_s: float, writer: asyncio.StreamWriter) -> None:
-        """Answer in the turn of the loop in which the call's time is over."""
+        """Answer in the loop iteration in which the call times out."""
         loop = asyncio.get_running_loop()
-        call_s = wait_s + registry.SLACK_S if wait_s else self.whole_s
+        call_s = wait_s + registry.SLACK_S if wait_s else self.full_list_s
         due = loop.time() + call_s
         if self.answer_first:
             await asyncio.sleep(call_s - ROUND_S)
             body = await self._answer(target, 0.0)
             writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-            pass_time(2 * ROUND_S)  # before the loop has looked at the kernel again
+            advance_time(2 * ROUND_S)  # before the loop polls the sockets again
         else:
             await asyncio.sleep(call_s - 2 * ROUND_S)
             body = await self._answer(target, 0.0)
             answer = b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
             loop.call_at(due + ROUND_S, writer.write, answer)
-            pass_time(4 * ROUND_S)  # so that both are due in the next turn, the time-out ahead
+            advance_time(4 * ROUND_S)  # both are due in the next iteration, the time-out first
 
     async def _answer(self, target: str, wait_s: float) -> bytes:
-        whole = "index=" not in target
-        index = -1 if whole else int(target.split("index=")[1].split("&")[0])
-        if not whole and self.generation <= index:
+        is_full = "index=" not in target
+        index = -1 if is_full else int(target.split("index=")[1].split("&")[0])
+        if not is_full and self.generation <= index:
             self.changed.clear()
             with suppress(TimeoutError):
                 await asyncio.wait_for(self.changed.wait(), wait_s)
         entries = self.instances if self.generation > index else []
-        body = {"generation": self.generation, "reset": whole, "instances": entries, "unknown": [1]}
+        body = {"generation": self.generation, "reset": is_full, "instances": entries, "unknown": [1]}
         return json.dumps(body, indent=2 if self.indented else None).encode()
 
 
 class Follower:
-    """What a router knows: the servers told of last, and when it was told of the new one."""
+    """A router's view of discovery: when it received each server first."""
 
     def __init__(self, port: int, asked: bool, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.told_at: dict[str, float] = {}
+        self.received_at: dict[str, float] = {}
         self.new = asyncio.Event()
         self.failures = 0
         self.rng = random.Random(seed)
@@ -146,29 +146,33 @@
 
     def _take(self, listing: Listing) -> None:
         for server in listing.change.servers:
-            self.told_at.setdefault(server.id, self.loop.time())
+            self.received_at.setdefault(server.id, self.loop.time())
             if server.id == "new":
                 self.new.set()
 
     def _failed(self) -> None:
-        """As the decision module does: it asks again after up to half of what the settings allow."""
+        """Subscribe again after half of the allowed time; the decision module waits no longer than that."""
         self.failures += 1
         self.loop.call_later(ASK_WITHIN_S / 2, self.discovery.subscribe)
 
 
-def test_the_budget_is_within_the_terms() -> None:
+def test_sum_of_call_times_is_within_the_allowed_delay() -> None:
     r = registry
     calls = 2 * (r.RETRY_S + r.CALL_S)
     assert r.PUSHED_WAIT_S + r.SLACK_S + calls + r.LATE_S <= r.TERM_S
     assert r.SLACK_S + r.CALL_S + r.LATE_S <= r.SILENT_S + 1e-9
     assert r.AGAIN_S + r.ASKED_CALL_S + r.LATE_S <= r.TERM_S
-    assert r.RETRY_S < 0.2, "or a watch does not go on"
+    assert r.RETRY_S < 0.2, "otherwise a watch would not continue"
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
-@pytest.mark.parametrize("before", [*product(BAD), *product(BAD, BAD), *product(BAD, BAD, BAD)], ids="+".join)
-def test_change_is_acted_on_in_time_whatever_calls_came_before(before: tuple[str, ...], asked: bool) -> None:
-    async def scene() -> None:
+@pytest.mark.parametrize(
+    "before",
+    [*product(FAILURES), *product(FAILURES, FAILURES), *product(FAILURES, FAILURES, FAILURES)],
+    ids="+".join,
+)
+def test_change_takes_effect_in_time_after_any_failed_calls(before: tuple[str, ...], asked: bool) -> None:
+    async def scenario() -> None:
         peer = Scripted(["goes well", *before])
         follower = Follower(await peer.listen(), asked, seed=len(peer.calls))
         if asked:
@@ -177,16 +181,16 @@
             follower.discovery.start()
         while len(peer.calls) < 1 + len(before):
             await asyncio.sleep(0.05)
-        # From the beginning of the last call that goes badly on, any other would go well.
+        # From the start of the last failing call, any other call would succeed.
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        allowed = peer.bad_at + registry.TERM_S
+        allowed = peer.failed_at + registry.TERM_S
         if before[-1] == "hangs":
-            allowed = max(allowed, peer.waits_end + registry.SILENT_S if asked else 0.0)
-        assert follower.told_at["new"] <= allowed + ROUND_S
+            allowed = max(allowed, peer.wait_ended_at + registry.SILENT_S if asked else 0.0)
+        assert follower.received_at["new"] <= allowed + ROUND_S
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
@@ -194,7 +198,7 @@
 def test_discovery_that_answers_each_call_after_three_seconds_is_followed(
     after_s: float, asked: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         peer = Scripted(["is slow"] * 1000)
         follower = Follower(await peer.listen(), asked, seed=int(after_s * 10))
         if asked:
@@ -205,63 +209,63 @@
         peer.change()
         changed_at = follower.loop.time()
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.told_at["new"] <= changed_at + registry.TERM_S
+        assert follower.received_at["new"] <= changed_at + registry.TERM_S
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
 @pytest.mark.parametrize("how", ["hangs", "is reset", "is refused"])
 @pytest.mark.parametrize("down_s", [0.5, 8.0, 120.0, 600.0])
-def test_outage_after_ten_quiet_minutes_is_followed_by_a_change_in_time(
-    down_s: float, how: str, asked: bool
-) -> None:
-    async def scene() -> None:
+def test_change_after_an_outage_takes_effect_in_time(down_s: float, how: str, asked: bool) -> None:
+    async def scenario() -> None:
         peer = Scripted([])
         follower = Follower(await peer.listen(), asked, seed=int(down_s))
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         await asyncio.sleep(600.0)
-        for _ in range(2):  # and once more, soon after
+        for _ in range(2):  # a second outage follows soon after the first
             peer.outage = how
             for connection in list(peer.connections):
                 if how != "hangs":
                     connection.transport.abort()
             await asyncio.sleep(down_s)
             peer.outage = ""
-            back_at = follower.loop.time()
+            recovered_at = follower.loop.time()
             follower.new.clear()
-            follower.told_at.clear()
+            follower.received_at.clear()
             peer.change()
             await asyncio.wait_for(follower.new.wait(), 100)
-            allowed = back_at + registry.TERM_S
+            allowed = recovered_at + registry.TERM_S
             if how == "hangs" and asked:
-                allowed = max(allowed, peer.waits_end + registry.SILENT_S)
-            assert follower.told_at["new"] <= allowed + ROUND_S
+                allowed = max(allowed, peer.wait_ended_at + registry.SILENT_S)
+            assert follower.received_at["new"] <= allowed + ROUND_S
             await asyncio.sleep(3.0)
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
-def test_late_answer_is_not_taken_over_a_later_one() -> None:
-    async def scene() -> None:
+def test_late_answer_does_not_replace_a_newer_one() -> None:
+    async def scenario() -> None:
         peer = Scripted(["is slow"])
         follower = Follower(await peer.listen(), False, seed=1)
         follower.discovery.start()
         await asyncio.sleep(0.5)
         peer.change()
         await asyncio.sleep(registry.TERM_S)
-        assert "new" in follower.told_at
-        assert "old" not in follower.told_at, "what the slow call had is older than what a later one brought"
+        assert "new" in follower.received_at
+        assert "old" not in follower.received_at, (
+            "the answer of the slow call is older than that of a later call"
+        )
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("seed", range(5))
-def test_silent_watch_of_an_asked_discovery_is_opened_anew_two_seconds_after_its_wait(seed: int) -> None:
-    async def scene() -> None:
+def test_unanswered_watch_of_an_asked_discovery_is_reopened_two_seconds_after_its_wait(seed: int) -> None:
+    async def scenario() -> None:
         peer = Scripted(["goes well", "hangs"])
         follower = Follower(await peer.listen(), True, seed)
         follower.discovery.subscribe()
@@ -269,23 +273,27 @@
             await asyncio.sleep(0.05)
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.told_at["new"] <= peer.waits_end + registry.SILENT_S - registry.LATE_S + ROUND_S
-        assert follower.failures == 0, "one call at once: the module's pause is for a discovery that fails"
+        assert (
+            follower.received_at["new"] <= peer.wait_ended_at + registry.SILENT_S - registry.LATE_S + ROUND_S
+        )
+        assert follower.failures == 0, (
+            "the next call starts at once; the decision module's pause is only for failures"
+        )
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
-def test_discovery_that_counts_anew_is_followed_from_its_whole_list(asked: bool) -> None:
-    async def scene() -> None:
+def test_discovery_with_a_reset_generation_is_followed_from_its_full_list(asked: bool) -> None:
+    async def scenario() -> None:
         peer = Scripted([])
         peer.generation = 41
         follower = Follower(await peer.listen(), asked, 1)
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         while len(peer.calls) < 2:
             await asyncio.sleep(0.05)
-        peer.generation = 3  # restarted: a watch from 41 hears of nothing newer
+        peer.generation = 3  # restarted: a watch from generation 41 gets no newer one
         peer.change()
         for writer in peer.connections:
             writer.transport.abort()
@@ -293,13 +301,13 @@
         assert follower.discovery.generation == 4
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
 @pytest.mark.parametrize("watching", [False, True])
-def test_another_address_is_asked_at_once_and_for_the_whole_list(asked: bool, watching: bool) -> None:
-    async def scene() -> None:
+def test_new_address_is_asked_at_once_for_the_full_list(asked: bool, watching: bool) -> None:
+    async def scenario() -> None:
         first, second = Scripted(["goes well"] + ([] if watching else ["is refused"] * 99)), Scripted([])
         first.generation, second.generation = 41, 2
         second.instances = [entry("new")]
@@ -311,35 +319,35 @@
         moved = follower.loop.time()
         follower.discovery.move(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.told_at["new"] - moved <= ROUND_S
+        assert follower.received_at["new"] - moved <= ROUND_S
         assert second.calls[0][1] == registry.LIST_PATH
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
-def test_moved_while_a_long_list_is_being_taken_ends_with_the_new_one() -> None:
-    async def scene() -> None:
+def test_change_of_address_while_a_long_list_is_applied_ends_with_the_new_list() -> None:
+    async def scenario() -> None:
         first, second = Scripted([]), Scripted([])
         first.instances = [entry(f"s{i}") for i in range(2000)]
         second.instances = [entry(f"s{i}") for i in range(1000, 3000)] + [entry("new")]
         port = await second.listen()
         follower = Follower(await first.listen(), False, 1)
         follower.discovery.start()
-        while not follower.told_at:
+        while not follower.received_at:
             await asyncio.sleep(0)
-        assert len(follower.told_at) < 2000, "it is within the list"
+        assert len(follower.received_at) < 2000, "the list is only partly applied"
         follower.discovery.move(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
-        held = follower.discovery._steps._held
-        assert sorted(held) == sorted(["new", *(f"s{i}" for i in range(1000, 3000))])
+        applied = follower.discovery._steps._held
+        assert sorted(applied) == sorted(["new", *(f"s{i}" for i in range(1000, 3000))])
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 def test_indented_lists_with_unknown_fields_are_read() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         peer = Scripted([])
         peer.indented = True
         peer.instances = [{**entry("new"), "colour": {"a": None}}]
@@ -348,11 +356,11 @@
         await asyncio.wait_for(follower.new.wait(), 100)
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
-def test_one_bad_entry_leaves_the_old_list_and_is_not_asked_for_without_rest() -> None:
-    async def scene() -> None:
+def test_invalid_entry_leaves_the_old_list_and_does_not_cause_a_busy_retry() -> None:
+    async def scenario() -> None:
         peer = Scripted([])
         follower = Follower(await peer.listen(), False, 1)
         follower.discovery.start()
@@ -364,47 +372,49 @@
         while follower.loop.time() < begun + 20:
             await asyncio.sleep(0.05)
         assert len(peer.calls) - known <= 21
-        assert set(follower.told_at) == {"old"}
+        assert set(follower.received_at) == {"old"}
         peer.instances = [entry("new")]
         await asyncio.wait_for(follower.new.wait(), 100)
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
 @pytest.mark.parametrize("watching", [False, True], ids=["first call", "watch"])
 @pytest.mark.parametrize("answer_first", [False, True], ids=["time-out first", "answer first"])
-def test_answer_in_the_turn_of_its_call_s_time_out_is_taken(
+def test_answer_in_the_loop_iteration_of_its_time_out_is_used(
     asked: bool, watching: bool, answer_first: bool
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         peer = Scripted([*["goes well"] * watching, "comes with the time-out"])
         peer.answer_first = answer_first
-        peer.whole_s = registry.ASKED_CALL_S if asked else registry.CALL_S
+        peer.full_list_s = registry.ASKED_CALL_S if asked else registry.CALL_S
         follower = Follower(await peer.listen(), asked, 1)
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         while len(peer.calls) < 1 + watching:
             await asyncio.sleep(0.05)
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        call_s = registry.SLACK_S if watching or asked else peer.whole_s
-        given_up_at = peer.waits_end + call_s
-        assert follower.told_at["new"] <= given_up_at + 10 * ROUND_S, "its answer counts, late as it is"
+        call_s = registry.SLACK_S if watching or asked else peer.full_list_s
+        timed_out_at = peer.wait_ended_at + call_s
+        assert follower.received_at["new"] <= timed_out_at + 10 * ROUND_S, "the late answer is used"
         assert follower.discovery.generation == peer.generation
         await asyncio.sleep(0.1)
-        assert sum(not w.transport.is_closing() for w in peer.connections) <= 1, "the given-up one is closed"
+        assert sum(not w.transport.is_closing() for w in peer.connections) <= 1, (
+            "the abandoned connection is closed"
+        )
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
-def test_connection_that_comes_up_in_the_turn_of_its_time_out_is_not_left_open(
+def test_connection_established_in_the_loop_iteration_of_its_time_out_is_closed(
     asked: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     class LateCall(registry._Call):
-        """A connection that comes up as its call's time is over, the first one only."""
+        """A connection; the first one is established when its call has timed out."""
 
         count = 0
 
@@ -412,9 +422,9 @@
             super().__init__()
             LateCall.count += 1
             if LateCall.count == 1:
-                pass_time(ASK_WITHIN_S + registry.ASKED_CALL_S)  # longer than any call may take
+                advance_time(ASK_WITHIN_S + registry.ASKED_CALL_S)  # longer than any call may take
 
-    async def scene() -> None:
+    async def scenario() -> None:
         peer = Scripted([])
         peer.change()
         follower = Follower(await peer.listen(), asked, 1)
@@ -423,18 +433,18 @@
         await asyncio.wait_for(follower.new.wait(), 200)
         await asyncio.sleep(0.1)
         assert LateCall.count == 2
-        assert len(peer.calls) <= 2, "nothing was asked on the first"
+        assert len(peer.calls) <= 2, "no request was sent on the first connection"
         assert sum(not w.transport.is_closing() for w in peer.connections) == 1
         follower.discovery.close()
 
-    play(scene())
+    run_scenario(scenario())
 
 
 @pytest.mark.parametrize("how", ["hangs", "is slow", "goes well"])
-def test_end_within_a_call_leaves_nothing_that_the_loop_complains_of(
+def test_close_during_a_call_leaves_no_unretrieved_exception(
     how: str, caplog: pytest.LogCaptureFixture
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         peer = Scripted([how] * 10)
         follower = Follower(await peer.listen(), False, seed=1)
         follower.discovery.start()
@@ -442,6 +452,6 @@
         follower.discovery.close()
         await asyncio.sleep(5.0)
 
-    play(scene())
+    run_scenario(scenario())
     gc.collect()
     assert [record.message for record in caplog.records if "never retrieved" in record.message] == []
--- a/tests/crossings/test_other_customers.py
+++ b/tests/crossings/test_generated_deployments.py
@@ -1,6 +1,6 @@
-"""Settings of customers nobody has seen: names, effects, limits and times drawn from a seed, and played.
+"""Randomly generated deployments: names, effects, limits and times are drawn from a seed.
 
-Nothing in the program may know a class, a tenant, a zone or a time of one deployment.
+Guards against code that depends on the classes, tenants, zones or times of one particular deployment.
 """
 
 from __future__ import annotations
@@ -46,8 +46,8 @@
 )
 
 
-def named(rng: random.Random, taken: set[str]) -> str:
-    """A name that no other has, in some script."""
+def random_name(rng: random.Random, taken: set[str]) -> str:
+    """Return a unique name in a random script."""
     while True:
         script = rng.choice(SCRIPTS)
         name = "".join(rng.choice(script) for _ in range(rng.randint(1, 12))).strip() or "x"
@@ -56,15 +56,15 @@
             return name
 
 
-def facts(rng: random.Random) -> dict[str, Any]:
-    """Settings as the platform words them."""
+def platform_settings(rng: random.Random) -> dict[str, Any]:
+    """Return random settings in the format of the platform."""
     taken: set[str] = set()
     classes = []
     for effect in (*rng.sample(("retryable", "dedup", "fragile"), rng.randint(1, 3)), "retryable"):
         give_up = rng.choice((30, 300, 4_000, 30_000)) * MS
         classes.append(
             {
-                "name": named(rng, taken),
+                "name": random_name(rng, taken),
                 "semantics": effect,
                 "giveUpNs": give_up,
                 "aimNs": max(int(give_up * rng.random()), 1),
@@ -74,9 +74,9 @@
                 "more": [{"unknown": None}],
             }
         )
-    tenants = [{"name": named(rng, taken), "portion": rng.random()} for _ in range(rng.randint(0, 5))]
+    tenants = [{"name": random_name(rng, taken), "portion": rng.random()} for _ in range(rng.randint(0, 5))]
     fields = rng.sample(REPORT_FIELDS, rng.randint(0, 4))
-    kinds = [named(rng, taken) for _ in range(rng.randint(1, 4))]
+    kinds = [random_name(rng, taken) for _ in range(rng.randint(1, 4))]
     return {
         "balancers": rng.choice((None, 1, 4, 200)),
         "classes": classes,
@@ -104,10 +104,10 @@
 @pytest.mark.parametrize("seed", range(60))
 def test_generated_settings_route_every_class(seed: int) -> None:
     rng = random.Random(seed)
-    told = facts(rng)
-    settings = read_settings(told)
-    zones = [named(rng, set()) for _ in range(rng.randint(1, 6))]
-    kinds = told["kinds"]
+    raw_settings = platform_settings(rng)
+    settings = read_settings(raw_settings)
+    zones = [random_name(rng, set()) for _ in range(rng.randint(1, 6))]
+    kinds = raw_settings["kinds"]
     caches = [kind for kind in kinds if kind != settings.origin_kind] or [""]
     servers = [Server(f"s{i}", rng.choice(caches), zone=rng.choice(zones), cell=i % 3) for i in range(12)]
     if settings.origin_kind:
@@ -142,7 +142,7 @@
 
 
 def profile(rng: random.Random) -> Profile:
-    """A deployment that stand-ins can play."""
+    """Return a random deployment for stand-in servers."""
     taken: set[str] = set()
     times = [(30, 20), (30_000, 10_000), (1_200, 300)]
     effects = ["retryable", "dedup", "fragile", "retryable"]
@@ -150,8 +150,8 @@
     for effect in effects:
         deadline, aim = rng.choice(times)
         window = rng.choice((50, 20_000)) if effect == "dedup" else 0
-        classes.append(ClassProfile(named(rng, taken), 0.25, (1.0, 3.0), aim, deadline, effect, window))
-    tenants = tuple((named(rng, taken), 1 / 3) for _ in range(3))
+        classes.append(ClassProfile(random_name(rng, taken), 0.25, (1.0, 3.0), aim, deadline, effect, window))
+    tenants = tuple((random_name(rng, taken), 1 / 3) for _ in range(3))
     origin = rng.choice(((1.0, 2.0), (5.0, 60.0)))
     return Profile(
         classes=tuple(classes),
@@ -165,7 +165,9 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_generated_deployment_keeps_the_four_rules_over_a_short_day(tmp_path: Path, seed: int) -> None:
+def test_generated_deployment_has_no_violations_under_short_load_with_faults(
+    tmp_path: Path, seed: int
+) -> None:
     rng = random.Random(seed)
     deployment = profile(rng)
 
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -1,6 +1,6 @@
-"""Between the decision and the first byte lies a queue or a dial: what has run out meanwhile does not leave.
+"""A request that expires in a queue or during connection setup, after the decision to send it, is not sent.
 
-Dials come up when the test lets them, over real connections; the loop is held up on purpose.
+The test decides when a real connection counts as established, and blocks the event loop on purpose.
 """
 
 from __future__ import annotations
@@ -41,22 +41,22 @@
 )
 
 
-class HeldDials:
-    """Dials as they are, but connections to servers are told of only once they are let go."""
+class DelayedDials:
+    """Establishes real connections, but returns them only once `let_go` is set."""
 
     def __init__(self) -> None:
         self.let_go = asyncio.Event()
-        self.up = 0
+        self.established = 0
 
     async def dial(self, *args: Any) -> TcpStream:
-        made = await dial(*args)
-        self.up += 1
+        stream = await dial(*args)
+        self.established += 1
         await self.let_go.wait()
-        return made
+        return stream
 
 
-class Told:
-    """A client's place that keeps its final answer."""
+class RecordingReply:
+    """A reply that records the final answer."""
 
     request: Any = None
     source: Any = None
@@ -91,9 +91,11 @@
     return Listing(1, ServersChanged(ListKind.FULL, servers), addresses)
 
 
-def play(peers: dict[str, Peer], scene: Callable[[RouterHost, HeldDials], Coroutine[Any, Any, None]]) -> None:
+def run_scenario(
+    peers: dict[str, Peer], scenario: Callable[[RouterHost, DelayedDials], Coroutine[Any, Any, None]]
+) -> None:
     async def run() -> None:
-        dials = HeldDials()
+        dials = DelayedDials()
         pool = Pool(asyncio.get_running_loop(), 64, PATIENCE_S, PATIENCE_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
@@ -101,7 +103,7 @@
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
             async with asyncio.timeout(PATIENCE_S):
-                await scene(host, dials)
+                await scenario(host, dials)
         pool.close()
         await asyncio.sleep(0)
 
@@ -112,104 +114,104 @@
             peer.close()
 
 
-def ask(host: RouterHost, name: bytes, cls: str, deadline_ms: int) -> Told:
-    told = Told()
+def ask(host: RouterHost, name: bytes, cls: str, deadline_ms: int) -> RecordingReply:
+    reply = RecordingReply()
     info = b"c=%b,t=acme,d=%d" % (cls.encode(), deadline_ms)
     value = b"v" if cls == "put" else None
-    host.request_arrived(Request(name, b"k", cls, "acme", deadline_ms, value, False, info), told)  # type: ignore[arg-type]
-    return told
+    host.request_arrived(Request(name, b"k", cls, "acme", deadline_ms, value, False, info), reply)  # type: ignore[arg-type]
+    return reply
 
 
 def ids(peer: Peer) -> list[bytes]:
-    """The ids that came to the origin."""
+    """Return the ids of the requests that reached the origin."""
     lines = [line for words in peer.seen for line in words[2].split(b"\r\n")]
     return [line[12:] for line in lines if line.startswith(b"Request-Id: ")]
 
 
 @pytest.mark.parametrize("late_s", [0.0, 0.1])
-def test_dial_that_comes_up_with_the_deadline_carries_nothing(late_s: float) -> None:
-    """`late_s`: the loop is held up past the deadline, so that timer and dial come in one turn."""
+def test_connection_established_at_the_deadline_carries_no_request(late_s: float) -> None:
+    """`late_s`: blocks the loop past the deadline, so that timer and connection fall into one iteration."""
     cache = Peer(lambda _, words: hit(words[2]))
 
-    async def scene(host: RouterHost, dials: HeldDials) -> None:
-        told = ask(host, b"late", "get", 150)
-        await until(lambda: dials.up)
+    async def scenario(host: RouterHost, dials: DelayedDials) -> None:
+        reply = ask(host, b"late", "get", 150)
+        await until(lambda: dials.established)
         if late_s:
             dials.let_go.set()
-            time.sleep(0.15 + late_s)  # holds the loop: timer and dial wait for the same turn
-        assert await told.answer == "refused"
+            time.sleep(0.15 + late_s)  # blocks the loop: timer and connection are due in the same iteration
+        assert await reply.answer == "refused"
         dials.let_go.set()
         assert await ask(host, b"next", "get", 15_000).answer == "next"
         assert [words[2] for words in cache.seen] == [b"next"]
 
-    play({"s1": cache}, scene)
+    run_scenario({"s1": cache}, scenario)
 
 
-def test_keyed_write_does_not_leave_after_the_window_of_its_first_attempt() -> None:
+def test_keyed_write_is_not_sent_after_the_dedup_window_of_its_first_attempt() -> None:
     def write(connection: Any, message: list[bytes]) -> bytes:
         if len(origin.seen) == 2:
-            reset(connection)  # it may have run
+            reset(connection)  # the write may have run
         return http_answer(200, b"receipt")
 
     origin = Peer(write, is_http=True)
 
-    async def scene(host: RouterHost, dials: HeldDials) -> None:
+    async def scenario(host: RouterHost, dials: DelayedDials) -> None:
         dials.let_go.set()
         assert await ask(host, b"first", "put", 15_000).answer == "receipt"
         dials.let_go.clear()
-        # The next goes on the kept connection; once that breaks, a second attempt is decided on at once,
-        # and its dial comes up after the window.
-        told = ask(host, b"keyed", "put", 15_000)
-        await until(lambda: dials.up == 2)
+        # The next write uses the open connection. When that is reset, a second attempt is decided at once,
+        # and its connection is established after the window.
+        reply = ask(host, b"keyed", "put", 15_000)
+        await until(lambda: dials.established == 2)
         time.sleep(2 * WINDOW / NS_PER_S)
         dials.let_go.set()
-        assert await told.answer == "refused"
+        assert await reply.answer == "refused"
         assert await ask(host, b"next", "put", 15_000).answer == "receipt"
         assert ids(origin) == [b"first", b"keyed", b"next"]
 
-    play({"origin": origin}, scene)
+    run_scenario({"origin": origin}, scenario)
 
 
-def test_server_that_drains_while_its_dial_is_under_way_gets_nothing() -> None:
+def test_server_that_drains_during_connection_setup_gets_no_request() -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
 
-    async def scene(host: RouterHost, dials: HeldDials) -> None:
-        told = ask(host, b"r1", "get", 15_000)
-        await until(lambda: dials.up)
+    async def scenario(host: RouterHost, dials: DelayedDials) -> None:
+        reply = ask(host, b"r1", "get", 15_000)
+        await until(lambda: dials.established)
         host.servers_changed(listing({"s1": old}, ServerState.DRAINING))
         host.servers_changed(listing({"s2": new}))
         dials.let_go.set()
-        await asyncio.wait([told.answer], timeout=PATIENCE_S)
+        await asyncio.wait([reply.answer], timeout=PATIENCE_S)
         assert await ask(host, b"r2", "get", 15_000).answer == "new"
         assert not old.seen
 
-    play({"s1": old}, scene)
+    run_scenario({"s1": old}, scenario)
     new.close()
 
 
-def test_client_that_left_during_a_dial_has_nothing_sent() -> None:
+def test_request_is_not_sent_if_its_client_disconnects_during_connection_setup() -> None:
     cache = Peer(lambda _, words: hit(words[2]))
 
-    async def scene(host: RouterHost, dials: HeldDials) -> None:
-        told = ask(host, b"gone", "get", 15_000)
-        await until(lambda: dials.up)
-        host.client_gone(told)  # type: ignore[arg-type]
+    async def scenario(host: RouterHost, dials: DelayedDials) -> None:
+        reply = ask(host, b"gone", "get", 15_000)
+        await until(lambda: dials.established)
+        host.client_gone(reply)  # type: ignore[arg-type]
         dials.let_go.set()
         assert await ask(host, b"next", "get", 15_000).answer == "next"
         assert [words[2] for words in cache.seen] == [b"next"]
 
-    play({"s1": cache}, scene)
+    run_scenario({"s1": cache}, scenario)
 
 
-def test_small_writes_to_servers_are_not_held_back_by_the_system() -> None:
+def test_small_writes_to_servers_are_sent_without_delay() -> None:
     cache = Peer(lambda _, words: hit(words[2]))
 
-    async def scene(host: RouterHost, dials: HeldDials) -> None:
+    async def scenario(host: RouterHost, dials: DelayedDials) -> None:
         dials.let_go.set()
         assert await ask(host, b"one", "get", 15_000).answer == "one"
         (connection,) = host._pool._servers["s1"].idle
         assert connection.transport is not None
-        ours = connection.transport.get_extra_info("socket")
-        assert ours.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+        router_socket = connection.transport.get_extra_info("socket")
+        assert router_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
-    play({"s1": cache}, scene)
+    run_scenario({"s1": cache}, scenario)
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -1,6 +1,6 @@
-"""A connection that is being moved to the next process, whose client leaves or whose taker dies just then.
+"""A client disconnects, or the receiving process dies, while a connection is transferred.
 
-The other process is played by the test, so that it stands still between a record and its receipt.
+The test acts as the other process, so that it can pause between a record and its acknowledgement.
 """
 
 from __future__ import annotations
@@ -27,27 +27,27 @@
 FIRST = 300 << 10
 
 
-class HalfServed:
-    """A node that is slow within a long value until it is let go, and tells what became of its connection.
+class SlowNode:
+    """A node that is slow within a long value until it is released, and notices a closed connection.
 
-    It goes on byte by byte, so that nobody takes it for one that has vanished.
+    It sends byte by byte, so that the router does not treat it as failed.
     """
 
     def __init__(self) -> None:
-        self.goes, self.left = threading.Event(), threading.Event()
-        """`left`: the router, or whoever holds its end, has closed the value's connection."""
+        self.released, self.closed = threading.Event(), threading.Event()
+        """`closed`: all processes have closed the connection of the value."""
         self.peer = Peer(self._serve)
 
     def _serve(self, connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[1] == b"held":
-            assert self.goes.wait(PATIENCE_S)
+            assert self.released.wait(PATIENCE_S)
         if words[1] != b"long":
             return hit(words[2])
         sent = FIRST
         connection.sendall(ANSWER[:sent])
         connection.settimeout(0.02)
         try:
-            while not self.goes.is_set():
+            while not self.released.is_set():
                 with suppress(TimeoutError):
                     if connection.recv(1) == b"":
                         break
@@ -55,15 +55,15 @@
                 sent += 1
         except OSError:
             pass
-        if not self.goes.is_set():
-            self.left.set()
+        if not self.released.is_set():
+            self.closed.set()
             raise OSError("the connection has ended")
         connection.settimeout(PATIENCE_S)
         return ANSWER[sent:]
 
 
-class Link:
-    """The process that takes over, as far as the one that goes can tell; it answers when it is told."""
+class ReceiverLink:
+    """Acts as the receiving process towards the one that exits; the test sends its answers."""
 
     def __init__(self, folder: Path) -> None:
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
@@ -73,7 +73,7 @@
         assert self.socket.recv(1 << 20)[:1] == b"L"
 
     def record(self) -> tuple[ConnectionRecord, list[int]]:
-        """The next record, whole, and its descriptors."""
+        """Return the next complete record and its descriptors."""
         data = b""
         while True:
             message, descriptors, _, _ = socket.recv_fds(self.socket, 1 << 20, 8)
@@ -83,7 +83,7 @@
             assert message[:1] == RECORD_PART
 
 
-def reset(client: Client) -> None:
+def reset_connection(client: Client) -> None:
     client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     client.close()
 
@@ -96,26 +96,26 @@
     client.socket.shutdown(socket.SHUT_WR)
 
 
-LEAVES = pytest.mark.parametrize("leave", [close, half_close, reset])
+LEAVES = pytest.mark.parametrize("disconnect", [close, half_close, reset_connection])
 
 
 @contextmanager
-def recorded(
+def unacknowledged_transfer(
     folder: Path,
-) -> Iterator[tuple[HalfServed, Platform, Process, Client, Link, ConnectionRecord, list[int]]]:
-    """A process that has sent a record of a connection within a long value, and has no receipt for it."""
-    node = HalfServed()
-    with platform(folder, {"s1": node.peer}) as held:
-        old, client = held.start().ready(), held.client()
+) -> Iterator[tuple[SlowNode, Platform, Process, Client, ReceiverLink, ConnectionRecord, list[int]]]:
+    """A process that has sent the record of a connection within a long value, without an acknowledgement."""
+    node = SlowNode()
+    with platform(folder, {"s1": node.peer}) as cluster:
+        old, client = cluster.start().ready(), cluster.client()
         client.send(get("c1", "long", 60_000))
-        eventually(lambda: ask(old.admin, "/stats")["current"] == 1, "the value is under way")
-        link = Link(folder)
+        eventually(lambda: ask(old.admin, "/stats")["current"] == 1, "the value is being sent")
+        link = ReceiverLink(folder)
         old.terminate()
         record, descriptors = link.record()
         try:
-            yield node, held, old, client, link, record, descriptors
+            yield node, cluster, old, client, link, record, descriptors
         finally:
-            node.goes.set()
+            node.released.set()
             link.socket.close()
 
 
@@ -128,96 +128,101 @@
 @pytest.mark.parametrize(
     "receipt", [ACCEPTED, REJECTED + b"no room", b""], ids=["taken", "turned down", "none"]
 )
-def test_nothing_more_is_read_for_a_client_that_leaves_while_it_is_moved(
-    tmp_path: Path, leave: Callable[[Client], None], receipt: bytes
+def test_value_is_not_read_further_if_its_client_disconnects_during_the_transfer(
+    tmp_path: Path, disconnect: Callable[[Client], None], receipt: bytes
 ) -> None:
-    with recorded(tmp_path) as (node, _, old, client, link, _, descriptors):
-        assert not node.left.is_set()
-        leave(client)
-        close_all(descriptors)  # the taker's copies
+    with unacknowledged_transfer(tmp_path) as (node, _, old, client, link, _, descriptors):
+        assert not node.closed.is_set()
+        disconnect(client)
+        close_all(descriptors)  # the receiver's copies
         if receipt:
             link.socket.send(receipt)
         else:
             link.socket.close()
-        assert node.left.wait(PATIENCE_S), "the value's connection is closed, and its rest never read"
-        eventually(lambda: old.gone, "nothing holds the old process up")
+        assert node.closed.wait(PATIENCE_S), "the connection of the value is closed, and the rest is not read"
+        eventually(lambda: old.gone, "the old process exits")
         assert old.process.returncode == 0
 
 
 @LEAVES
-def test_nothing_is_read_for_a_client_that_left_before_its_record_came(
-    tmp_path: Path, leave: Callable[[Client], None]
+def test_value_is_not_read_if_its_client_disconnected_before_the_record_arrived(
+    tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
-    node = HalfServed()
+    node = SlowNode()
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
     listener.settimeout(PATIENCE_S)
-    with platform(tmp_path, {"s1": node.peer}) as held, socket.create_server(("127.0.0.1", 0)) as door:
-        process = held.start()
+    with (
+        platform(tmp_path, {"s1": node.peer}) as cluster,
+        socket.create_server(("127.0.0.1", 0)) as listening,
+    ):
+        process = cluster.start()
         link, _ = listener.accept()
         link.settimeout(PATIENCE_S)
         process.ready()
         assert link.recv(64) == b"H1"
-        client = Client(door.getsockname()[1])
-        ours, _ = door.accept()
+        client = Client(listening.getsockname()[1])
+        client_connection, _ = listening.accept()
         upstream = socket.create_connection(("127.0.0.1", node.peer.port))
         upstream.sendall(get("c1", "long"))
-        begun = b""
-        while len(begun) < FIRST:
-            begun += upstream.recv(FIRST - len(begun))
-        leave(client)
+        received = b""
+        while len(received) < FIRST:
+            received += upstream.recv(FIRST - len(received))
+        disconnect(client)
         head = ANSWER.index(VALUE[:256])
         left = len(VALUE) - (FIRST - head)
-        flow = ReadPosition("cache", "s1", ("127.0.0.1", node.peer.port), len(VALUE), left + 2, "3")
-        record = ConnectionRecord("resp", True, b"", (Segment(b"", PartialValue(flow, "get", b"\r\n")),))
-        socket.send_fds(link, [RECORD_LAST + encode(record)], [ours.fileno(), upstream.fileno()])
+        position = ReadPosition("cache", "s1", ("127.0.0.1", node.peer.port), len(VALUE), left + 2, "3")
+        record = ConnectionRecord("resp", True, b"", (Segment(b"", PartialValue(position, "get", b"\r\n")),))
+        socket.send_fds(link, [RECORD_LAST + encode(record)], [client_connection.fileno(), upstream.fileno()])
         assert link.recv(256) == ACCEPTED
-        ours.close()
+        client_connection.close()
         upstream.close()
-        assert node.left.wait(PATIENCE_S)
-        eventually(lambda: ask(process.admin, "/stats")["current"] == 0, "it is owed to nobody")
+        assert node.closed.wait(PATIENCE_S)
+        eventually(lambda: ask(process.admin, "/stats")["current"] == 0, "the request has ended")
         assert ask(process.admin, "/stats")["errored"]["get"] == 0
-        assert held.client().ask(get("c2")) == b"c2"
+        assert cluster.client().ask(get("c2")) == b"c2"
         link.close()
     listener.close()
 
 
-def test_taker_that_dies_before_its_receipt_leaves_the_client_a_value_that_is_cut(tmp_path: Path) -> None:
-    with recorded(tmp_path) as (node, _, old, client, link, record, descriptors):
-        # It may have written to the client by now, which nobody can know: so nobody else may.
+def test_value_is_cut_off_if_the_receiver_dies_before_its_acknowledgement(tmp_path: Path) -> None:
+    with unacknowledged_transfer(tmp_path) as (node, _, old, client, link, record, descriptors):
+        # The receiver may have written to the client, which the sender cannot know, so the sender must not.
         with socket.socket(fileno=os.dup(descriptors[0])) as theirs:
             theirs.sendall(record.segments[0].data)
         close_all(descriptors)
         link.socket.close()
-        node.goes.set()  # whoever went on with it would give the client all the rest
-        told = client.stream.read()
-        assert (b"$%d\r\n%b" % (len(VALUE), VALUE)).startswith(told), "nothing twice, nothing out of place"
-        assert len(told) < 2 * FIRST, "cut, so that the client sees it"
-        eventually(lambda: old.gone, "the old one ends")
+        node.released.set()  # a process that continued would send the client the rest
+        received = client.stream.read()
+        assert (b"$%d\r\n%b" % (len(VALUE), VALUE)).startswith(received), "only a prefix of the value"
+        assert len(received) < 2 * FIRST, "the value is cut off"
+        eventually(lambda: old.gone, "the old process exits")
         assert old.process.returncode == 0
 
 
-def test_taker_that_is_killed_with_the_record_unread_takes_only_that_connection_with_it(
+def test_receiver_killed_with_an_unread_record_loses_only_that_connection(
     tmp_path: Path,
 ) -> None:
-    node = HalfServed()
-    with platform(tmp_path, {"s1": node.peer}) as held:
-        old, moving, staying = held.start().ready(), held.client(), held.client()
+    node = SlowNode()
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
+        old, moving, staying = cluster.start().ready(), cluster.client(), cluster.client()
         moving.send(get("c1", "long", 60_000))
         staying.send(get("c2", "held", 60_000))
-        eventually(lambda: ask(old.admin, "/stats")["current"] == 2, "both are under way")
-        taker = held.start().ready()
-        eventually(lambda: ask(old.admin, "/state")["shared"], "they know each other")
-        os.kill(taker.process.pid, signal.SIGSTOP)
+        eventually(lambda: ask(old.admin, "/stats")["current"] == 2, "both requests are in progress")
+        receiver = cluster.start().ready()
+        eventually(lambda: ask(old.admin, "/state")["shared"], "the processes are linked")
+        os.kill(receiver.process.pid, signal.SIGSTOP)
         old.terminate()
-        # It is counted out in the step that sends its record; as a request it ends before that.
+        # `connected` falls in the step that sends the record; the request ends earlier.
         eventually(lambda: ask(old.admin, "/state")["connected"] == 1, "the record is sent")
-        os.kill(taker.process.pid, signal.SIGKILL)
-        taker.process.communicate(timeout=PATIENCE_S)
-        node.goes.set()
+        os.kill(receiver.process.pid, signal.SIGKILL)
+        receiver.process.communicate(timeout=PATIENCE_S)
+        node.released.set()
         answer = staying.answer()
-        assert answer == b"c2" or answer.startswith(b"-"), "its final answer, from the process that it is at"
+        assert answer == b"c2" or answer.startswith(b"-"), (
+            "a final answer from the process that has the connection"
+        )
         assert moving.answer().startswith(b"cut off")
-        eventually(lambda: old.gone, "the old one ends")
+        eventually(lambda: old.gone, "the old process exits")
         assert old.process.returncode == 0
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -1,6 +1,6 @@
-"""SIGTERM with requests in flight: each gets a final answer before the process may be killed.
+"""SIGTERM with requests in progress: each gets a final reply before the process may be killed.
 
-Servers hold their answers back for good, so that the end finds every request where the test put it.
+Servers never finish their answers, so every request is still in its state when the process exits.
 """
 
 from __future__ import annotations
@@ -35,7 +35,7 @@
 )
 
 MS = 10**6
-HELD_UP_S = 0.15
+MAX_DELAY_S = 0.15
 SHORT: dict[str, Any] = {
     "classes": [
         {"name": "get", "aimNs": 200 * MS, "giveUpNs": 300 * MS, "semantics": "retryable"},
@@ -43,11 +43,11 @@
     ],
     "familyInfo": {},
 }
-LONG = 60_000  # milliseconds that a client waits: far beyond what the settings say
+LONG_MS = 60_000  # client time limit, far beyond the limits of the settings
 
 
-def closes(router: Routed) -> bool:
-    """Whether the router takes no new connections any more."""
+def refuses_connections(router: Routed) -> bool:
+    """Whether the router no longer accepts connections."""
     try:
         Client(router.port).close()
     except ConnectionRefusedError:
@@ -56,66 +56,66 @@
 
 
 @pytest.mark.parametrize("longest", [0.03, 0.5, 3.0, 4.0, 30.0])
-def test_last_answers_are_given_before_the_kill_may_come(longest: float) -> None:
+def test_last_replies_are_sent_before_the_process_may_be_killed(longest: float) -> None:
     over = at_the_end(longest, replaced=False).over
     killed = min(longest, LONGEST_S) + KILL_SLACK_S
     assert killed - 0.21 < over < killed - 0.15
 
 
-def test_last_answers_leave_in_time_though_the_router_is_held_up_just_then() -> None:
+def test_last_replies_are_sent_in_time_even_if_the_router_is_delayed() -> None:
     for longest in (0.03, 0.1, 0.5, 3.0, 30.0):
         killed = min(longest, LONGEST_S) + KILL_SLACK_S
         over = at_the_end(longest, replaced=False).over
-        # STANDING: a router may be held up for 0.15 s between reading its clock and writing.
-        assert over + STEP_S + HELD_UP_S + LAST_ANSWERS_S / 2 <= killed
+        # STANDING: a router may be delayed by 0.15 s between reading its clock and writing.
+        assert over + STEP_S + MAX_DELAY_S + LAST_ANSWERS_S / 2 <= killed
 
 
-def test_what_is_in_flight_at_the_end_gets_its_final_answer(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_requests_in_progress_at_exit_get_a_final_reply(tmp_path: Path) -> None:
+    release = threading.Event()
 
-    def hold(*_: object) -> bytes:
-        held.wait(2 * PATIENCE_S)
+    def wait_for_release(*_: object) -> bytes:
+        release.wait(2 * PATIENCE_S)
         return hit(b"late")
 
-    cache = Peer(hold)
+    cache = Peer(wait_for_release)
     with routed(tmp_path, {"s1": cache}, facts=SHORT) as router:
         unsafe, reads = router.client(), router.client()
-        unsafe.send(put("once1", cls="once", d=LONG))
-        reads.send(b"".join(get(f"r{i}", f"k{i}", LONG) for i in range(PER_SERVER)))
-        eventually(lambda: len(cache.seen) == PER_SERVER, "all connections are taken")
+        unsafe.send(put("once1", cls="once", d=LONG_MS))
+        reads.send(b"".join(get(f"r{i}", f"k{i}", LONG_MS) for i in range(PER_SERVER)))
+        eventually(lambda: len(cache.seen) == PER_SERVER, "all connections are in use")
         queued = [i for i in range(PER_SERVER) if not any(words[2] == b"r%d" % i for words in cache.seen)]
         router.until("current", PER_SERVER + 1)
         router.terminate()
         begun = time.monotonic()
-        assert unsafe.answer() == b"-ERR failed", "it may have run, and nobody knows"
+        assert unsafe.answer() == b"-ERR failed", "the write may have run"
         answers = [reads.answer() for _ in range(PER_SERVER)]
         assert all(answer.startswith(b"-") for answer in answers)
-        assert all(answers[i].startswith(b"-BUSY") for i in queued), "it never left"
+        assert all(answers[i].startswith(b"-BUSY") for i in queued), "the request was never sent"
         assert unsafe.at_end()
         assert reads.at_end()
         assert time.monotonic() - begun < PATIENCE_S
         assert router.process.wait(PATIENCE_S) == 0
-        held.set()
+        release.set()
 
 
-def test_request_behind_another_of_a_leaving_connection_gets_its_answer(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_request_pipelined_on_a_closing_connection_gets_its_reply(tmp_path: Path) -> None:
+    release = threading.Event()
 
-    def hold(*_: object) -> bytes:
-        held.wait(2 * PATIENCE_S)
+    def wait_for_release(*_: object) -> bytes:
+        release.wait(2 * PATIENCE_S)
         return hit(b"late")
 
-    with routed(tmp_path, {"s1": Peer(hold)}, facts=SHORT) as router:
+    with routed(tmp_path, {"s1": Peer(wait_for_release)}, facts=SHORT) as router:
         client = router.client()
-        client.send(get("a1", "k1", LONG))
+        client.send(get("a1", "k1", LONG_MS))
         router.until("current", 1)
         router.terminate()
-        eventually(lambda: closes(router), "connections close after their answers")
-        client.send(get("a2", "k2", LONG))
+        eventually(lambda: refuses_connections(router), "the router no longer accepts connections")
+        client.send(get("a2", "k2", LONG_MS))
         assert client.answer().startswith(b"-")
         assert client.answer().startswith(b"-")
         assert client.at_end()
-        held.set()
+        release.set()
 
 
 ASIDE = {
@@ -135,8 +135,8 @@
 HALF = len(VALUE) // 2
 
 
-class HalfServed:
-    """A server that stops within a long value, and never gives the rest of it."""
+class PartialServer:
+    """A server that pauses within a long value, and never sends the rest."""
 
     def __init__(self, answer: Callable[[bytes], bytes], is_http: bool = False) -> None:
         self.ended = threading.Event()
@@ -151,27 +151,25 @@
         connection.sendall(self._answer[:HALF])
         assert connection.recv(1) == b""
         self.ended.set()
-        raise OSError("the router has left")
+        raise OSError("the router has closed the connection")
 
 
-def half_from(kind: str) -> tuple[dict[str, Peer], Peer | None, HalfServed]:
-    """The servers where a cache, or behind a cache that misses the origin, stops within a value."""
+def servers_with_partial_value(kind: str) -> tuple[dict[str, Peer], Peer | None, PartialServer]:
+    """Return cache servers, origin, and the one of them (of the given kind) that pauses within a value."""
     if kind == "cache":
-        server = HalfServed(hit)
+        server = PartialServer(hit)
         return {"s1": server.peer}, None, server
-    server = HalfServed(lambda value: http_answer(200, value), is_http=True)
+    server = PartialServer(lambda value: http_answer(200, value), is_http=True)
     return {"s1": Peer(lambda *_: MISS)}, server.peer, server
 
 
 @pytest.mark.parametrize("kind", ["cache", "origin"])
 @pytest.mark.parametrize("reads", [True, False], ids=["reads at once", "reads after the end"])
-def test_value_that_is_half_passed_on_at_the_end_is_cut_off_for_its_client(
-    tmp_path: Path, kind: str, reads: bool
-) -> None:
-    caches, origin, server = half_from(kind)
+def test_partly_sent_value_is_cut_off_at_exit(tmp_path: Path, kind: str, reads: bool) -> None:
+    caches, origin, server = servers_with_partial_value(kind)
     with routed(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
-        client.send(get("a1", "k1", LONG))
+        client.send(get("a1", "k1", LONG_MS))
         if reads:
             assert client.stream.read(1) == b"$", "the value has begun"
         else:
@@ -179,17 +177,19 @@
         router.terminate()
         assert router.process.wait(PATIENCE_S) == 0
         assert server.ended.wait(PATIENCE_S)
-        told = client.stream.read()
-        whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
-        assert len(told) < HALF + 100
-        assert whole[int(reads) :].startswith(told), "the value's own bytes, and nothing in place of the rest"
+        received = client.stream.read()
+        complete = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
+        assert len(received) < HALF + 100
+        assert complete[int(reads) :].startswith(received), (
+            "only bytes of the value, and nothing in place of the rest"
+        )
 
 
-def test_value_behind_an_unanswered_request_is_cut_off_at_the_end_behind_that_answer(tmp_path: Path) -> None:
-    caches, origin, server = half_from("cache")
+def test_value_after_an_unanswered_request_is_cut_off_after_that_reply_at_exit(tmp_path: Path) -> None:
+    caches, origin, server = servers_with_partial_value("cache")
     with routed(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
-        client.send(get("a1", "held", LONG) + get("a2", "k2", LONG))
+        client.send(get("a1", "held", LONG_MS) + get("a2", "k2", LONG_MS))
         router.until("current", 2)
         router.terminate()
         assert client.answer().startswith(b"-")
@@ -199,8 +199,8 @@
         server.ended.set()
 
 
-def test_value_that_is_half_passed_on_at_the_end_is_cut_off_on_the_memcached_wire(tmp_path: Path) -> None:
-    caches, origin, _ = half_from("cache")
+def test_partly_sent_memcached_value_is_cut_off_at_exit(tmp_path: Path) -> None:
+    caches, origin, _ = servers_with_partial_value("cache")
     port, features = free_port(), tmp_path / "memcached.toml"
     features.write_text(FRONT.format(port=port))
     with routed(tmp_path, caches, origin, facts=ASIDE, more=["--with", str(features)]) as router:
--- a/tests/crossings/test_slow_start.py
+++ b/tests/crossings/test_slow_start.py
@@ -1,7 +1,8 @@
-"""The slow start of cold servers holds for all routers together, one or two hundred of them.
+"""The slow start limits the load of cold servers from all routers together, from 1 to 200 routers.
 
-In each window that the settings name, a cold server gets at most N requests of mean work, N being what they
-allow it then, and 2 x root of N + 2 by chance. Seeds are the numbers of routers; slow_start_world.py plays.
+In each time window of the settings a cold server may receive N requests of mean work, where N is its
+allowance at that time, plus a random deviation of at most 2 x sqrt(N) + 2. The number of routers is the
+random seed; the simulation is in slow_start_world.py.
 """
 
 from __future__ import annotations
@@ -15,11 +16,11 @@
 
 SERVERS = 21
 SITES = {"sofia": (4.0, 2 * S, 0.32, 8900 * MS), "stricter": (2.5, S, 0.1, 8 * S)}
-SCENES = ("one", "a zone", "a zone, routers killed", "others hang", "others full", "again while cold")
+SCENARIOS = ("one", "a zone", "a zone, routers killed", "others hang", "others full", "again while cold")
 
 
-def fullest(routers: int, site: str, scene: str) -> float:
-    """The fullest window of any cold server, as a part of what it may hold."""
+def highest_load(routers: int, site: str, scenario: str) -> float:
+    """Return the highest load in a window of any cold server, as a share of its allowance."""
     multiple, window, share, cold_time = SITES[site]
     settings = Settings(
         classes=(RequestClass("read", aim=300 * MS, deadline=S),),
@@ -27,30 +28,30 @@
         cold_share=share, cold_time=cold_time, max_attempts=4,
     )  # fmt: skip
     world = World(settings, routers, SERVERS, seed=routers)
-    world.play(0.6, 2.0)
+    world.run(0.6, 2.0)
     names = list(world.nodes)
-    cold = names[0::3] if "zone" in scene else names[:1]
-    if "others" in scene:
+    cold = names[0::3] if "zone" in scenario else names[:1]
+    if "others" in scenario:
         for name in names[1:8]:
-            world.nodes[name].bad = scene.split()[-1]
+            world.nodes[name].fault = scenario.split()[-1]
     world.restart(cold)
-    if "killed" in scene:
+    if "killed" in scenario:
         world.restart_routers()
-    world.play(0.6, 2.5)
-    if "again" in scene:
+    world.run(0.6, 2.5)
+    if "again" in scenario:
         world.restart(cold)
-    world.play(0.75, 2.5)
-    assert all(world.nodes[name].got for name in cold), "they are used all the same"
+    world.run(0.75, 2.5)
+    assert all(world.nodes[name].arrivals for name in cold), "cold servers receive requests"
     return max(world.worst(name, multiple, window) for name in cold)
 
 
-@pytest.mark.parametrize("scene", SCENES)
+@pytest.mark.parametrize("scenario", SCENARIOS)
 @pytest.mark.parametrize("site", SITES)
 @pytest.mark.parametrize("routers", [1, 4, 30, 200])
-def test_cold_servers_stay_within_their_budget(routers: int, site: str, scene: str) -> None:
-    assert fullest(routers, site, scene) <= 1.0
+def test_cold_servers_stay_within_their_budget(routers: int, site: str, scenario: str) -> None:
+    assert highest_load(routers, site, scenario) <= 1.0
 
 
-def test_without_the_ramp_they_would_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_budget_is_exceeded_without_the_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(SlotTable, "warmth", lambda *_: 1.0)
-    assert fullest(200, "stricter", "a zone") > 1.0
+    assert highest_load(200, "stricter", "a zone") > 1.0
--- a/tests/crossings/test_start.py
+++ b/tests/crossings/test_start.py
@@ -1,4 +1,4 @@
-"""Starts beside a discovery that is down, late or asked, with a known list that is old, empty or broken."""
+"""Start of a router while discovery is unavailable or slow, and with an old, empty or invalid known list."""
 
 from __future__ import annotations
 
@@ -38,14 +38,12 @@
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 @pytest.mark.parametrize("known", [None, *BROKEN], ids=json.dumps)
-def test_known_list_that_is_none_does_not_keep_a_router_from_its_work(
-    tmp_path: Path, known: Any, mode: str
-) -> None:
+def test_invalid_known_list_does_not_prevent_the_start(tmp_path: Path, known: Any, mode: str) -> None:
     cache = serving()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     port = free_port()
-    told = configuration(port, discovery, facts={"membershipMode": mode}) | {"known": known}
-    process = start_router(tmp_path, told)
+    settings = configuration(port, discovery, facts={"membershipMode": mode}) | {"known": known}
+    process = start_router(tmp_path, settings)
     try:
         eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
         assert process.poll() is None, process.communicate()[1]
@@ -55,17 +53,17 @@
         log = process.communicate(timeout=PATIENCE_S)[1]
         cache.close()
         discovery.peer.close()
-    assert log.count("known:") == (known is not None), "said once, in one line"
+    assert log.count("known:") == (known is not None), "logged once, in one line"
 
 
-def test_idle_clients_that_fill_their_share_keep_nobody_from_discovery_or_servers(tmp_path: Path) -> None:
-    """Discovery is silent from the start; many more idle clients come than there are descriptors for."""
-    cache, speaks = serving(), threading.Event()
+def test_idle_clients_at_their_limit_do_not_block_discovery_or_servers(tmp_path: Path) -> None:
+    """Discovery does not answer at first, and more idle clients connect than there are descriptors."""
+    cache, answering = serving(), threading.Event()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     answer = discovery.peer.handler
 
     def silent(connection: Any, message: list[bytes]) -> bytes | None:
-        speaks.wait(2 * PATIENCE_S)
+        answering.wait(2 * PATIENCE_S)
         return answer(connection, message)
 
     discovery.peer.handler = silent
@@ -75,20 +73,20 @@
     process = start_router(tmp_path, configuration(port, discovery, sockets=160) | {"known": known})
     idle: list[Client] = []
     try:
-        eventually(lambda: is_ready(port), "ready by the known list")
+        eventually(lambda: is_ready(port), "ready with the known list")
         idle += [Client(port) for _ in range(400)]
         first = Client(port)
         assert first.ask(bulk(b"PING")) == b"+PONG"
-        assert first.ask(get("r1")).startswith(b"-BUSY"), "the known server is dialled, and is full"
+        assert first.ask(get("r1")).startswith(b"-BUSY"), "the known server is used, and is busy"
         assert len(old.seen) > 0
-        speaks.set()
+        answering.set()
         names = (f"n{i}" for i in range(10_000))
         eventually(lambda: Client(port).ask(get(next(names))).startswith(b"n"), "the new list is used")
         idle += [Client(port) for _ in range(400)]
         assert Client(port).ask(bulk(b"PING")) == b"+PONG"
         assert Client(port).ask(get("last")) == b"last"
     finally:
-        speaks.set()
+        answering.set()
         process.terminate()
         log = process.communicate(timeout=PATIENCE_S)[1]
         for peer in (cache, old, discovery.peer):
--- a/tests/downstream/test_access_log.py
+++ b/tests/downstream/test_access_log.py
@@ -16,7 +16,7 @@
 from saltport.downstream.access_log import AccessLog
 from saltport.downstream.access_report import Finding, Report, main, read_log
 from saltport.downstream.endings import CloseReason
-from tests.crossings.test_closing import Front, play
+from tests.crossings.test_closing import ClientSide, run_scenario
 from tests.sockets import get
 
 LONG = 1 << 20
@@ -36,11 +36,11 @@
 
 
 def report_of(
-    path: Path, scene: Callable[[Front], Coroutine[Any, Any, None]], stopped: bool = True
+    path: Path, scene: Callable[[ClientSide], Coroutine[Any, Any, None]], stopped: bool = True
 ) -> Report:
     """Play a scene with an access log, and read it."""
 
-    async def logged(front: Front) -> None:
+    async def logged(front: ClientSide) -> None:
         access_log = AccessLog(asyncio.get_running_loop(), path)
         front.server.access_log = access_log
         await scene(front)
@@ -48,7 +48,7 @@
         access_log.close()
         await asyncio.sleep(0)
 
-    play(logged)
+    run_scenario(logged)
     return read_log("r1", path.read_bytes().splitlines())
 
 
@@ -57,7 +57,7 @@
 
 
 def test_answers_are_told_apart_in_their_order(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         end, _ = await front.client()
         end.sendall(b"".join(get(name) for name in ("r1", "r2", "r3", "r4")))
         await front.until(lambda: len(front.host.requests) == 4)
@@ -82,7 +82,7 @@
 
 
 def test_a_client_that_leaves_is_no_fault(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         end, _ = await front.client()
         end.sendall(get("r1"))
         await front.until(lambda: front.host.requests)
@@ -94,7 +94,7 @@
 
 
 def test_a_connection_that_the_router_ends_is_found(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         end, _ = await front.client()
         end.sendall(get("r1") + get("r2"))
         await front.until(lambda: len(front.host.requests) == 2)
@@ -107,7 +107,7 @@
 
 
 def test_a_value_that_is_cut_is_told_from_those_behind_it(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         end, _ = await front.client()
         end.sendall(get("r1") + get("r2"))
         await front.until(lambda: len(front.host.requests) == 2)
@@ -122,7 +122,7 @@
 
 
 def test_an_answer_that_never_left_is_found(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         end, connection = await front.client(small=True)
         end.sendall(get("r1"))
         await front.until(lambda: front.host.requests)
@@ -193,7 +193,7 @@
 
 
 def test_a_log_that_cannot_be_written_costs_no_request(tmp_path: Path) -> None:
-    async def scene(front: Front) -> None:
+    async def scene(front: ClientSide) -> None:
         access_log = front.server.access_log
         assert access_log is not None
         access_log._max_bytes = 1
