--- a/saltport/handover/exchange.py
+++ b/saltport/handover/exchange.py
@@ -26,9 +26,8 @@
 )
 
 RECORD_PART_BYTES = 64 << 10
-MAX_IN_FLIGHT = (
-    32  # connections frozen or sent at a time: bounds memory, descriptors and time without progress
-)
+# Frozen, queued or sent connections at a time: bounds memory, descriptors and the pause of each connection.
+MAX_IN_FLIGHT = 32
 MAX_RECORD_BYTES = MAX_REPLY_BYTES + MAX_COMMAND_BYTES
 LEARNED_PART_BYTES = 95 << 10  # receivers of earlier versions read one message of 96 KiB, and know no parts
 MAX_LEARNED_BYTES = 8 << 20  # some 60,000 servers
--- a/saltport/handover/record.py
+++ b/saltport/handover/record.py
@@ -1,7 +1,7 @@
 """The serialized state of a client connection, from which another process can continue it. No I/O.
 
 A record is a header (JSON in one line), followed by the payload whose lengths the header states. Records are
-versioned. An invalid record is rejected as a whole: its descriptors (the client's first, then one for each
+versioned. An invalid record is rejected entirely: its descriptors (the client's first, then one for each
 value in progress) cannot be used without it.
 """
 
@@ -78,7 +78,7 @@
     """The bytes that were read of an incomplete command."""
     segments: tuple[Segment, ...] = ()
     command_age_ms: int = 0
-    """Milliseconds since the incomplete command began, or since its last bytes arrived."""
+    """Milliseconds that the incomplete command has been pending, since its start or its last bytes."""
 
     @property
     def values(self) -> tuple[PartialValue, ...]:
@@ -157,6 +157,7 @@
 
 
 def _segment(item: object, payload: _Payload) -> Segment:
+    """Return the segment that an item of the header describes; raises RecordError."""
     if not isinstance(item, list) or len(item) != 2:
         raise RecordError("a segment of an unknown form")
     size, value = item
@@ -199,9 +200,11 @@
 
     @property
     def left(self) -> int:
+        """The number of bytes that have not been consumed."""
         return len(self._data) - self._offset
 
     def take(self, size: int) -> bytes:
+        """Return the next `size` bytes; raises RecordError if there are fewer."""
         if size > self.left:
             raise RecordError(f"{size - self.left} bytes are missing")
         self._offset += size
@@ -209,6 +212,7 @@
 
 
 def _checked_count(name: str, value: object, maximum: int) -> int:
+    """Return `value` if it is an integer from 0 to `maximum`; otherwise raises RecordError."""
     if type(value) is not int or not 0 <= value <= maximum:
         raise RecordError(f"{name}: no number from 0 to {maximum}")
     return value
@@ -221,21 +225,25 @@
         self._values = values
 
     def count(self, name: str, maximum: int) -> int:
+        """Return an integer field from 0 to `maximum`."""
         return _checked_count(name, self._values.get(name), maximum)
 
     def text(self, name: str) -> str:
+        """Return a text field of at most `MAX_TEXT_LENGTH` characters."""
         value = self._values.get(name)
         if not isinstance(value, str) or len(value) > MAX_TEXT_LENGTH:
             raise RecordError(f"{name}: no name")
         return value
 
     def boolean(self, name: str) -> bool:
+        """Return a boolean field."""
         value = self._values.get(name)
         if not isinstance(value, bool):
             raise RecordError(f"{name}: neither true nor false")
         return value
 
     def address(self, name: str) -> tuple[str, int]:
+        """Return a field with a host and a port."""
         match self._values.get(name):
             case [str(host), int(port)] if 0 < port < 1 << 16 and len(host) < MAX_TEXT_LENGTH:
                 return host, port
--- a/saltport/wire/http.py
+++ b/saltport/wire/http.py
@@ -103,6 +103,7 @@
         self.headers[name] = value if former is None else b"%b, %b" % (former, value)
 
     def _count_header_bytes(self, size: int) -> None:
+        """Add to the size of the header; raises HttpError if it exceeds the limit."""
         self._header_bytes += size
         if self._header_bytes > MAX_HEADER_BYTES:
             raise HttpError("header too long")
--- a/saltport/wire/memcached.py
+++ b/saltport/wire/memcached.py
@@ -91,11 +91,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _Rule:
+    """The valid extras lengths of an opcode, and whether it has a key and a value."""
+
     extras: tuple[int, ...]
     key: str
     value: str
 
     def fault(self, extras: int, key: int, value: int) -> str:
+        """Return why a packet with parts of these lengths is invalid, or an empty text."""
         if extras not in self.extras:
             return f"extras of {extras} bytes"
         for name, rule, size in (("key", self.key, key), ("value", self.value, value)):
@@ -222,6 +225,7 @@
         return packets
 
     def _header_error(self, opcode: int, key: int, extras: int, kind: int, body: int) -> str:
+        """Return the framing error of a header, or an empty text."""
         if kind:
             return f"data type 0x{kind:02x}"
         if extras + key > body:
@@ -232,6 +236,7 @@
 
     @staticmethod
     def _packet_fault(packet: Packet) -> str:
+        """Return why a request breaks the rules of its opcode, or an empty text."""
         if len(packet.key) > MAX_KEY_BYTES:
             return f"a key of {len(packet.key)} bytes; {MAX_KEY_BYTES} at most"
         rule = _RULES.get(packet.opcode)
--- a/saltport/wire/resp.py
+++ b/saltport/wire/resp.py
@@ -74,6 +74,7 @@
         return commands
 
     def _command(self, data: bytes, begin: int) -> tuple[list[bytes], int]:
+        """Return the command at `begin` and its end; raises IncompleteError or FramingError."""
         count, position = read_length_line(data, begin, b"*")
         if not 1 <= count <= MAX_WORDS:
             raise FramingError("invalid multibulk length")
--- a/tests/wire/test_memcached.py
+++ b/tests/wire/test_memcached.py
@@ -65,10 +65,10 @@
 )
 @profile(derandomize=True, max_examples=400, deadline=None)
 def test_any_packets_survive_any_split(packets: list[Packet], cuts: list[int], magic: int) -> None:
-    whole = b"".join(encode(packet, magic) for packet in packets)
+    stream = b"".join(encode(packet, magic) for packet in packets)
     reader, read, at = PacketReader(magic), [], 0
-    for cut in sorted({min(cut, len(whole)) for cut in cuts} | {len(whole)}):
-        read += reader.feed(whole[at:cut])
+    for cut in sorted({min(cut, len(stream)) for cut in cuts} | {len(stream)}):
+        read += reader.feed(stream[at:cut])
         at = cut
     for packet in read:
         packet.fault = ""
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -48,11 +48,11 @@
 @given(words=WORDS, cuts=strategies.lists(strategies.integers(0, 600), max_size=6))
 @profile(derandomize=True, max_examples=300, deadline=None)
 def test_any_command_survives_any_split(words: list[bytes], cuts: list[int]) -> None:
-    whole = command(*words) * 2
+    stream = command(*words) * 2
     reader, read = CommandReader(), []
     at = 0
-    for cut in sorted({min(cut, len(whole)) for cut in cuts} | {len(whole)}):
-        read += reader.feed(whole[at:cut])
+    for cut in sorted({min(cut, len(stream)) for cut in cuts} | {len(stream)}):
+        read += reader.feed(stream[at:cut])
         at = cut
     assert read == [words, words]
     assert (reader.needed_bytes, reader.broken) == (0, "")
