--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -119,91 +119,91 @@
 
 
 def test_idle_close_during_a_request_ends_cleanly_without_executing_it() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
         end.sendall(get("a1"))
         wait_for_unread_bytes(connection)
         connection.finish(even_midway=False)
-        assert await side.all_of(end) == b""
-        assert side.host.ids == []
+        assert await clients.all_of(end) == b""
+        assert clients.host.ids == []
         end.close()
-        await side.until(lambda: not side.server.connected)
+        await clients.until(lambda: not clients.server.connected)
 
     run_scenario(scenario)
 
 
 def test_last_reply_arrives_completely_despite_a_later_request() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client(small=True)
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client(small=True)
         end.sendall(get("a1"))
-        await side.until(lambda: side.host.requests)
-        side.server.emptying = True
+        await clients.until(lambda: clients.host.requests)
+        clients.server.emptying = True
         end.sendall(get("a2"))
         wait_for_unread_bytes(connection)
-        side.host.requests[0][1].served(LONG)
-        assert await side.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
-        assert side.host.ids == [b"a1"]
-        assert side.host.gone == []
+        clients.host.requests[0][1].served(LONG)
+        assert await clients.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+        assert clients.host.ids == [b"a1"]
+        assert clients.host.gone == []
         end.close()
-        await side.until(lambda: not side.server.connected)
+        await clients.until(lambda: not clients.server.connected)
 
     run_scenario(scenario)
 
 
 def test_error_reply_to_a_malformed_command_arrives_despite_later_commands() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client(small=True)
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client(small=True)
         end.sendall(get("a1") + b"?never a command\r\n")
-        await side.until(lambda: connection._dialect.broken)
+        await clients.until(lambda: connection._dialect.broken)
         end.sendall(get("a2") * 100)  # no longer read: it is in the kernel at the close
         wait_for_unread_bytes(connection)
-        side.host.requests[0][1].served(LONG)
-        received = await side.all_of(end)
+        clients.host.requests[0][1].served(LONG)
+        received = await clients.all_of(end)
         assert received.startswith(b"$%d\r\n%b\r\n-ERR Protocol error" % (len(LONG), LONG))
-        assert side.host.ids == [b"a1"]
+        assert clients.host.ids == [b"a1"]
         end.close()
-        await side.until(lambda: not side.server.connected)
+        await clients.until(lambda: not clients.server.connected)
 
     run_scenario(scenario)
 
 
 def test_commands_read_together_with_a_rejected_one_are_served_before_the_close() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
         end.sendall(get("a1"))
-        await side.until(lambda: side.host.requests)
-        side.server.emptying = True
-        side.host.requests[0][1].served(b"one")
-        other, other_connection = await side.client()
+        await clients.until(lambda: clients.host.requests)
+        clients.server.emptying = True
+        clients.host.requests[0][1].served(b"one")
+        other, other_connection = await clients.client()
         half = get("b1")[:20]
         other.sendall(half)
-        await side.until(lambda: other_connection._dialect.need)
+        await clients.until(lambda: other_connection._dialect.need)
         other_connection.carried = True  # used before, and within a command when the drain begins
         connection.finish(even_midway=False)
         other_connection.finish(even_midway=False)
         # Of the commands in one read, the invalid one is answered at once; the one after it is executed too.
         other.sendall(get("b1")[20:] + bulk(b"NO", b"SUCH") + get("b2"))
-        await side.until(lambda: len(side.host.requests) == 3)
-        side.host.requests[1][1].served(b"two")
-        side.host.requests[2][1].served(b"three")
-        received = await side.all_of(other)
+        await clients.until(lambda: len(clients.host.requests) == 3)
+        clients.host.requests[1][1].served(b"two")
+        clients.host.requests[2][1].served(b"three")
+        received = await clients.all_of(other)
         assert received.startswith(b"$3\r\ntwo\r\n-ERR ")
         assert received.endswith(b"$5\r\nthree\r\n")
-        assert side.host.gone == []
-        assert await side.all_of(end) == b"$3\r\none\r\n"
+        assert clients.host.gone == []
+        assert await clients.all_of(end) == b"$3\r\none\r\n"
 
     run_scenario(scenario)
 
 
 def test_rejected_command_does_not_close_the_connection_before_the_next_of_its_read() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
-        connection.carried = side.server.emptying = True
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
+        connection.carried = clients.server.emptying = True
         end.sendall(bulk(b"NO", b"SUCH") + get("a1"))
-        await side.until(lambda: side.host.requests)
+        await clients.until(lambda: clients.host.requests)
         assert not connection.closed
-        side.host.requests[0][1].served(b"one")
-        received = await side.all_of(end)
+        clients.host.requests[0][1].served(b"one")
+        received = await clients.all_of(end)
         assert received.startswith(b"-ERR ")
         assert received.endswith(b"$3\r\none\r\n")
 
@@ -211,25 +211,25 @@
 
 
 def test_client_that_never_closes_is_closed_after_a_time_limit() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
         connection.finish(even_midway=False)
-        assert await side.all_of(end) == b""
+        assert await clients.all_of(end) == b""
         now = asyncio.get_running_loop().time()
-        side.server.lingering.check(now + LINGER_S / 2)
-        assert side.server.connected == 1
-        side.server.lingering.check(now + LINGER_S)
-        await side.until(lambda: not side.server.connected)
+        clients.server.lingering.check(now + LINGER_S / 2)
+        assert clients.server.connected == 1
+        clients.server.lingering.check(now + LINGER_S)
+        await clients.until(lambda: not clients.server.connected)
         end.close()
 
     run_scenario(scenario)
 
 
 def test_client_that_sends_endlessly_is_read_up_to_a_limit() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
         connection.finish(even_midway=False)
-        assert await side.all_of(end) == b""
+        assert await clients.all_of(end) == b""
 
         def flood() -> int:
             sent = 0
@@ -241,35 +241,35 @@
             return sent
 
         assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * LINGER_BYTES
-        await side.until(lambda: not side.server.connected)
+        await clients.until(lambda: not clients.server.connected)
 
     run_scenario(scenario)
 
 
 def test_slow_client_has_time_to_receive_the_last_reply() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, _ = await side.client(small=True)
+    async def scenario(clients: ClientSide) -> None:
+        end, _ = await clients.client(small=True)
         end.sendall(get("a1"))
-        await side.until(lambda: side.host.requests)
-        side.server.emptying = True
-        side.host.requests[0][1].served(LONG)
+        await clients.until(lambda: clients.host.requests)
+        clients.server.emptying = True
+        clients.host.requests[0][1].served(LONG)
         now = asyncio.get_running_loop().time()
         for later in (LINGER_S, STALL_S / 2):
-            side.server.lingering.check(now + later)
-        assert await side.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+            clients.server.lingering.check(now + later)
+        assert await clients.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
     run_scenario(scenario)
 
 
 def test_connection_limit_closes_the_longest_idle_connection_without_unread_requests() -> None:
-    async def scenario(side: ClientSide) -> None:
-        slow, busy_connection = await side.client(small=True)
-        asking, asking_connection = await side.client()
-        idle, idle_connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        slow, busy_connection = await clients.client(small=True)
+        asking, asking_connection = await clients.client()
+        idle, idle_connection = await clients.client()
         slow.sendall(get("a1"))
-        await side.until(lambda: side.host.requests)
-        side.host.requests[0][1].served(LONG)  # more than the client receives now
-        await side.until(lambda: busy_connection.idle)
+        await clients.until(lambda: clients.host.requests)
+        clients.host.requests[0][1].served(LONG)  # more than the client receives now
+        await clients.until(lambda: busy_connection.idle)
         now = asyncio.get_running_loop().time()
         busy_connection.used_at, asking_connection.used_at, idle_connection.used_at = (
             now - 0.03,
@@ -280,36 +280,36 @@
         # A new client connects in the loop iteration in which a request of another client is unread.
         asking.sendall(get("a2"))
         wait_for_unread_bytes(asking_connection)
-        new, _ = await side.client()
+        new, _ = await clients.client()
         assert idle_connection.closed
-        assert await side.all_of(idle) == b""
+        assert await clients.all_of(idle) == b""
         new.sendall(get("a3"))
-        await side.until(lambda: len(side.host.requests) == 3)
-        for _, reply in side.host.requests[1:]:
+        await clients.until(lambda: len(clients.host.requests) == 3)
+        for _, reply in clients.host.requests[1:]:
             reply.served(b"v")
         assert await asyncio.get_running_loop().run_in_executor(None, asking.recv, 99) == b"$1\r\nv\r\n"
         assert await asyncio.get_running_loop().run_in_executor(None, new.recv, 99) == b"$1\r\nv\r\n"
-        side.server.emptying = True
+        clients.server.emptying = True
         busy_connection.finish(even_midway=False)
-        assert await side.all_of(slow) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
+        assert await clients.all_of(slow) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
     run_scenario(scenario)
 
 
 def test_new_connection_is_not_closed_before_its_first_request_can_arrive() -> None:
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
-        side.server.finish(even_midway=False)
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
+        clients.server.finish(even_midway=False)
         assert not connection.evictable
         end.sendall(get("r1"))
-        await side.until(lambda: side.host.requests)
-        side.host.requests[0][1].served(b"v")
-        assert await side.read(end, 8) == b"$1\r\nv\r\n"
-        late, connection = await side.client()
+        await clients.until(lambda: clients.host.requests)
+        clients.host.requests[0][1].served(b"v")
+        assert await clients.read(end, 8) == b"$1\r\nv\r\n"
+        late, connection = await clients.client()
         await asyncio.sleep(FRESH_S)
         assert connection.evictable
-        side.server.finish(even_midway=False)
-        assert await side.all_of(late) == b""
+        clients.server.finish(even_midway=False)
+        assert await clients.all_of(late) == b""
         end.close()
         late.close()
 
@@ -317,12 +317,12 @@
 
 
 def test_connection_limit_closes_lingering_connections_first() -> None:
-    async def scenario(side: ClientSide) -> None:
-        ends = [await side.client() for _ in range(LIMIT)]
+    async def scenario(clients: ClientSide) -> None:
+        ends = [await clients.client() for _ in range(LIMIT)]
         ends[0][1].finish(even_midway=False)
-        assert len(side.server.lingering) == 1
-        await side.client()
-        assert len(side.server.lingering) == 0
+        assert len(clients.server.lingering) == 1
+        await clients.client()
+        assert len(clients.server.lingering) == 0
         assert not any(connection.closed for _, connection in ends[1:])
 
     run_scenario(scenario)
@@ -332,25 +332,25 @@
 def test_disconnect_is_noticed_within_a_tenth_of_a_second_while_reading_is_paused(ends: str) -> None:
     """The bound is that of the polling timer; as the loop can be late, two polls are allowed."""
 
-    async def scenario(side: ClientSide) -> None:
-        end, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        end, connection = await clients.client()
         end.sendall(b"".join(get(f"a{i}") for i in range(MAX_PIPELINE + 5)))
-        await side.until(lambda: not connection._reading)
+        await clients.until(lambda: not connection._reading)
         if ends == "close":
             end.close()
         else:
             end.shutdown(socket.SHUT_WR)
-        await side.until(lambda: connection.closed)
-        assert len(side.host.gone) == len(side.host.requests)
+        await clients.until(lambda: connection.closed)
+        assert len(clients.host.gone) == len(clients.host.requests)
         assert 2 * LOOK_S < 0.1
-        assert not side.server.unread._held
+        assert not clients.server.unread._held
 
     run_scenario(scenario)
 
 
 def test_small_writes_are_sent_without_delay() -> None:
-    async def scenario(side: ClientSide) -> None:
-        _, connection = await side.client()
+    async def scenario(clients: ClientSide) -> None:
+        _, connection = await clients.client()
         assert connection.transport is not None
         router_socket = connection.transport.get_extra_info("socket")
         assert router_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -32,7 +32,7 @@
     return {**fields, "weight": 1.0, "startedAtMs": 0}
 
 
-class Scripted:
+class ScriptedDiscovery:
     """Discovery whose first calls go as the script says and whose later calls succeed."""
 
     def __init__(self, script: Sequence[str]) -> None:
@@ -173,7 +173,7 @@
 )
 def test_change_takes_effect_in_time_after_any_failed_calls(before: tuple[str, ...], asked: bool) -> None:
     async def scenario() -> None:
-        peer = Scripted(["goes well", *before])
+        peer = ScriptedDiscovery(["goes well", *before])
         follower = Follower(await peer.listen(), asked, seed=len(peer.calls))
         if asked:
             follower.discovery.subscribe()
@@ -199,7 +199,7 @@
     after_s: float, asked: bool
 ) -> None:
     async def scenario() -> None:
-        peer = Scripted(["is slow"] * 1000)
+        peer = ScriptedDiscovery(["is slow"] * 1000)
         follower = Follower(await peer.listen(), asked, seed=int(after_s * 10))
         if asked:
             follower.discovery.subscribe()
@@ -220,7 +220,7 @@
 @pytest.mark.parametrize("down_s", [0.5, 8.0, 120.0, 600.0])
 def test_change_after_an_outage_takes_effect_in_time(down_s: float, how: str, asked: bool) -> None:
     async def scenario() -> None:
-        peer = Scripted([])
+        peer = ScriptedDiscovery([])
         follower = Follower(await peer.listen(), asked, seed=int(down_s))
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         await asyncio.sleep(600.0)
@@ -248,7 +248,7 @@
 
 def test_late_answer_does_not_replace_a_newer_one() -> None:
     async def scenario() -> None:
-        peer = Scripted(["is slow"])
+        peer = ScriptedDiscovery(["is slow"])
         follower = Follower(await peer.listen(), False, seed=1)
         follower.discovery.start()
         await asyncio.sleep(0.5)
@@ -266,7 +266,7 @@
 @pytest.mark.parametrize("seed", range(5))
 def test_unanswered_watch_of_an_asked_discovery_is_reopened_two_seconds_after_its_wait(seed: int) -> None:
     async def scenario() -> None:
-        peer = Scripted(["goes well", "hangs"])
+        peer = ScriptedDiscovery(["goes well", "hangs"])
         follower = Follower(await peer.listen(), True, seed)
         follower.discovery.subscribe()
         while len(peer.calls) < 2:
@@ -287,7 +287,7 @@
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
 def test_discovery_with_a_reset_generation_is_followed_from_its_full_list(asked: bool) -> None:
     async def scenario() -> None:
-        peer = Scripted([])
+        peer = ScriptedDiscovery([])
         peer.generation = 41
         follower = Follower(await peer.listen(), asked, 1)
         (follower.discovery.subscribe if asked else follower.discovery.start)()
@@ -308,7 +308,10 @@
 @pytest.mark.parametrize("watching", [False, True])
 def test_new_address_is_asked_at_once_for_the_full_list(asked: bool, watching: bool) -> None:
     async def scenario() -> None:
-        first, second = Scripted(["goes well"] + ([] if watching else ["is refused"] * 99)), Scripted([])
+        first, second = (
+            ScriptedDiscovery(["goes well"] + ([] if watching else ["is refused"] * 99)),
+            ScriptedDiscovery([]),
+        )
         first.generation, second.generation = 41, 2
         second.instances = [entry("new")]
         port = await second.listen()
@@ -328,7 +331,7 @@
 
 def test_change_of_address_while_a_long_list_is_applied_ends_with_the_new_list() -> None:
     async def scenario() -> None:
-        first, second = Scripted([]), Scripted([])
+        first, second = ScriptedDiscovery([]), ScriptedDiscovery([])
         first.instances = [entry(f"s{i}") for i in range(2000)]
         second.instances = [entry(f"s{i}") for i in range(1000, 3000)] + [entry("new")]
         port = await second.listen()
@@ -348,7 +351,7 @@
 
 def test_indented_lists_with_unknown_fields_are_read() -> None:
     async def scenario() -> None:
-        peer = Scripted([])
+        peer = ScriptedDiscovery([])
         peer.indented = True
         peer.instances = [{**entry("new"), "colour": {"a": None}}]
         follower = Follower(await peer.listen(), False, 1)
@@ -361,7 +364,7 @@
 
 def test_invalid_entry_leaves_the_old_list_and_does_not_cause_a_busy_retry() -> None:
     async def scenario() -> None:
-        peer = Scripted([])
+        peer = ScriptedDiscovery([])
         follower = Follower(await peer.listen(), False, 1)
         follower.discovery.start()
         while len(peer.calls) < 2:
@@ -387,7 +390,7 @@
     asked: bool, watching: bool, answer_first: bool
 ) -> None:
     async def scenario() -> None:
-        peer = Scripted([*["goes well"] * watching, "comes with the time-out"])
+        peer = ScriptedDiscovery([*["goes well"] * watching, "comes with the time-out"])
         peer.answer_first = answer_first
         peer.full_list_s = registry.ASKED_CALL_S if asked else registry.CALL_S
         follower = Follower(await peer.listen(), asked, 1)
@@ -425,7 +428,7 @@
                 advance_time(ASK_WITHIN_S + registry.ASKED_CALL_S)  # longer than any call may take
 
     async def scenario() -> None:
-        peer = Scripted([])
+        peer = ScriptedDiscovery([])
         peer.change()
         follower = Follower(await peer.listen(), asked, 1)
         monkeypatch.setattr(registry, "_Call", LateCall)
@@ -445,7 +448,7 @@
     how: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def scenario() -> None:
-        peer = Scripted([how] * 10)
+        peer = ScriptedDiscovery([how] * 10)
         follower = Follower(await peer.listen(), False, seed=1)
         follower.discovery.start()
         await asyncio.sleep(2.5)
--- a/tests/crossings/test_forwarded_deadline.py
+++ b/tests/crossings/test_forwarded_deadline.py
@@ -28,7 +28,7 @@
 NS_PER_MS = 1_000_000
 
 
-class Holding:
+class DelayingPeer:
     """A peer that delays its first request, then answers `first`, or resets the connection if it is None."""
 
     def __init__(self, first: bytes | None, later: bytes, is_http: bool = False) -> None:
@@ -56,7 +56,10 @@
 
 
 def test_fetch_after_a_miss_states_the_remaining_time_to_the_origin(tmp_path: Path) -> None:
-    cache, origin = Holding(MISS, MISS), Peer(lambda _, words: http_answer(200, b"fetched"), is_http=True)
+    cache, origin = (
+        DelayingPeer(MISS, MISS),
+        Peer(lambda _, words: http_answer(200, b"fetched"), is_http=True),
+    )
     with routed(tmp_path, {"s1": cache.peer}, origin) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"fetched"
     assert remaining_ms(b"," + cache.peer.seen[0][3]) <= TOTAL_MS
@@ -76,21 +79,21 @@
 
 
 def test_retry_of_a_write_states_the_remaining_time_to_the_origin(tmp_path: Path) -> None:
-    holding = Holding(None, http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": Peer(lambda _, words: MISS)}, holding.peer) as router:
+    delaying_peer = DelayingPeer(None, http_answer(200, b"receipt"), is_http=True)
+    with routed(tmp_path, {"s1": Peer(lambda _, words: MISS)}, delaying_peer.peer) as router:
         assert router.client().ask(put("w1", d=TOTAL_MS)) == b"receipt"
-    first, second = holding.peer.seen
+    first, second = delaying_peer.peer.seen
     assert is_at_most_left(remaining_ms(first[2]), 0)
-    assert is_at_most_left(remaining_ms(second[2]), holding.held_ns)
+    assert is_at_most_left(remaining_ms(second[2]), delaying_peer.held_ns)
 
 
 def test_retry_states_the_remaining_time_to_the_next_cache_server(tmp_path: Path) -> None:
-    holding = Holding(None, hit(b"v"))
-    with routed(tmp_path, {"s1": holding.peer}) as router:
+    delaying_peer = DelayingPeer(None, hit(b"v"))
+    with routed(tmp_path, {"s1": delaying_peer.peer}) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"v"
-    first, second = holding.peer.seen
+    first, second = delaying_peer.peer.seen
     assert is_at_most_left(remaining_ms(b"," + first[3]), 0)
-    assert is_at_most_left(remaining_ms(b"," + second[3]), holding.held_ns)
+    assert is_at_most_left(remaining_ms(b"," + second[3]), delaying_peer.held_ns)
 
 
 def test_request_that_waited_for_a_connection_states_the_remaining_time_at_sending() -> None:
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -96,7 +96,7 @@
     client.socket.shutdown(socket.SHUT_WR)
 
 
-LEAVES = pytest.mark.parametrize("disconnect", [close, half_close, reset_connection])
+DISCONNECTS = pytest.mark.parametrize("disconnect", [close, half_close, reset_connection])
 
 
 @contextmanager
@@ -124,19 +124,19 @@
         os.close(descriptor)
 
 
-@LEAVES
+@DISCONNECTS
 @pytest.mark.parametrize(
-    "receipt", [ACCEPTED, REJECTED + b"no room", b""], ids=["taken", "turned down", "none"]
+    "acknowledgement", [ACCEPTED, REJECTED + b"no room", b""], ids=["taken", "turned down", "none"]
 )
 def test_value_is_not_read_further_if_its_client_disconnects_during_the_transfer(
-    tmp_path: Path, disconnect: Callable[[Client], None], receipt: bytes
+    tmp_path: Path, disconnect: Callable[[Client], None], acknowledgement: bytes
 ) -> None:
     with unacknowledged_transfer(tmp_path) as (node, _, old, client, link, _, descriptors):
         assert not node.closed.is_set()
         disconnect(client)
         close_all(descriptors)  # the receiver's copies
-        if receipt:
-            link.socket.send(receipt)
+        if acknowledgement:
+            link.socket.send(acknowledgement)
         else:
             link.socket.close()
         assert node.closed.wait(PATIENCE_S), "the connection of the value is closed, and the rest is not read"
@@ -144,7 +144,7 @@
         assert old.process.returncode == 0
 
 
-@LEAVES
+@DISCONNECTS
 def test_value_is_not_read_if_its_client_disconnected_before_the_record_arrived(
     tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
--- a/tests/handover/test_model.py
+++ b/tests/handover/test_model.py
@@ -72,9 +72,9 @@
                 old
                 and not self.link_closed
                 and location == "old"
-                and self.choice(name) is TransferDecision.MOVE
+                and self.decision(name) is TransferDecision.MOVE
             ):
-                events[f"give {name}"] = lambda name=name: self.give(name)
+                events[f"freeze {name}"] = lambda name=name: self.freeze(name)
         if old and new and len(self.link) < LINK_CAPACITY and self.sender.next_message() is not None:
             events["send"] = self.send
         if new and self.link:
@@ -82,19 +82,19 @@
             if self.link[0][0][:1] == RECORD_LAST:
                 events["refuse"] = lambda: self.take(refuse=True)
         if old and (self.answers_in_transit or not (new or self.link_closed)):
-            events["hear"] = self.hear
+            events["receive"] = self.receive
         if old and new:
             events["old dies"], events["new dies"] = self.old_dies, self.new_dies
         return events
 
-    def choice(self, name: str) -> TransferDecision:
+    def decision(self, name: str) -> TransferDecision:
         return decide_transfer(int(name == "write" and not self.answers[name]), [], 1.0)
 
     def answer(self, name: str) -> None:
         self.effects[name] += 1
         self.answers[name] += 1
 
-    def give(self, name: str) -> None:
+    def freeze(self, name: str) -> None:
         self.location[name] = "frozen"
         record = RECORDS[name]
 
@@ -142,7 +142,7 @@
         self.link.clear()
         self.lose("new", "link")
 
-    def hear(self) -> None:
+    def receive(self) -> None:
         """The old process reads the messages of a dead process before the end of the link."""
         if self.answers_in_transit:
             self.sender.receive(self.answers_in_transit.popleft())
@@ -151,6 +151,7 @@
             self.sender.link_closed()
 
     def lose(self, *locations: str) -> None:
+        """Mark the connections at these locations as lost with a process that died."""
         for name, location in self.location.items():
             if location in locations:
                 self.location[name] = "lost"
@@ -158,6 +159,7 @@
 
     @property
     def key(self) -> tuple[Any, ...]:
+        """Return a key that is equal for equal states of the model."""
         transfers = [transfer.sent_bytes for transfer in self.sender._queue]
         queues = (
             len(self.sender._unacknowledged),
@@ -173,6 +175,7 @@
         return (str(self.location), str(transfers), str(queues), str(counts))
 
     def check(self) -> None:
+        """Assert that no request is executed or answered twice, and that each connection has one location."""
         assert all(count <= 1 for count in (*self.effects.values(), *self.answers.values()))
         assert not (self.location["write"] == "frozen" and not self.answers["write"]), (
             "a connection with an unanswered request was frozen"
@@ -183,6 +186,7 @@
 
 
 def replay(path: Sequence[str]) -> World:
+    """Return the model after this sequence of events, checked after each."""
     world = World()
     for event in path:
         world.events()[event]()
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -41,7 +41,7 @@
 NOTE = b"\r\n$3\r\nhit\r\n$-1\r\n"
 
 
-class Gate:
+class PausingNode:
     """A node that pauses within each long value after `first` bytes of its answer, until it is released."""
 
     def __init__(self, first: int = 300 << 10, head: bytes = b"*3\r\n$%d\r\n", tail: bytes = NOTE) -> None:
@@ -82,52 +82,52 @@
 
 
 @contextmanager
-def midway(folder: Path) -> Iterator[tuple[Gate, Platform, Process, Client]]:
+def value_in_progress(folder: Path) -> Iterator[tuple[PausingNode, Platform, Process, Client]]:
     """A process within a long value: yield its node, the platform, the process and the waiting client."""
-    gate = Gate()
-    with platform(folder, {"s1": gate.peer}) as cluster:
+    node = PausingNode()
+    with platform(folder, {"s1": node.peer}) as cluster:
         old, client = cluster.start().ready(), cluster.client()
         client.send(get("c1", "long"))
         wait_for_values(old)
-        yield gate, cluster, old, client
+        yield node, cluster, old, client
 
 
 def test_value_and_the_pipelined_requests_after_it_continue(tmp_path: Path) -> None:
-    gate = Gate()
-    with platform(tmp_path, {"s1": gate.peer}) as cluster:
+    node = PausingNode()
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
         old = cluster.start().ready()
         client = cluster.client()
         half = get("c3")
         client.send(get("c1", "long") + get("c2", "k2") + half[:20])
-        eventually(lambda: len(gate.peer.seen) == 2, "both requests reached the node")
+        eventually(lambda: len(node.peer.seen) == 2, "both requests reached the node")
         wait_for_values(old)
         new = upgrade(cluster, old)
         wait_for_values(new)
         assert ask(new.admin, "/state")["taken_over"] == 1
-        gate.released.set()
+        node.released.set()
         client.send(half[20:] + get("c4"))
         answers = [client.answer() for _ in range(4)]
         assert answers == [LONG, b"c2", b"c3", b"c4"]
-        assert [words[2] for words in gate.peer.seen].count(b"c1") == 1, "no request is sent twice"
+        assert [words[2] for words in node.peer.seen].count(b"c1") == 1, "no request is sent twice"
         stats = ask(new.admin, "/stats")
         assert (stats["answered"]["get"], stats["errored"]["get"], stats["current"]) == (3, 0, 0)
 
 
 @pytest.mark.parametrize("lacking", [len(NOTE), len(NOTE) - 1, len(NOTE) - 2, len(NOTE) - 5, 1])
 def test_value_at_its_last_bytes(tmp_path: Path, lacking: int) -> None:
-    gate = Gate(first=len(b"*3\r\n$1048576\r\n") + len(LONG) + len(NOTE) - lacking)
-    with platform(tmp_path, {"s1": gate.peer}) as cluster:
+    node = PausingNode(first=len(b"*3\r\n$1048576\r\n") + len(LONG) + len(NOTE) - lacking)
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
         old = cluster.start().ready()
         client = cluster.client()
         client.send(get("c1", "long") + get("c2"))
         wait_for_values(old)
         new = upgrade(cluster, old)
-        gate.released.set()
+        node.released.set()
         assert [client.answer(), client.answer()] == [LONG, b"c2"]
         assert ask(new.admin, "/stats")["errored"]["get"] == 0
-        accepted = gate.peer.accepted
+        accepted = node.peer.accepted
         assert client.ask(get("c3")) == b"c3"
-        assert gate.peer.accepted == accepted, "the transferred connection is reused for the next request"
+        assert node.peer.accepted == accepted, "the transferred connection is reused for the next request"
 
 
 def test_value_from_the_origin_continues_on_its_connection(tmp_path: Path) -> None:
@@ -158,18 +158,18 @@
 
 
 def test_memcached_value_and_an_incomplete_packet_continue(tmp_path: Path) -> None:
-    gate, file = Gate(), tmp_path / "memcached.toml"
+    node, file = PausingNode(), tmp_path / "memcached.toml"
     file.write_text(FRONT.format(port=free_port()).replace("listen", "# listen"))
-    with platform(tmp_path, {"s1": gate.peer}, more=["--with", str(file)]) as cluster:
+    with platform(tmp_path, {"s1": node.peer}, more=["--with", str(file)]) as cluster:
         old = cluster.start().ready()
         client = Binary(cluster.port)
         last = encode(Packet(Opcode.GETK, b"k3", opaque=3), REQUEST_MAGIC)
         client.send(Packet(Opcode.GET, b"long", opaque=1), Packet(Opcode.GETQ, b"k2", opaque=2))
         client.socket.sendall(last[:20])
-        eventually(lambda: len(gate.peer.seen) == 2, "both requests reached the node")
+        eventually(lambda: len(node.peer.seen) == 2, "both requests reached the node")
         wait_for_values(old)
         upgrade(cluster, old)
-        gate.released.set()
+        node.released.set()
         client.socket.sendall(last[20:])
         first, second, third = client.answers(3)
         assert (first.opaque, first.value) == (1, LONG)
@@ -177,8 +177,8 @@
 
 
 def test_several_values_on_one_connection_and_two_upgrades(tmp_path: Path) -> None:
-    gate = Gate()
-    with platform(tmp_path, {"s1": gate.peer}) as cluster:
+    node = PausingNode()
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
         first = cluster.start().ready()
         client = cluster.client()
         client.send(get("c1", "long1") + get("c2", "k") + get("c3", "long2"))
@@ -187,19 +187,19 @@
         wait_for_values(second, 2)
         third = upgrade(cluster, second)
         wait_for_values(third, 2)
-        gate.released.set()
+        node.released.set()
         assert [client.answer() for _ in range(3)] == [LONG, b"c2", LONG]
 
 
 def test_client_that_reads_nothing_receives_all_its_replies_later(tmp_path: Path) -> None:
-    gate = Gate()
-    with platform(tmp_path, {"s1": gate.peer}) as cluster:
+    node = PausingNode()
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
         old = cluster.start().ready()
         client = cluster.client()
         names = [f"long{i}" for i in range(8)]
         client.send(b"".join(get(name, name) for name in names))
         wait_for_values(old, 8)
-        gate.released.set()
+        node.released.set()
         # The values are buffered in the router: the client's kernel takes far less than eight of them.
         new = upgrade(cluster, old)
         time.sleep(STALL_S + 1)
@@ -209,17 +209,17 @@
 
 @pytest.mark.parametrize("who", ["server", "client"])
 def test_death_of_either_side_after_the_move(tmp_path: Path, who: str) -> None:
-    with midway(tmp_path) as (gate, cluster, old, client):
+    with value_in_progress(tmp_path) as (node, cluster, old, client):
         new = upgrade(cluster, old)
         if who == "client":
             client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             client.close()
         else:
-            gate.fails = True
-            gate.released.set()
+            node.fails = True
+            node.released.set()
             assert client.answer().startswith(b"cut off")
         wait_for_values(new, 0)
-        gate.released.set()
+        node.released.set()
         assert ask(new.admin, "/stats")["errored"]["get"] == (who == "server")
         assert cluster.client().ask(get("c2")) == b"c2"
 
@@ -242,11 +242,11 @@
 def test_connection_stays_in_the_old_process_if_the_successor_dies_before_the_transfer(
     tmp_path: Path,
 ) -> None:
-    with midway(tmp_path) as (gate, cluster, old, client):
+    with value_in_progress(tmp_path) as (node, cluster, old, client):
         new = cluster.start().ready()
         os.kill(new.process.pid, signal.SIGKILL)
         new.process.communicate(timeout=PATIENCE_S)
-        gate.released.set()
+        node.released.set()
         assert client.answer() == LONG
         assert old.healthy()
 
@@ -263,8 +263,8 @@
 
 @pytest.mark.parametrize("hello", [b"", b"H0", b"H9999", b"Hx"])
 def test_successor_of_another_version_receives_only_idle_connections(tmp_path: Path, hello: bytes) -> None:
-    gate = Gate()
-    with platform(tmp_path, {"s1": gate.peer}) as cluster:
+    node = PausingNode()
+    with platform(tmp_path, {"s1": node.peer}) as cluster:
         old = cluster.start().ready()
         busy, idle = cluster.client(), cluster.client()
         busy.send(get("c1", "long"))
@@ -277,12 +277,12 @@
             assert (message, len(descriptors)) == (b"C", 1)
             with socket.socket(fileno=descriptors[0]) as given:
                 assert given.getpeername() == idle.socket.getsockname()
-            gate.released.set()
+            node.released.set()
             assert busy.answer() == LONG
 
 
 def test_rejected_connection_continues_in_the_old_process(tmp_path: Path) -> None:
-    with midway(tmp_path) as (gate, _cluster, old, client):
+    with value_in_progress(tmp_path) as (node, _cluster, old, client):
         with connect_as_successor(tmp_path, b"H1") as link:
             assert link.recv(1 << 20)[:1] == b"L"
             old.terminate()
@@ -294,7 +294,7 @@
                 os.close(descriptor)
             assert len(descriptors) == 2
             link.send(b"Nno room")
-            gate.released.set()
+            node.released.set()
             assert client.answer() == LONG
         assert "can't go on with a connection: no room" in old.end()
 
@@ -358,12 +358,12 @@
 
 def test_world_writable_folder_is_not_used(tmp_path: Path) -> None:
     tmp_path.chmod(0o777)
-    with midway(tmp_path) as (gate, cluster, old, client):
+    with value_in_progress(tmp_path) as (node, cluster, old, client):
         assert not (tmp_path / "saltport.takeover").exists()
         inner = tmp_path / f"saltport-{os.getuid()}"
         assert inner.stat().st_mode & 0o777 == 0o700
         upgrade(cluster, old)
-        gate.released.set()
+        node.released.set()
         assert client.answer() == LONG
 
 
