--- a/saltport/wire/__init__.py
+++ b/saltport/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Codecs without sockets: bytes in, typed messages out, and back."""
+"""Protocol codecs without I/O: decode bytes into typed messages, and encode messages."""
