--- a/saltport/downstream/__init__.py
+++ b/saltport/downstream/__init__.py
@@ -1,1 +1,1 @@
-"""The client-facing side: connections of clients, and their answers in order."""
+"""The client-facing side of the router: client connections, dialects, replies and the access log."""
--- a/saltport/downstream/access_log.py
+++ b/saltport/downstream/access_log.py
@@ -18,12 +18,12 @@
 
 import msgspec
 
-from saltport.downstream.endings import CloseReason, FinalAnswer
+from saltport.downstream.outcomes import CloseReason, FinalAnswer
 
 DEFAULT_MAX_BYTES = 256 << 20
 """Size at which a log file is set aside under the suffix `.1`, in the place of the one set aside before."""
 
-MAX_UNWRITTEN = 4 << 20
+MAX_UNWRITTEN_BYTES = 4 << 20
 """Bytes that are kept while the file can't be written; entries beyond are lost."""
 
 log = logging.getLogger("saltport")
@@ -125,7 +125,7 @@
         self._pending.append(self._encode(entry))
 
     def _flush(self) -> None:
-        if self._pending and len(self._unwritten) <= MAX_UNWRITTEN:
+        if self._pending and len(self._unwritten) <= MAX_UNWRITTEN_BYTES:
             self._unwritten += b"\n".join(self._pending) + b"\n"
         self._pending.clear()
         try:
--- a/saltport/downstream/access_report.py
+++ b/saltport/downstream/access_report.py
@@ -22,7 +22,7 @@
     RequestAccepted,
     RequestAnswered,
 )
-from saltport.downstream.endings import CloseReason
+from saltport.downstream.outcomes import CloseReason
 
 NS_PER_MS = 1_000_000
 LATE_AFTER_NS = 500 * NS_PER_MS
--- a/saltport/downstream/budget.py
+++ b/saltport/downstream/budget.py
@@ -1,4 +1,4 @@
-"""Memory that clients' long commands share."""
+"""A memory budget shared by the long commands of all clients."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 
 
 class Waiter(Protocol):
-    """What asks for bytes."""
+    """A connection that waits for memory."""
 
     closed: bool
 
     def reserve(self) -> None:
-        """Ask again."""
+        """Request the memory again; called when some has been released."""
 
 
-class Budget:
-    """Bytes for long commands: they are set aside before the command is read, so that all can be finished."""
+class MemoryBudget:
+    """A pool of bytes, reserved before a long command is read so that each started command can complete."""
 
     def __init__(self, total: int) -> None:
         self._free = total
         self._waiting: deque[Waiter] = deque()
 
-    def take(self, waiter: Waiter, size: int) -> bool:
-        """Set bytes aside, or queue the connection for them."""
+    def reserve_or_wait(self, waiter: Waiter, size: int) -> bool:
+        """Reserve `size` bytes and return True, or queue the waiter and return False."""
         if size > self._free:
             self._waiting.append(waiter)
             return False
         self._free -= size
         return True
 
-    def give_back(self, size: int) -> None:
-        """Free bytes, and let those that wait go on."""
+    def release_memory(self, size: int) -> None:
+        """Release reserved bytes, and let each waiter that is still open request its memory again."""
         self._free += size
         waiting, self._waiting = self._waiting, deque()
         while waiting:
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -1,4 +1,4 @@
-"""What clients talk to in any dialect: their connections, and answers in the order of the commands."""
+"""Client connections in any dialect: they read commands and write the replies in command order."""
 
 from __future__ import annotations
 
@@ -17,15 +17,20 @@
 from saltport.address import Address
 from saltport.deadline import Received
 from saltport.decisions.ordering import KeyOrder
-from saltport.downstream.arrivals import Arrivals
-from saltport.downstream.budget import Budget
-from saltport.downstream.departure import Arrival, Departure, Successor, may_go
-from saltport.downstream.endings import CloseReason
-from saltport.downstream.lingering import Lingering
-from saltport.downstream.received import KernelClock, ReceiveTimes
-from saltport.downstream.replies import LongAnswer, Reply
-from saltport.downstream.taking import STALL_S, waiting_for
-from saltport.downstream.unread import UnreadConnections
+from saltport.downstream.acceptors import ClientAcceptors
+from saltport.downstream.budget import MemoryBudget
+from saltport.downstream.connection_handover import (
+    FrozenConnection,
+    ReceivedConnection,
+    Successor,
+    can_hand_over,
+)
+from saltport.downstream.lingering_close import LingeringConnections
+from saltport.downstream.outcomes import CloseReason
+from saltport.downstream.paused_reads import PausedReads
+from saltport.downstream.receive_times import KernelClock, ReceiveTimes
+from saltport.downstream.replies import Reply, StreamedValue
+from saltport.downstream.unacknowledged import STALL_TIMEOUT_S, unacknowledged_bytes
 from saltport.handover.exchange import Parcel
 from saltport.handover.record import ConnectionRecord, RecordError, Value, decode
 from saltport.messages import Answers, ClientDialect, Malformed, Message, Ping, Request
@@ -35,266 +40,278 @@
 if TYPE_CHECKING:
     from saltport.downstream.access_log import AccessLog
 
-LARGE = 64 << 10  # a command that needs more must be given room first
-MAX_PIPELINE = 256
-HIGH_WATER = 64 << 10
-# Good clients may take 2 s for a command's head, and strangers are owed an error or a close within 3 s.
-PROGRESS_S = 2.4  # in which a command must be whole, or have come on by
-PROGRESS = 16 << 10  # bytes
-PENDING = 64 << 10  # bytes of a command under way that go to a process which takes no records
-IDLE_S = 2.0  # after which a connection without an open request may be closed
-FRESH_S = 0.1  # in which a client that has connected sends its first request
-SWEEP_S = 0.2
-REFUSERS = 32
-FULL_PAUSE_S = 0.01  # until there may be room for one more
+LARGE_COMMAND_BYTES = 64 << 10  # larger commands reserve memory before they are read
+MAX_PIPELINE = 256  # outstanding replies per connection; reading pauses at this number
+HIGH_WATER_BYTES = 64 << 10  # unsent bytes at which the transport pauses writing
+# A well-behaved client may take 2 s to send the head of a command, and a misbehaving one must get an error or
+# a close within 3 s.
+COMMAND_PROGRESS_TIMEOUT_S = 2.4  # to complete a command or to receive COMMAND_PROGRESS_BYTES more of it
+COMMAND_PROGRESS_BYTES = 16 << 10
+MAX_PENDING_BYTES = 64 << 10  # of a partial command passed to a successor that does not take records
+IDLE_TIMEOUT_S = 2.0  # a connection without an open request may be closed after this time
+FIRST_REQUEST_GRACE_S = 0.1  # a new client is expected to send its first request within this time
+SWEEP_INTERVAL_S = 0.2  # between two checks of all connections for timeouts
+MAX_REFUSED_CONNECTIONS = 32  # accepted beyond the limit so that their requests can be refused
+ACCEPT_RETRY_S = 0.01  # before the limit is checked again when no connection can be evicted
 
 log = logging.getLogger("saltport")
 
 
 class Host(Protocol):
-    """What takes the clients' requests."""
+    """The router core that handles the requests of all client connections."""
 
     ready: bool
 
     def touched(self) -> None:
-        """The kernel had something for a client's connection."""
+        """Record that the kernel has reported data or an event for a client connection."""
 
     def unread_since(self, now_ns: int) -> int:
-        """Since when, at the earliest, what is read now may have lain in the kernel."""
+        """Return the earliest time at which data read at `now_ns` can have arrived in the kernel."""
 
     def request_arrived(
         self, request: Request, reply: Reply, order: KeyOrder[Any], received: Received
     ) -> None:
-        """A request is whole; `order` is that of its connection's commands."""
+        """Handle a complete request; `order` serializes commands on the same key of its connection."""
 
-    def request_refused(self, asked: Request) -> None:
-        """A request is refused, as there are too many clients."""
+    def request_refused(self, request: Request) -> None:
+        """Record that a request is refused because there are too many clients."""
 
     def client_gone(self, reply: Reply) -> None:
-        """The client that waits for this reply has left."""
+        """Handle that the client waiting for this reply has disconnected."""
 
-    def go_on(self, value: Value, descriptor: int, reply: Reply) -> LongAnswer:
-        """Go on with a value that another process began for this reply; the descriptor is the host's."""
+    def resume_value(self, value: Value, descriptor: int, reply: Reply) -> StreamedValue:
+        """Continue a value that another process began to stream for this reply.
+
+        The host takes ownership of `descriptor`, the server connection on which the value arrives.
+        """
 
 
 class ClientConnection(StreamProtocol):
-    """One client's connection."""
+    """One client connection: reads commands, passes requests to the host and writes the replies in order."""
 
     def __init__(
-        self, server: ClientServer, dialect: Callable[[], ClientDialect], arrival: Arrival | None = None
+        self,
+        server: ClientServer,
+        dialect: Callable[[], ClientDialect],
+        received_connection: ReceivedConnection | None = None,
     ) -> None:
-        """`arrival`: where another process has stopped."""
+        """Create the protocol; `received_connection` holds the state if another process handed it over."""
         self.server = server
-        self._arrival = arrival
-        self._departure: Departure | None = None
-        self._within = False
-        """Whether commands are being taken just now."""
-        self._stays = arrival is not None and arrival.stays
+        self._received_connection = received_connection
+        self._frozen: FrozenConnection | None = None
+        self._in_batch = False
+        """Whether commands that were read together are being handled."""
+        self._pinned = received_connection is not None and received_connection.pinned
         self._order: KeyOrder[Any] = KeyOrder()
-        self.carried = False
-        """Whether a request ever came; the front asks on connections of its own how the router is."""
+        self.has_carried_request = False
+        """Whether a request ever arrived; health checks use connections of their own."""
         self.number = server.next_number()
         self.transport: TcpStream | None = None
-        self._departures: Readiness | None = None
+        self._hangup_poll: Readiness | None = None
         self.replies: deque[Reply] = deque()
-        self.blocked = self.closed = False
-        self.used_at = self.came_at = server.loop.time()
+        self.writing_paused = self.closed = False
+        self.last_active_at = self.connected_at = server.loop.time()
         self._dialect = dialect()
         self._reading = True
-        self._reserved = 0  # set aside for the command under way
-        self._begun_at = 0.0
-        self._came = 0  # since then
-        self._starved = False  # waits for the budget
-        self._last = False
+        self._reserved = 0  # bytes reserved for the command being received
+        self._progress_at = 0.0
+        self._bytes_since_progress = 0  # received since `_progress_at`
+        self._awaiting_memory = False  # queued in the memory budget
+        self._close_when_answered = False
         self.refusing = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport, and be counted in."""
+        """Store the transport and register with the server; restore the state of a hand-over."""
         host = self.server.host
         host.touched()
         self.transport = cast(TcpStream, transport)
-        self.transport.set_write_buffer_limits(high=HIGH_WATER)
-        self._receive_times = self._received_from_now()
-        self._departures = Readiness(self.transport.get_extra_info("socket"), select.POLLRDHUP)
-        self.server.opened(self)
-        if self._arrival is not None:
-            arrival, self._arrival = self._arrival, None
-            self._go_on(arrival)
-            # What the record brought was no read: the kernel may hold more from before.
-            self._receive_times = self._received_from_now()
+        self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
+        self._receive_times = self._new_receive_times()
+        self._hangup_poll = Readiness(self.transport.get_extra_info("socket"), select.POLLRDHUP)
+        self.server.add_connection(self)
+        if self._received_connection is not None:
+            received_connection, self._received_connection = self._received_connection, None
+            self._restore(received_connection)
+            # The data in the record was not read here: the kernel may hold older unread data.
+            self._receive_times = self._new_receive_times()
             if not self._reading:
-                self._receive_times.stopped(time.monotonic_ns())
+                self._receive_times.reading_stopped(time.monotonic_ns())
 
-    def _received_from_now(self) -> ReceiveTimes:
+    def _new_receive_times(self) -> ReceiveTimes:
         assert self.transport is not None
-        end, server = self.transport.get_extra_info("socket"), self.server
-        return ReceiveTimes(end, server.kernel_clock, server.host.unread_since, time.monotonic_ns())
-
-    def _go_on(self, arrival: Arrival) -> None:
-        """Owe what another process owed, and read on where it stopped."""
-        record = arrival.record
-        self.carried = record.carried
-        self._within = True
+        sock, server = self.transport.get_extra_info("socket"), self.server
+        return ReceiveTimes(sock, server.kernel_clock, server.host.unread_since, time.monotonic_ns())
+
+    def _restore(self, received_connection: ReceivedConnection) -> None:
+        """Restore the outstanding replies and the partial command of a connection from another process."""
+        record = received_connection.record
+        self.has_carried_request = record.carried
+        self._in_batch = True
         for segment in record.segments:
             reply = Reply(self)
-            reply.go_on(segment)
+            reply.restore(segment)
             self.replies.append(reply)
             if segment.value is not None:
-                reply.source = self.server.host.go_on(segment.value, arrival.take(), reply)
+                reply.source = self.server.host.resume_value(segment.value, received_connection.take(), reply)
                 if len(self.replies) > 1:
                     reply.source.pause()
         if self.replies:
-            self.replies[0].its_turn()
-        self._within = False
+            self.replies[0].start_writing()
+        self._in_batch = False
         if record.command:
             self.data_received(record.command)
-            # Danger: timed anew in each process, half a command could hold its connection for good.
-            self._begun_at -= record.command_age_ms / 1000
+            # Danger: if each process restarted its timeout, a partial command could hold its connection
+            # indefinitely.
+            self._progress_at -= record.command_age_ms / 1000
         self.flush()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended, here at least."""
-        if self._departure is not None:
-            self._depart(self._departure)
-        self._leave(CloseReason.CLIENT_RESET if exc else CloseReason.CLIENT_ENDED)
+        """Complete a hand-over, or handle the end of the connection."""
+        if self._frozen is not None:
+            self._hand_over_frozen(self._frozen)
+        self._mark_closed(CloseReason.CLIENT_RESET if exc else CloseReason.CLIENT_ENDED)
 
     def eof_received(self) -> bool:
-        """The client sends no more: it has gone."""
-        self._leave(CloseReason.CLIENT_ENDED)
+        """Treat the end of the client's stream as a disconnect."""
+        self._mark_closed(CloseReason.CLIENT_ENDED)
         return False
 
-    def _leave(self, reason: CloseReason) -> None:
+    def _mark_closed(self, reason: CloseReason) -> None:
         if self.closed:
             return
         self.closed = True
         if self.server.access_log is not None:
             self._log_close(self.server.access_log, reason)
-        self.server.closed(self)
-        self.server.unread.discard(self)
+        self.server.remove_connection(self)
+        self.server.paused_reads.discard(self)
         if self._reserved:
-            self.give_back(self._reserved)
+            self.release_memory(self._reserved)
         replies, self.replies = self.replies, deque()
-        # Danger: from the first on, what waits for its turn behind another would begin for nobody.
+        # Danger: in forward order, dropping one request could start another that waits behind it on this
+        # closed connection.
         for reply in reversed(replies):
             if not reply.done:
                 self.server.host.client_gone(reply)
 
     def _log_close(self, access_log: AccessLog, reason: CloseReason) -> None:
         unsent = 0
-        # What is unsent where nothing else is owed goes on leaving, see `lingering`.
+        # After NOTHING_OWED, the lingering close still sends the unsent bytes.
         if self.transport is not None and reason is not CloseReason.NOTHING_OWED:
             unsent = self.transport.get_write_buffer_size()
         unanswered = [reply.logged_id for reply in self.replies if reply.logged_id is not None]
         access_log.closed(self.number, reason, unanswered, unsent, bool(self._dialect.need))
 
     def data_received(self, data: bytes) -> None:
-        """Read what has come; a fault in doing so ends only this connection."""
+        """Handle received data; an exception closes only this connection."""
         self.server.host.touched()
-        self._within = True
+        self._in_batch = True
         try:
             self._read(data)
         except Exception:
-            log.exception("reading a command failed")
+            log.exception("client connection closed: handling received data failed")
             self.abort(CloseReason.FAULT)
         finally:
-            self._within = False
-        if not self.replies and self._leaves:
+            self._in_batch = False
+        if not self.replies and self._closes_when_answered:
             self.flush()
 
     def _read(self, data: bytes) -> None:
         reader = self._dialect
-        self.used_at = self.server.loop.time()
-        fresh = not reader.need
+        self.last_active_at = self.server.loop.time()
+        starts_command = not reader.need
         commands = reader.feed(data)
         now, times = time.monotonic_ns(), self._receive_times
-        received = times.prompt(now, _least_timeout_ms(commands))
+        received = times.estimate_from_loop(now, _shortest_timeout_ms(commands))
         if received is None:
             is_last = len(commands) == 1 and not reader.need
-            received = times.read(now, emptied=len(data) < READ_SIZE, is_last=is_last)
+            received = times.record_read(now, emptied=len(data) < READ_SIZE, is_last=is_last)
         for message, answers in commands:
             reply = Reply(self, answers)
             if self._reserved:
                 reply.reserved, self._reserved = self._reserved, 0
             self.replies.append(reply)
-            self._take(message, reply, received)
+            self._handle_message(message, reply, received)
         if reader.broken:
-            self._break()
+            self._end_broken_stream()
         elif reader.need:
-            self._came = 0 if fresh or commands else self._came + len(data)
-            if not self._came or self._came >= PROGRESS:
-                # Danger: the whole command's time would end good clients that send long values slowly, and
-                # the last byte's would let bad ones hold a connection for good.
-                self._begun_at, self._came = self.used_at, 0
-            if reader.need > LARGE and not self._reserved and not self._starved:
+            self._bytes_since_progress = (
+                0 if starts_command or commands else self._bytes_since_progress + len(data)
+            )
+            if not self._bytes_since_progress or self._bytes_since_progress >= COMMAND_PROGRESS_BYTES:
+                # Danger: a timeout over the entire command would disconnect good clients that send long
+                # values slowly, and one that each byte restarts would let bad clients hold a connection
+                # indefinitely.
+                self._progress_at, self._bytes_since_progress = self.last_active_at, 0
+            if reader.need > LARGE_COMMAND_BYTES and not self._reserved and not self._awaiting_memory:
                 self.reserve()
         elif self._reserved:
-            self.give_back(self._reserved)
+            self.release_memory(self._reserved)
             self._reserved = 0
         if len(self.replies) >= MAX_PIPELINE:
             self._set_reading()
 
     def reserve(self) -> None:
-        """Ask for the bytes of the long command under way; reading stops until they are there."""
-        self._starved = not self.server.budget.take(self, self._dialect.need)
-        if not self._starved:
+        """Reserve memory for the long command being received; reading pauses until it is available."""
+        self._awaiting_memory = not self.server.budget.reserve_or_wait(self, self._dialect.need)
+        if not self._awaiting_memory:
             self._reserved = self._dialect.need
-            self._begun_at = self.server.loop.time()
+            self._progress_at = self.server.loop.time()
         self._set_reading()
 
-    def give_back(self, reserved: int) -> None:
-        """See Channel."""
-        self.server.budget.give_back(reserved)
+    def release_memory(self, reserved: int) -> None:
+        """Release so many bytes of memory reserved for a long command."""
+        self.server.budget.release_memory(reserved)
 
-    def _break(self) -> None:
-        """Tell the client why its stream ends, and end it."""
-        self._last = True
+    def _end_broken_stream(self) -> None:
+        """Send the client an error for its invalid stream, and close the connection after that reply."""
+        self._close_when_answered = True
         self._set_reading()
         reply = Reply(self)
         self.replies.append(reply)
         reply.send(self._dialect.breaking())
 
-    def _take(self, message: Message, reply: Reply, received: Received) -> None:
+    def _handle_message(self, message: Message, reply: Reply, received: Received) -> None:
         match message:
             case Request() if not self.refusing:
-                self.carried = True
+                self.has_carried_request = True
                 if self.server.access_log is not None:
                     self._log_request(self.server.access_log, message, reply)
                 self.server.host.request_arrived(message, reply, self._order, received)
                 return
             case Request():
-                self._last = True
+                self._close_when_answered = True
                 self.server.host.request_refused(message)
                 reply.refused()
             case Ping():
                 reply.send(reply.answers.pong(self.server.takes_clients))
             case Malformed():
                 reply.rejected(message.reason)
-        reply.forgotten()
+        reply.release_memory()
 
     def _log_request(self, access_log: AccessLog, request: Request, reply: Reply) -> None:
         reply.logged_id = request.id.decode("ascii", "replace")
         access_log.accepted(self.number, reply.logged_id, request.request_class, request.timeout_ms)
 
     def write(self, data: bytes) -> None:
-        """Write to the client."""
+        """Write bytes to the client."""
         if self.transport is not None:
             self.transport.write(data)
 
     def flush(self) -> None:
-        """Write the answers whose turn has come."""
+        """Remove completed replies from the head of the queue; then continue with the next, move or close."""
         replies = self.replies
         while replies and replies[0].done:
             reply = replies.popleft()
             if reply.logged_id is not None:
                 self._log_answer(reply, reply.logged_id)
-            self.used_at = self.server.loop.time()
+            self.last_active_at = self.server.loop.time()
             if replies:
-                replies[0].its_turn()
-        if self._moves:
-            self.depart()
-        elif not replies and self._leaves and not self._within:
-            # Danger: within a batch, the commands behind would be taken for a client that is hung up on.
-            if self.server.successor is None or not self._hand_over():
+                replies[0].start_writing()
+        if self._moves_to_successor:
+            self.freeze()
+        elif not replies and self._closes_when_answered and not self._in_batch:
+            # Danger: closing within a batch would drop the commands that were read but not handled yet.
+            if self.server.successor is None or not self._hand_over_idle():
                 self._end()
         elif not self._reading:
             self._set_reading()
@@ -305,221 +322,251 @@
             access_log.answered(self.number, request_id, reply.answer)
 
     def _end(self) -> None:
-        """End the connection, on which nothing is owed: all that was written reaches the client."""
+        """Close a connection without outstanding replies so that all written bytes reach the client."""
         if self.transport is not None and not self.closed and not self.transport.is_closing():
-            self._leave(CloseReason.NOTHING_OWED)
-            self.server.lingering.begin(self.transport)
+            self._mark_closed(CloseReason.NOTHING_OWED)
+            self.server.lingering.add(self.transport)
 
     def read_held_up(self) -> None:
-        """See StreamProtocol: what the client has sent goes on growing older."""
-        self._receive_times.held_up(time.monotonic_ns())
+        """Record that a read failed for lack of memory, so that the data ages in the kernel meanwhile."""
+        self._receive_times.read_delayed(time.monotonic_ns())
 
     def pause_writing(self) -> None:
-        """The client does not take what it asked for: read no more for it, from it or for its answer."""
-        self.blocked = True
-        self.used_at = self.server.loop.time()
+        """Pause reading from the client and from the source of its answer: the write buffer is full."""
+        self.writing_paused = True
+        self.last_active_at = self.server.loop.time()
         self._set_reading()
         if self.replies and self.replies[0].source is not None:
             self.replies[0].source.pause()
 
     def resume_writing(self) -> None:
-        """The client takes again."""
-        self.blocked = False
+        """Resume reading from the client and from the source of its answer."""
+        self.writing_paused = False
         self._set_reading()
         if self.replies and self.replies[0].source is not None:
             self.replies[0].source.resume()
 
     def _set_reading(self) -> None:
         full = len(self.replies) >= MAX_PIPELINE
-        wanted = not (self.blocked or self._starved or self._dialect.broken or full or self._moves)
+        wanted = not (
+            self.writing_paused
+            or self._awaiting_memory
+            or self._dialect.broken
+            or full
+            or self._moves_to_successor
+        )
         if wanted == self._reading or self.transport is None or self.transport.is_closing():
             return
         self._reading = wanted
         if wanted:
             self.transport.resume_reading()
-            self.server.unread.discard(self)
+            self.server.paused_reads.discard(self)
         else:
             self.transport.pause_reading()
-            self._receive_times.stopped(time.monotonic_ns())
-            self.server.unread.add(self)
+            self._receive_times.reading_stopped(time.monotonic_ns())
+            self.server.paused_reads.add(self)
 
     @property
     def idle(self) -> bool:
-        """Whether it stands between requests."""
-        # Danger: what can't be read just now may be a request, and the client has it acknowledged.
-        return not self.replies and not self._dialect.need and not self._is_held_up
+        """Whether no reply is outstanding and no command is partially received."""
+        # Danger: data that can't be read for lack of memory may be a request, which the kernel has already
+        # acknowledged to the client.
+        return not self.replies and not self._dialect.need and not self._read_is_delayed
 
     @property
-    def _is_held_up(self) -> bool:
+    def _read_is_delayed(self) -> bool:
         return self.transport is not None and self.transport.is_held_up
 
     @property
-    def has_just_come(self) -> bool:
-        """Whether it is so new that its first request may be on its way; nobody would send that again."""
-        return not self.carried and self.server.loop.time() - self.came_at < FRESH_S
+    def awaits_first_request(self) -> bool:
+        """Whether it is so new that its first request may be in transit; no client would send it again."""
+        return (
+            not self.has_carried_request
+            and self.server.loop.time() - self.connected_at < FIRST_REQUEST_GRACE_S
+        )
 
     @property
-    def _leaves(self) -> bool:
-        """Whether it closes once nothing is owed here."""
-        return self._last or (self.server.emptying and self.carried and not self._dialect.need)
+    def _closes_when_answered(self) -> bool:
+        """Whether the connection closes once no reply is outstanding."""
+        return self._close_when_answered or (
+            self.server.closing_when_answered and self.has_carried_request and not self._dialect.need
+        )
 
     @property
-    def _moves(self) -> bool:
-        """Whether another process goes on with it, whatever is owed on it."""
+    def _moves_to_successor(self) -> bool:
+        """Whether the successor takes the connection, including any outstanding replies."""
         successor = self.server.successor
         if successor is None or not successor.takes_records:
             return False
-        return not (self._stays or self._last or self._dialect.broken)
+        return not (self._pinned or self._close_when_answered or self._dialect.broken)
+
+    def finish(self, even_mid_command: bool) -> None:
+        """Hand the connection over, or close it once no reply is outstanding.
 
-    def finish(self, even_midway: bool) -> None:
-        """Go to the other process, or close, once nothing is owed; `even_midway`: also within a command."""
-        if self.transport is None or self.closed or (self.server.successor is not None and self._goes()):
+        `even_mid_command`: also close while a command is partially received.
+        """
+        if (
+            self.transport is None
+            or self.closed
+            or (self.server.successor is not None and self._goes_to_successor())
+        ):
             return
-        if self.idle or (even_midway and not self.replies and not self._is_held_up):
+        if self.idle or (even_mid_command and not self.replies and not self._read_is_delayed):
             self._end()
         else:
-            self._last = even_midway or not self._dialect.need or self._last
+            self._close_when_answered = (
+                even_mid_command or not self._dialect.need or self._close_when_answered
+            )
 
-    def _goes(self) -> bool:
-        """Whether another process takes it, now or when what is owed allows it."""
+    def _goes_to_successor(self) -> bool:
+        """Hand the connection over if possible; return whether it moves now or later."""
         self._set_reading()
-        if self._moves:
-            self.depart()
+        if self._moves_to_successor:
+            self.freeze()
             return True
-        return not self.replies and self._hand_over()
+        return not self.replies and self._hand_over_idle()
 
-    def depart(self) -> None:
-        """Go to the process that takes this one's place, if what is owed allows it by now."""
+    def freeze(self) -> None:
+        """Freeze the connection for the successor process if its outstanding replies allow that now."""
         self._set_reading()
         transport, successor = self.transport, self.server.successor
-        # Danger: within a batch, the commands that are not taken yet would be in nobody's hands.
-        if self._within or self._departure is not None or self.closed:
+        # Danger: within a batch, commands that were read but not handled yet would be lost.
+        if self._in_batch or self._frozen is not None or self.closed:
             return
         if transport is None or transport.is_closing():
             return
-        if successor is None or self.server.departing >= successor.room:
-            return  # looked at again in a moment: meanwhile its values go on
-        if may_go(self.replies, self.server.ends_at - self.server.loop.time()):
+        if successor is None or self.server.handovers_in_progress >= successor.room:
+            return  # retried at the next drain step; until then its values keep streaming
+        if can_hand_over(self.replies, self.server.exits_at - self.server.loop.time()):
             try:
-                self._departure = Departure(transport, self.replies)
+                self._frozen = FrozenConnection(transport, self.replies)
             except OSError:
-                return  # the same: no descriptors are to be had just now
-            self.server.departing += 1
+                return  # no descriptors are available; also retried
+            self.server.handovers_in_progress += 1
 
-    def _depart(self, departure: Departure) -> None:
-        """Nothing is read or written here any more."""
+    def _hand_over_frozen(self, frozen: FrozenConnection) -> None:
+        """Send the frozen connection's record and descriptors to the successor, and count it out here."""
         successor, transport = self.server.successor, self.transport
-        self.server.departing -= 1
+        self.server.handovers_in_progress -= 1
         if self.closed or successor is None or transport is None:
-            for descriptor in departure.descriptors:
+            for descriptor in frozen.descriptors:
                 os.close(descriptor)
             return
         if self.server.access_log is not None:
             self._log_close(self.server.access_log, CloseReason.MOVED)
         replies, self.replies = self.replies, deque()
-        age_s = self.server.loop.time() - self._begun_at if self._dialect.need else 0.0
-        record = departure.record(self._dialect, self.carried, transport.unsent, replies, age_s)
-        self._leave(CloseReason.MOVED)
-        successor.offer(
-            Parcel(record, departure.descriptors, self.server.thawing(record, departure.descriptors))
-        )
-
-    def _hand_over(self) -> bool:
-        """Give a connection to a process that takes no records; False: it can't be done now."""
-        successor, transport, held = self.server.successor, self.transport, self._dialect.held
+        age_s = self.server.loop.time() - self._progress_at if self._dialect.need else 0.0
+        record = frozen.record(self._dialect, self.has_carried_request, transport.unsent, replies, age_s)
+        self._mark_closed(CloseReason.MOVED)
+        successor.offer(Parcel(record, frozen.descriptors, self.server.restorer(record, frozen.descriptors)))
+
+    def _hand_over_idle(self) -> bool:
+        """Pass an idle connection to a successor that takes no records; return False if not possible now."""
+        successor, transport, pending = self.server.successor, self.transport, self._dialect.held
         if successor is None or transport is None or transport.is_closing() or self.closed:
             return False
-        if self._stays or self._last or self._dialect.broken or transport.get_write_buffer_size():
+        if (
+            self._pinned
+            or self._close_when_answered
+            or self._dialect.broken
+            or transport.get_write_buffer_size()
+        ):
             return False
-        if len(held) > PENDING or self._reserved or self._starved or self._dialect.name != "resp":
+        if (
+            len(pending) > MAX_PENDING_BYTES
+            or self._reserved
+            or self._awaiting_memory
+            or self._dialect.name != "resp"
+        ):
             return False
-        # Danger: nothing may be read from here on, or what was read in between would be lost with this copy.
-        if not successor.give(transport.get_extra_info("socket").fileno(), held):
+        # Danger: data read from here on would be lost, because the successor already has the partial command.
+        if not successor.give(transport.get_extra_info("socket").fileno(), pending):
             return False
         transport.abort()
-        self._leave(CloseReason.MOVED)
+        self._mark_closed(CloseReason.MOVED)
         return True
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once."""
-        self._leave(reason)
+        """Close the connection immediately."""
+        self._mark_closed(reason)
         if self.transport is not None:
             self.transport.abort()
 
     def client_has_left(self) -> bool:
-        """See Channel."""
-        return self._departures is not None and self._departures.now()
+        """Whether the kernel reports that the client ended or reset the connection."""
+        return self._hangup_poll is not None and self._hangup_poll.now()
 
     def client_left(self) -> None:
-        """The client has ended or reset the connection while nothing was read on it."""
+        """Close the connection: its client disconnected while reading was paused."""
         self.abort(CloseReason.CLIENT_RESET)
 
-    def check(self, now: float) -> None:
-        """End a connection whose client does not go on."""
-        if self.blocked:
+    def check_timeouts(self, now: float) -> None:
+        """Close the connection if its client is idle, does not read, or does not complete a command."""
+        if self.writing_paused:
             assert self.transport is not None
-            self._look_at(self.transport.get_write_buffer_size(), now)
-            if now - self.used_at > STALL_S:
-                log.warning("a client takes nothing of its answer")
+            self._note_unacknowledged(self.transport.get_write_buffer_size(), now)
+            if now - self.last_active_at > STALL_TIMEOUT_S:
+                log.warning("client read nothing of its answer within the stall timeout; closing")
                 self.abort(CloseReason.STALLED)
             return
-        if self.idle and now - self.used_at >= IDLE_S:
-            if self._takes(now):
+        if self.idle and now - self.last_active_at >= IDLE_TIMEOUT_S:
+            if self._client_is_reading(now):
                 return
-            # Danger: those that only connect, or ask once and stay, would hold descriptors for good.
-            self.finish(even_midway=False)
+            # Danger: clients that only connect, or send one request and stay, would hold descriptors
+            # indefinitely.
+            self.finish(even_mid_command=False)
             return
-        midway = self._dialect.need and not self._starved and not self.replies
-        if midway and now - self._begun_at > PROGRESS_S:
-            log.warning("a client does not finish its command")
-            self._break()
+        midway = self._dialect.need and not self._awaiting_memory and not self.replies
+        if midway and now - self._progress_at > COMMAND_PROGRESS_TIMEOUT_S:
+            log.warning("client did not complete its command in time; closing")
+            self._end_broken_stream()
 
-    def _takes(self, now: float) -> bool:
-        """Whether its client is still taking what the kernel holds for it: it is slow, and not idle."""
+    def _client_is_reading(self, now: float) -> bool:
+        """Whether the client still acknowledges buffered bytes, so that it is slow rather than idle."""
         assert self.transport is not None
-        size = waiting_for(self.transport)
-        self._look_at(size, now)
-        return bool(size) and now - self.used_at < STALL_S
+        size = unacknowledged_bytes(self.transport)
+        self._note_unacknowledged(size, now)
+        return bool(size) and now - self.last_active_at < STALL_TIMEOUT_S
 
-    def _look_at(self, size: int, now: float) -> None:
-        """So many bytes wait for the client; it takes some as long as their number changes."""
-        if size != self._stuck:
-            self._stuck, self.used_at = size, now
+    def _note_unacknowledged(self, size: int, now: float) -> None:
+        """Record the number of unacknowledged bytes; a change counts as activity of the client."""
+        if size != self._last_unacknowledged:
+            self._last_unacknowledged, self.last_active_at = size, now
 
-    _stuck = 0  # bytes that waited for the client at the last look
+    _last_unacknowledged = 0  # unacknowledged bytes at the previous check
 
     @property
     def descriptor(self) -> int:
-        """Its socket's; -1 once it is closed."""
+        """The descriptor of the socket; -1 once the connection is closed."""
         if self.closed or self.transport is None or self.transport.is_closing():
             return -1
         return int(self.transport.get_extra_info("socket").fileno())
 
     @property
     def evictable(self) -> bool:
-        """Whether it can be closed at once and nobody loses anything by it.
+        """Whether the connection can be closed immediately without losing a request or an answer.
 
-        Danger: an answer that waits for its client goes with the close, and so does one on its way if a
-        request lies unread here.
+        Danger: a close discards answer bytes that the client has not acknowledged, also those in transit if
+        an unread request makes the kernel reset the connection.
         """
         assert self.transport is not None
-        if not self.idle or self.has_just_come or waiting_for(self.transport):
+        if not self.idle or self.awaits_first_request or unacknowledged_bytes(self.transport):
             return False
         return not Readiness(self.transport.get_extra_info("socket"), select.POLLIN).now()
 
 
-def _least_timeout_ms(commands: Sequence[tuple[Message, Answers]]) -> int:
-    """The least time that a client gives; 0 where some command tells none."""
-    least = 0
+def _shortest_timeout_ms(commands: Sequence[tuple[Message, Answers]]) -> int:
+    """Return the shortest timeout among the commands; 0 if any of them has none."""
+    shortest = 0
     for message, _ in commands:
         if not isinstance(message, Request):
             return 0
-        least = min(least, message.timeout_ms) if least else message.timeout_ms
-    return least
+        shortest = min(shortest, message.timeout_ms) if shortest else message.timeout_ms
+    return shortest
 
 
 class ClientServer:
-    """The listener and all clients' connections, within their share of descriptors."""
+    """The listeners and all client connections, within their limit of descriptors."""
 
     def __init__(
         self,
@@ -530,132 +577,140 @@
         budget: int,
     ) -> None:
         self.loop, self.host, self.dialect, self._limit = loop, host, dialect, limit
-        self.budget = Budget(budget)
-        self.unread, self.lingering = UnreadConnections(loop), Lingering(loop)
+        self.budget = MemoryBudget(budget)
+        self.paused_reads, self.lingering = PausedReads(loop), LingeringConnections(loop)
         self.kernel_clock = KernelClock()
         self._connections: dict[ClientConnection, None] = {}
-        self._arrivals = Arrivals(loop, self._until_room)
-        self.emptying = False
-        """Whether connections that carried a request close after their last answer."""
+        self._acceptors = ClientAcceptors(loop, self._wait_for_room_s)
+        self.closing_when_answered = False
+        """Whether connections that carried a request close once no reply is outstanding."""
         self.draining = False
-        """Whether clients are told to go elsewhere."""
+        """Whether health checks are answered negatively so that clients go to other routers."""
         self.successor: Successor | None = None
-        """The process that replaces this one, once this one ends."""
-        self.departing = 0
-        """Connections that are frozen and not yet in its hands."""
-        self.ends_at = 0.0
-        """When that is over, by the loop's clock."""
+        """The process that takes over the connections, once this process is ending."""
+        self.handovers_in_progress = 0
+        """Number of connections that are frozen but not yet passed to the successor."""
+        self.exits_at = 0.0
+        """When this process exits, by the clock of the event loop."""
         self.dialects = {"": dialect}
-        """What connections that come from another process speak, by the names of the dialects."""
+        """Dialect factories by name, for connections handed over by another process."""
         self.access_log: AccessLog | None = None
         self._numbers = itertools.count(1)
-        self._timer = loop.call_later(SWEEP_S, self._sweep)
+        self._timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def next_number(self) -> int:
-        """A number that no other connection of this process has."""
+        """Return a connection number that is unique within this process."""
         return next(self._numbers)
 
     def listen(self, address: Address, dialect: Callable[[], ClientDialect] | None = None) -> int:
-        """Accept clients at this address, of the server's dialect or another; they share all limits.
+        """Accept clients at this address, with the server's dialect unless `dialect` is given.
 
-        Returns the port; raises OSError.
+        All listeners share the same limits. Return the port; raise OSError.
         """
-        return self._arrivals.listen(address, partial(ClientConnection, self, dialect or self.dialect))
+        return self._acceptors.listen(address, partial(ClientConnection, self, dialect or self.dialect))
 
     def listen_at(self, listener: socket.socket) -> None:
-        """Accept clients at a socket that somebody else holds too, and that outlives this process."""
-        self._arrivals.listen_at(listener, partial(ClientConnection, self, self.dialect))
+        """Accept clients at a listening socket that is shared with other processes and outlives this one."""
+        self._acceptors.listen_at(listener, partial(ClientConnection, self, self.dialect))
 
-    def _until_room(self) -> float:
-        """Seconds until there is room for one more client, which waits in the kernel with what it sent."""
-        if self.connected + len(self._arrivals) < self._limit + REFUSERS:
+    def _wait_for_room_s(self) -> float:
+        """Return the seconds to wait before accepting the next client; 0 if there is room for it now."""
+        if self.connected + len(self._acceptors) < self._limit + MAX_REFUSED_CONNECTIONS:
             return 0.0
-        return 0.0 if self.lingering.make_room() or self._evict() else FULL_PAUSE_S
+        return 0.0 if self.lingering.make_room() or self._evict() else ACCEPT_RETRY_S
 
-    def adopt(self, record: ConnectionRecord, descriptors: Sequence[int], stays: bool = False) -> None:
-        """Go on with a client's connection from another process; `stays`: it can't go there again.
+    def adopt(self, record: ConnectionRecord, descriptors: Sequence[int], pinned: bool = False) -> None:
+        """Adopt a client connection from another process; `pinned`: it must not be handed over again.
 
-        The descriptors are taken over. Raises RecordError, and then they are still the caller's.
+        Takes ownership of the descriptors. Raises RecordError, and then the caller still owns them.
         """
-        speaks = self.dialects.get(record.dialect)
-        if speaks is None:
+        make_dialect = self.dialects.get(record.dialect)
+        if make_dialect is None:
             raise RecordError(f"no dialect {record.dialect!r} is spoken here")
-        arrival = Arrival(record, descriptors[1:], stays)
-        made = ClientConnection(self, speaks, arrival)
+        received_connection = ReceivedConnection(record, descriptors[1:], pinned)
+        protocol = ClientConnection(self, make_dialect, received_connection)
         try:
-            # Danger: with its family told, no call is needed that may fail for a moment.
-            end = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptors[0])
+            # Danger: without an explicit family, the socket constructor makes system calls that can fail
+            # temporarily.
+            sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptors[0])
         except OSError:
             raise RecordError("the first descriptor is no socket") from None
-        end.setblocking(False)
-        self._arrivals.take_over(end, made, arrival.drop)
+        sock.setblocking(False)
+        self._acceptors.adopt(sock, protocol, received_connection.drop)
 
-    def thawing(self, record: bytes, descriptors: Sequence[int]) -> Callable[[], None]:
-        """What takes a frozen connection up here again."""
-        return lambda: self.adopt(decode(record, len(descriptors)), descriptors, stays=True)
+    def restorer(self, record: bytes, descriptors: Sequence[int]) -> Callable[[], None]:
+        """Return a callback that restores a frozen connection in this process."""
+        return lambda: self.adopt(decode(record, len(descriptors)), descriptors, pinned=True)
 
     @property
     def accepting(self) -> bool:
-        """Whether clients can connect."""
-        return self._arrivals.accepting
+        """Whether there is a listener that accepts clients."""
+        return self._acceptors.accepting
 
     @property
     def empty(self) -> bool:
-        """Whether no client is connected, or about to be."""
-        return not self.connected and not self._arrivals and not self._arrivals.accepting
+        """Whether no client is connected and none can connect."""
+        return not self.connected and not self._acceptors and not self._acceptors.accepting
 
     @property
     def takes_clients(self) -> bool:
-        """Whether the router is ready and wants clients."""
+        """Whether the router is ready and not draining."""
         return self.host.ready and not self.draining
 
-    def opened(self, connection: ClientConnection) -> None:
-        """Count a new connection in, making room for it where there is none."""
+    def add_connection(self, connection: ClientConnection) -> None:
+        """Register a new connection; at the limit, evict another or let the new one refuse its requests."""
         if self.connected >= self._limit and not self.lingering.make_room() and not self._evict():
             connection.refusing = True
         self._connections[connection] = None
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle for longest; False: none can be closed."""
-        for other in sorted(self._connections, key=lambda other: other.used_at):
-            if other.evictable:
-                other.abort(CloseReason.EVICTED)
+        """Close the connection that has been idle longest; return False if none can be closed."""
+        for candidate in sorted(self._connections, key=lambda candidate: candidate.last_active_at):
+            if candidate.evictable:
+                candidate.abort(CloseReason.EVICTED)
                 return True
         return False
 
-    def closed(self, connection: ClientConnection) -> None:
-        """Count a connection out."""
+    def remove_connection(self, connection: ClientConnection) -> None:
+        """Unregister a closed connection."""
         self._connections.pop(connection, None)
 
     @property
     def connected(self) -> int:
-        """How many clients are connected."""
+        """Number of client connections, including those in a lingering close."""
         return len(self._connections) + len(self.lingering)
 
     def stop_accepting(self) -> None:
-        """Take who has connected by now, and nobody after; called again where that could not be done yet."""
-        self._arrivals.stop()
+        """Accept the clients already in the backlog, then close the listeners.
 
-    def finish(self, even_midway: bool, health: bool = True) -> None:
-        """Have all close once nothing is owed on them; `health`: also those that only ask how it is."""
+        Has to be called again while `accepting` remains true, as accepting can fail temporarily.
+        """
+        self._acceptors.stop()
+
+    def finish(self, even_mid_command: bool, health: bool = True) -> None:
+        """Hand over or close all connections once no reply is outstanding on them.
+
+        `even_mid_command`: also connections with a partially received command; `health`: also connections
+        that only carry health checks.
+        """
         now = self.loop.time()
         for connection in list(self._connections):
-            if connection.has_just_come and not even_midway:
+            if connection.awaits_first_request and not even_mid_command:
                 continue
-            if health or connection.carried or now - connection.used_at >= IDLE_S:
-                connection.finish(even_midway)
+            if health or connection.has_carried_request or now - connection.last_active_at >= IDLE_TIMEOUT_S:
+                connection.finish(even_mid_command)
 
     def _sweep(self) -> None:
-        self._timer = self.loop.call_later(SWEEP_S, self._sweep)
+        self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for connection in list(self._connections):
-            connection.check(now)
+            connection.check_timeouts(now)
         self.lingering.check(now)
 
     def close(self) -> None:
-        """Close everything."""
+        """Close all listeners and connections immediately."""
         self._timer.cancel()
-        self._arrivals.close()
+        self._acceptors.close()
         for connection in list(self._connections):
             connection.abort(CloseReason.SHUTDOWN)
         self.lingering.close()
--- a/saltport/downstream/words.py
+++ b/saltport/downstream/keys.py
@@ -1,12 +1,13 @@
-"""What a request's words must be, whatever wire they came on."""
+"""Validation of keys, common to all client dialects."""
 
 from __future__ import annotations
 
 
 def check_key(key: bytes) -> None:
-    """Raise ValueError, in words for the client, unless this can be a key.
+    """Raise ValueError, with a message for the client, unless this is a valid key.
 
-    Danger: it becomes part of an HTTP line at the origin, where a line break would forge a header.
+    Danger: the key becomes part of an HTTP request line to the origin, where a line break would inject a
+    header.
     """
     try:
         good = bool(key) and key.decode().isprintable() and b" " not in key
--- a/saltport/downstream/memcached.py
+++ b/saltport/downstream/memcached.py
@@ -1,9 +1,9 @@
-"""The memcached binary dialect towards clients. docs/design/memcached.md says what is kept of it and why.
+"""The memcached binary dialect for clients. docs/design/memcached.md lists the supported subset and why.
 
-GET, GETQ, GETK and GETKQ read; SET and SETQ write; DELETE and DELETEQ void. Replies come in the order of the
-commands, as on every wire here, so that a NOOP is answered behind all that came before it. What can't be
-kept honestly (flags, expiry, CAS, ADD, REPLACE, counters and so on) is answered `Not supported`, never with
-silence.
+GET, GETQ, GETK and GETKQ read; SET and SETQ write; DELETE and DELETEQ invalidate. Replies are sent in the
+order of the commands, as in every dialect, so a NOOP is answered after all commands before it. Features that
+the router can't honour (flags, expiry, CAS, ADD, REPLACE, counters and so on) are answered `Not supported`,
+also for quiet commands.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from saltport import __version__
 from saltport.decisions.tenancy import Prefixes
-from saltport.downstream.words import check_key
+from saltport.downstream.keys import check_key
 from saltport.messages import Answers, ClientDialect, Malformed, Message, Ping, Request
 from saltport.wire.memcached import (
     REQUEST_MAGIC,
@@ -33,8 +33,10 @@
 _WRITES = frozenset({Opcode.SET, Opcode.SETQ})
 _DELETES = frozenset({Opcode.DELETE, Opcode.DELETEQ})
 _QUITS = frozenset({Opcode.QUIT, Opcode.QUITQ})
-_STRANGE = frozenset({Opcode.SASL_LIST, Opcode.SASL_AUTH, Opcode.SASL_STEP})  # as of a server without SASL
-_WORDS = {
+_SASL = frozenset(
+    {Opcode.SASL_LIST, Opcode.SASL_AUTH, Opcode.SASL_STEP}
+)  # answered as by a server without SASL
+_STATUS_TEXTS = {
     Status.KEY_NOT_FOUND: b"Not found",
     Status.INVALID_ARGUMENTS: b"Invalid arguments",
     Status.UNKNOWN_COMMAND: b"Unknown command",
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemcachedRules:
-    """What the wire does not say of a request: its class, tenant and time."""
+    """The request properties that the protocol does not carry: class, tenant and deadline."""
 
     read_class: str
     write_class: str
@@ -56,68 +58,68 @@
 
 
 class MemcachedAnswers:
-    """Words one command's reply: its opcode and opaque go back as they came."""
+    """Encodes the reply to one command, with the command's opcode and opaque value."""
 
     def __init__(
-        self, asked: Packet, status: Status = Status.INVALID_ARGUMENTS, ends_batch: bool = False
+        self, command: Packet, status: Status = Status.INVALID_ARGUMENTS, ends_batch: bool = False
     ) -> None:
-        self._asked, self._rejection, self._ends_batch = asked, status, ends_batch
+        self._command, self._rejection, self._ends_batch = command, status, ends_batch
 
     def _packet(self, status: int = 0, extras: bytes = b"", key: bytes = b"", value: bytes = b"") -> bytes:
-        asked = self._asked
-        return encode(Packet(asked.opcode, key, extras, value, status, asked.opaque), RESPONSE_MAGIC)
+        command = self._command
+        return encode(Packet(command.opcode, key, extras, value, status, command.opaque), RESPONSE_MAGIC)
 
-    def _error(self, status: Status, more: bytes = b"") -> bytes:
-        return self._packet(status, value=_WORDS[status] + more)
+    def _error(self, status: Status, detail: bytes = b"") -> bytes:
+        return self._packet(status, value=_STATUS_TEXTS[status] + detail)
 
     def served(self, value: bytes) -> bytes:
-        """A hit; or that a write is done, which a quiet one does not tell."""
-        if self._asked.opcode in _READS:
+        """Return a hit or the success of a write; empty for a quiet write."""
+        if self._command.opcode in _READS:
             return self.head(len(value)) + value
-        return b"" if self._asked.quiet else self._packet()
+        return b"" if self._command.quiet else self._packet()
 
     def head(self, length: int) -> bytes:
-        """A hit up to its value."""
-        key = self._asked.key if self._asked.opcode in _WITH_KEY else b""
-        whole = self._packet(0, NO_FLAGS, key, b"")
-        body = len(NO_FLAGS) + len(key) + length
-        return whole[:8] + body.to_bytes(4, "big") + whole[12:]
+        """Return a hit packet up to its value of this length."""
+        key = self._command.key if self._command.opcode in _WITH_KEY else b""
+        packet = self._packet(0, NO_FLAGS, key, b"")
+        body_size = len(NO_FLAGS) + len(key) + length
+        return packet[:8] + body_size.to_bytes(4, "big") + packet[12:]
 
     def tail(self) -> bytes:
-        """A value has no end mark."""
+        """Return no bytes: a value has no end mark in this protocol."""
         return b""
 
     def refused(self, retry_after_ms: int) -> bytes:
-        """`Busy`, also for quiet commands: silence would say that there is no such key."""
+        """Return `Busy`, also for quiet commands, where no reply would mean that the key does not exist."""
         return self._error(
             Status.BUSY, b"; again after %d ms" % retry_after_ms if retry_after_ms > 0 else b""
         )
 
     def failed(self) -> bytes:
-        """`Temporary failure`: a write may have been done."""
+        """Return `Temporary failure`; a write may have taken effect."""
         return self._error(Status.TEMPORARY_FAILURE)
 
     def rejected(self, reason: str) -> bytes:
-        """The status that goes with what the command lacks, and the reason."""
+        """Return the error status given for the command, with the reason if there is one."""
         return self._error(self._rejection, b"; " + reason.encode() if reason else b"")
 
     def pong(self, ready: bool) -> bytes:
-        """A command that asks for nothing of the routes: NOOP, VERSION, STAT."""
-        opcode = self._asked.opcode
+        """Return the reply to a command that the router answers itself: NOOP, VERSION or STAT."""
+        opcode = self._command.opcode
         if opcode == Opcode.VERSION:
             return self._packet(value=__version__.encode())
         if opcode == Opcode.STAT:
-            told = {"pid": str(os.getpid()), "version": __version__, "ready": "yes" if ready else "no"}
-            pairs = [self._packet(key=name.encode(), value=value.encode()) for name, value in told.items()]
+            stats = {"pid": str(os.getpid()), "version": __version__, "ready": "yes" if ready else "no"}
+            pairs = [self._packet(key=name.encode(), value=value.encode()) for name, value in stats.items()]
             return b"".join([*pairs, self._packet()])
         if not ready and not self._ends_batch:
-            # Alone it asks whether the server is well; behind quiet commands it only marks their end.
+            # A NOOP on its own is a health check; after quiet commands it only marks the end of the batch.
             return self._error(Status.BUSY, b"; no clients are taken now")
         return self._packet()
 
 
 class MemcachedDialect:
-    """Reads one client's packets."""
+    """The memcached reader of one client connection, see ClientDialect."""
 
     name = "memcached"
     _numbers = count(1)
@@ -128,25 +130,25 @@
         self._reader = PacketReader(REQUEST_MAGIC)
         self._quit: Packet | None = None
         self._in_batch = False
-        """Whether quiet commands came since the last one that was not."""
+        """Whether the previous command was quiet."""
 
     @property
     def need(self) -> int:
-        """See ClientDialect."""
+        """Bytes that the partial packet is known to need; 0 between packets."""
         return 0 if self._quit else self._reader.need
 
     @property
     def held(self) -> bytes:
-        """See ClientDialect; a reply needs nothing but its own packet, so the one under way is all."""
+        """The received bytes of the partial packet, which is all the state that a hand-over needs."""
         return self._reader.held
 
     @property
     def broken(self) -> str:
-        """See ClientDialect; a QUIT ends the stream, too."""
+        """Why the stream can't be read any further, which includes a QUIT; empty while it can."""
         return "quit" if self._quit else self._reader.broken
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
-        """See ClientDialect."""
+        """Parse received bytes; return the complete commands, each with its reply encoder."""
         messages: list[tuple[Message, Answers]] = []
         for packet in self._reader.feed(data):
             if packet.opcode in _QUITS and not packet.fault:
@@ -156,7 +158,7 @@
         return messages
 
     def breaking(self) -> bytes:
-        """The last packet: the answer to QUIT, or why the stream can't be followed."""
+        """Return the last packet before the close: the reply to QUIT, or the error that broke the stream."""
         if self._quit is not None:
             return b"" if self._quit.quiet else MemcachedAnswers(self._quit).pong(ready=True)
         reason = self._reader.broken or "packet not finished in time"
@@ -171,9 +173,9 @@
             return Ping(), MemcachedAnswers(packet, ends_batch=ends_batch)
         if opcode == Opcode.VERSION or (opcode == Opcode.STAT and not packet.key):
             return Ping(), MemcachedAnswers(packet)
-        if opcode not in Opcode.__members__.values() or opcode in _STRANGE:
+        if opcode not in Opcode.__members__.values() or opcode in _SASL:
             return Malformed(""), MemcachedAnswers(packet, Status.UNKNOWN_COMMAND)
-        if reason := _not_kept(packet):
+        if reason := _unsupported_reason(packet):
             return Malformed(reason), MemcachedAnswers(packet, Status.NOT_SUPPORTED)
         try:
             check_key(packet.key)
@@ -183,19 +185,19 @@
 
     def _request(self, packet: Packet) -> Request:
         rules, opcode = self._rules, packet.opcode
-        name = f"{self._prefix}{next(self._numbers):08x}"
+        request_id = f"{self._prefix}{next(self._numbers):08x}"
         request_class = rules.read_class
         value = None
         info = f"d={rules.deadline_ms}"
         if opcode not in _READS:
             request_class = rules.write_class if opcode in _WRITES else rules.delete_class
             value = packet.value
-            # The wire has no idempotency key: this one covers the router's own repeats, not the client's.
-            info += f",k={name}"
+            # The protocol has no idempotency key: this one covers the router's retries, not the client's.
+            info += f",k={request_id}"
         tenant = rules.tenants.tenant(packet.key)
         info = f"c={request_class}," + (f"t={tenant}," if tenant else "") + info
         return Request(
-            name.encode(),
+            request_id.encode(),
             packet.key,
             request_class,
             tenant,
@@ -206,8 +208,8 @@
         )
 
 
-def _not_kept(packet: Packet) -> str:
-    """What of a known command can't be kept honestly; empty: nothing."""
+def _unsupported_reason(packet: Packet) -> str:
+    """Return why a known command can't be supported; empty if it can."""
     if packet.opcode not in _READS | _WRITES | _DELETES:
         return "no such thing is kept here"
     if packet.cas:
@@ -219,39 +221,39 @@
     return ""
 
 
-class EitherDialect:
-    """Tells by a connection's first byte which dialect its client speaks."""
+class DetectingDialect:
+    """Detects the dialect of a connection by its first byte, and delegates to that dialect."""
 
     def __init__(self, memcached: Callable[[], ClientDialect], other: Callable[[], ClientDialect]) -> None:
         self._memcached, self._other = memcached, other
-        self._spoken: ClientDialect | None = None
+        self._detected: ClientDialect | None = None
 
     @property
     def need(self) -> int:
-        """See ClientDialect."""
-        return self._spoken.need if self._spoken is not None else 0
+        """Bytes that the partial command is known to need; 0 between commands."""
+        return self._detected.need if self._detected is not None else 0
 
     @property
     def name(self) -> str:
-        """See ClientDialect; before the first byte nobody knows."""
-        return self._spoken.name if self._spoken is not None else ""
+        """The name of the detected dialect; empty before the first byte."""
+        return self._detected.name if self._detected is not None else ""
 
     @property
     def held(self) -> bytes:
-        """See ClientDialect."""
-        return self._spoken.held if self._spoken is not None else b""
+        """The received bytes of the partial command."""
+        return self._detected.held if self._detected is not None else b""
 
     @property
     def broken(self) -> str:
-        """See ClientDialect."""
-        return self._spoken.broken if self._spoken is not None else ""
+        """Why the stream can't be parsed any further; empty while it can."""
+        return self._detected.broken if self._detected is not None else ""
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
-        """See ClientDialect."""
-        if self._spoken is None:
-            self._spoken = (self._memcached if data[:1] == b"\x80" else self._other)()
-        return self._spoken.feed(data)
+        """Detect the dialect if necessary and parse received bytes; return the complete commands."""
+        if self._detected is None:
+            self._detected = (self._memcached if data[:1] == b"\x80" else self._other)()
+        return self._detected.feed(data)
 
     def breaking(self) -> bytes:
-        """See ClientDialect."""
-        return self._spoken.breaking() if self._spoken is not None else b""
+        """Return what the client is sent before a broken stream is closed."""
+        return self._detected.breaking() if self._detected is not None else b""
--- a/saltport/downstream/endings.py
+++ b/saltport/downstream/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests and clients' connections end, in the terms of the access log."""
+"""The kinds of final answers and the reasons why client connections close, as the access log records them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class FinalAnswer(Enum):
-    """How a request was answered."""
+    """The kind of a request's final answer."""
 
     SERVED = "served"
     REFUSED = "refused"
@@ -15,7 +15,7 @@
 
 
 class CloseReason(Enum):
-    """Why a client's connection ended, and so by whom it was ended."""
+    """The reason why a client connection closed, which also says who closed it."""
 
     CLIENT_ENDED = "the client ended it"
     CLIENT_RESET = "the client reset it"
@@ -29,5 +29,5 @@
 
     @property
     def by_router(self) -> bool:
-        """Whether the router ended the connection, and no other process goes on with it."""
+        """Whether the router closed the connection and did not hand it over to another process."""
         return self not in (CloseReason.CLIENT_ENDED, CloseReason.CLIENT_RESET, CloseReason.MOVED)
--- a/saltport/downstream/replies.py
+++ b/saltport/downstream/replies.py
@@ -1,188 +1,190 @@
-"""Answers in the order of their commands, whole or in parts."""
+"""Replies to the commands of a connection, written in command order, each at once or in parts."""
 
 from __future__ import annotations
 
 from collections import deque
 from typing import Protocol
 
-from saltport.downstream.endings import CloseReason, FinalAnswer
+from saltport.downstream.outcomes import CloseReason, FinalAnswer
 from saltport.handover.choice import Progress
 from saltport.handover.record import Segment, Value
 from saltport.messages import Answers, ValueSource
 
 
-class Owed(Protocol):
-    """What the host knows of a request that is owed an answer."""
+class PendingRequest(Protocol):
+    """The host's object for a request that has no final answer yet."""
 
     def client_gone(self) -> None:
-        """Its client has left."""
+        """Handle that the client of this request has disconnected."""
 
 
-class LongAnswer(ValueSource, Protocol):
-    """A value that is passed on as it comes."""
+class StreamedValue(ValueSource, Protocol):
+    """A value that is streamed from a server connection to the client as it arrives."""
 
     @property
     def progress(self) -> Progress:
-        """How it gets on."""
+        """How much of the value has been passed on and how fast."""
 
     @property
     def movable(self) -> bool:
-        """Whether another process could go on with it now."""
+        """Whether the stream could be handed over to another process now."""
 
     def copy_descriptor(self) -> int:
-        """A descriptor of the connection that it comes on, which is the caller's. Raises OSError."""
+        """Return a duplicate descriptor of the server connection; the caller owns it. Raises OSError."""
 
     def suspend(self) -> Value:
-        """Stop here for good; what another process goes on from, with a copy of the descriptor."""
+        """Stop permanently; return the state from which another process continues the stream."""
 
     def client_left(self) -> None:
-        """Nobody reads it any more."""
+        """Handle that the client reading the value has disconnected."""
 
 
-class Channel(Protocol):
-    """What a reply needs of the connection that it is written to."""
+class ReplyChannel(Protocol):
+    """The client connection to which replies are written."""
 
     replies: deque[Reply]
-    """The replies that are owed on it, in the order of their commands."""
-    blocked: bool
-    """Whether the client can't take more now."""
+    """The outstanding replies, in the order of their commands."""
+    writing_paused: bool
+    """Whether the write buffer for the client is full."""
     closed: bool
 
     def write(self, data: bytes) -> None:
-        """Write to the client."""
+        """Write bytes to the client."""
 
     def flush(self) -> None:
-        """Write the replies whose turn has come."""
+        """Remove completed replies from the head of the queue, and continue with the next."""
 
     def abort(self, reason: CloseReason) -> None:
-        """Close at once."""
+        """Close the connection immediately."""
 
     def client_has_left(self) -> bool:
-        """Whether the kernel knows that its client has ended or reset it, read or not."""
+        """Whether the kernel reports that the client ended or reset the connection, even if unread."""
 
-    def give_back(self, reserved: int) -> None:
-        """Free so many bytes that a long command had reserved of the memory."""
+    def release_memory(self, reserved: int) -> None:
+        """Release so many bytes of memory reserved for a long command."""
 
 
 class Reply:
-    """The place of one answer among those of its connection."""
+    """The reply to one command, buffered until all earlier replies of its connection are complete."""
 
-    _held: list[bytes] | None = None
+    _buffered: list[bytes] | None = None
     done = False
-    source: LongAnswer | None = None
-    request: Owed | None = None
-    """The host's."""
+    source: StreamedValue | None = None
+    request: PendingRequest | None = None
+    """The host's object for the request; None: no request, or not accepted."""
     reserved = 0
+    """Bytes of memory reserved for the command."""
     tail = b""
-    """What ends an answer that comes in parts, once it has begun."""
+    """The end mark of a streamed answer, set when the answer begins."""
     answer: FinalAnswer | None = None
-    """How it was answered, once that is decided."""
+    """The kind of final answer, once it is decided."""
     logged_id: str | None = None
-    """The request's id in the access log; None: it is not logged."""
-    _kept_back = b""
-    """The last byte that has come of a value, on a wire whose values have no end mark.
+    """The id of the request in the access log; None: it is not logged."""
+    _withheld_byte = b""
+    """The last received byte of a streamed value, withheld if values have no end mark in this dialect.
 
-    Danger: a client that has every byte of such a value takes it for whole, and the server's answer may yet
-    turn out to be broken. (A hand-over passes the byte on; the next process keeps back only what comes then.)
+    Danger: a client that has received every byte of such a value treats it as complete, although the server's
+    answer may still turn out to be broken. (A hand-over passes this byte on; the next process withholds only
+    bytes that it receives itself.)
     """
 
-    def __init__(self, connection: Channel, answers: Answers | None = None) -> None:
+    def __init__(self, connection: ReplyChannel, answers: Answers | None = None) -> None:
         self._connection = connection
         self._answers = answers
 
     @property
     def answers(self) -> Answers:
-        """How this command's answer is worded."""
+        """The encoder of this command's reply in its dialect."""
         assert self._answers is not None
         return self._answers
 
     def served(self, value: bytes) -> None:
-        """Answer with a value or a receipt."""
+        """Send a complete successful answer: a value or a receipt."""
         self.answer = FinalAnswer.SERVED
         self.send(self.answers.served(value))
 
     def refused(self, retry_after_ms: int = 0) -> None:
-        """Answer that nothing was done, and that trying again is harmless."""
+        """Answer that the request was refused without any effect, so that it is safe to retry."""
         self.answer = FinalAnswer.REFUSED
         self.send(self.answers.refused(retry_after_ms))
 
     def failed(self) -> None:
-        """Answer that it failed."""
+        """Answer that the request failed; a write may have taken effect."""
         self.answer = FinalAnswer.FAILED
         self.send(self.answers.failed())
 
     def rejected(self, reason: str) -> None:
-        """Answer that this is no request to be taken."""
+        """Answer that the command is not a valid request."""
         self.answer = FinalAnswer.REJECTED
         self.send(self.answers.rejected(reason))
 
     def send(self, data: bytes) -> None:
-        """Give the whole answer, or its last part, as it goes on the wire."""
+        """Write the encoded answer, or its last part, and mark the reply as complete."""
         self._write(data)
         self.done, self.source = True, None
         self._connection.flush()
 
-    def start(self, length: int, source: LongAnswer) -> None:
-        """Begin an answer that comes in parts; the source is paused while the client can't take more."""
+    def start(self, length: int, source: StreamedValue) -> None:
+        """Begin a streamed answer of this length; `source` is paused while the client can't receive more."""
         self.source, self.tail = source, self.answers.tail()
-        if not self._write(self.answers.head(length)) or self._connection.blocked:
+        if not self._write(self.answers.head(length)) or self._connection.writing_paused:
             source.pause()
 
-    def part(self, data: bytes) -> None:
-        """Pass a part of the value on."""
+    def send_part(self, data: bytes) -> None:
+        """Write the next part of a streamed value."""
         if not self.tail:
-            data = self._kept_back + data
-            self._kept_back, data = data[-1:], data[:-1]
+            data = self._withheld_byte + data
+            self._withheld_byte, data = data[-1:], data[:-1]
         if data:
             self._write(data)
 
     def finish(self) -> None:
-        """The value is whole."""
+        """Complete a streamed answer."""
         self.answer = FinalAnswer.SERVED
-        self.send(self._kept_back + self.tail)
+        self.send(self._withheld_byte + self.tail)
 
     @property
-    def held(self) -> bytes:
-        """What waits here for the answers ahead, or for the end of the value."""
-        return b"".join([*(self._held or ()), self._kept_back])
+    def buffered(self) -> bytes:
+        """The bytes not yet written because earlier replies are incomplete or the value has not ended."""
+        return b"".join([*(self._buffered or ()), self._withheld_byte])
 
-    def go_on(self, segment: Segment) -> None:
-        """Begin with what another process held here; a value behind it gets its source from the host."""
-        self._held = [segment.data] if segment.data else None
+    def restore(self, segment: Segment) -> None:
+        """Restore a reply from another process; the caller sets the source of a streamed value."""
+        self._buffered = [segment.data] if segment.data else None
         self.done = segment.value is None
         self.tail = segment.value.tail if segment.value is not None else b""
 
     def _write(self, data: bytes) -> bool:
-        """Pass a part on, or keep it until the answers ahead are written; False: kept."""
+        """Write bytes, or buffer them until all earlier replies are complete; return False if buffered."""
         connection = self._connection
         if connection.closed:
             return True
         if connection.replies[0] is not self:
-            if self._held is None:
-                self._held = []
-            self._held.append(data)
+            if self._buffered is None:
+                self._buffered = []
+            self._buffered.append(data)
             return False
         connection.write(data)
         return True
 
-    def cut_off(self) -> None:
-        """End a begun answer so that the client sees that it is not whole."""
+    def abort_value(self) -> None:
+        """Close the connection so that the client sees that the streamed value is incomplete."""
         self._connection.abort(CloseReason.VALUE_CUT)
 
     def client_has_left(self) -> bool:
-        """Whether its client has left, be it that nobody was told yet."""
+        """Whether the client has disconnected, even if the connection has not been notified yet."""
         return self._connection.closed or self._connection.client_has_left()
 
-    def forgotten(self) -> None:
-        """The host needs the command no longer."""
+    def release_memory(self) -> None:
+        """Release the memory reserved for the command, which the host no longer needs."""
         if self.reserved:
-            self._connection.give_back(self.reserved)
+            self._connection.release_memory(self.reserved)
             self.reserved = 0
 
-    def its_turn(self) -> None:
-        """The answers ahead have been written."""
-        for data in self._held or ():
+    def start_writing(self) -> None:
+        """Write the buffered bytes and resume the source: all earlier replies are complete."""
+        for data in self._buffered or ():
             self._connection.write(data)
-        self._held = None
-        if self.source is not None and not self._connection.blocked:
+        self._buffered = None
+        if self.source is not None and not self._connection.writing_paused:
             self.source.resume()
--- a/saltport/downstream/resp.py
+++ b/saltport/downstream/resp.py
@@ -1,55 +1,57 @@
-"""The RESP2 dialect towards clients: KV.GET, KV.SET and PING."""
+"""The RESP2 dialect for clients: KV.GET, KV.SET and PING."""
 
 from __future__ import annotations
 
 import re
 from functools import lru_cache
 
-from saltport.downstream.words import check_key
+from saltport.downstream.keys import check_key
 from saltport.messages import Answers, Malformed, Message, Ping, Request
 from saltport.wire.resp import MAX_WORD, CommandReader, bulk, parse_info
 
 
 class RespAnswers:
-    """How replies are worded; none needs anything of its command."""
+    """Encodes replies in RESP2; a reply does not depend on its command."""
 
     def served(self, value: bytes) -> bytes:
-        """A bulk string."""
+        """Return a value or receipt as a bulk string."""
         return bulk(value)
 
     def head(self, length: int) -> bytes:
-        """A bulk string's beginning."""
+        """Return the beginning of a bulk string of this length."""
         return b"$%d\r\n" % length
 
     def tail(self) -> bytes:
-        """A bulk string's end."""
+        """Return the end of a bulk string."""
         return b"\r\n"
 
     def refused(self, retry_after_ms: int) -> bytes:
-        """`-BUSY`, with the milliseconds where there are any."""
+        """Return a `-BUSY` error, with the retry delay if it is positive."""
         return b"-BUSY %d\r\n" % retry_after_ms if retry_after_ms > 0 else b"-BUSY\r\n"
 
     def failed(self) -> bytes:
-        """An error line that says no more."""
+        """Return a generic error line."""
         return b"-ERR failed\r\n"
 
     def rejected(self, reason: str) -> bytes:
-        """An error line with the reason."""
+        """Return an error line with the reason."""
         return b"-ERR %b\r\n" % reason.encode()
 
     def pong(self, ready: bool) -> bytes:
-        """`+PONG` while clients are taken."""
+        """Return `+PONG` if the router accepts clients, else a `-LOADING` error."""
         return b"+PONG\r\n" if ready else b"-LOADING no clients are taken now\r\n"
 
 
 ANSWERS = RespAnswers()
-REMEMBERED_INFO = 128  # longer lists are read each time, so that strangers can't fill the memory
+MAX_CACHED_INFO_BYTES = (
+    128  # longer info lists are parsed each time, so that clients can't fill the cache with large entries
+)
 _PLAIN = re.compile(rb"[ -~]+").fullmatch
-_TEXT = re.compile(rb"[ -~\x80-\xff]+").fullmatch  # names of classes and tenants may be in any script
+_TEXT = re.compile(rb"[ -~\x80-\xff]+").fullmatch  # names of classes and tenants may be non-ASCII
 
 
 class RespDialect:
-    """Reads one client's commands."""
+    """The RESP2 reader of one client connection, see ClientDialect."""
 
     name = "resp"
 
@@ -58,25 +60,25 @@
 
     @property
     def need(self) -> int:
-        """See ClientDialect."""
+        """Bytes that the partial command is known to need; 0 between commands."""
         return self._reader.need
 
     @property
     def held(self) -> bytes:
-        """See ClientDialect."""
+        """The received bytes of the partial command."""
         return self._reader.held
 
     @property
     def broken(self) -> str:
-        """See ClientDialect."""
+        """Why the stream can't be parsed any further; empty while it can."""
         return self._reader.broken
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
-        """See ClientDialect."""
+        """Parse received bytes; return the complete commands, each with its reply encoder."""
         return [(_message(words), ANSWERS) for words in self._reader.feed(data)]
 
     def breaking(self) -> bytes:
-        """An error line, as servers of this protocol give it."""
+        """Return the protocol error sent before a broken stream is closed, in the form RESP servers use."""
         return ANSWERS.rejected(f"Protocol error: {self.broken or 'command not finished in time'}")
 
 
@@ -90,7 +92,7 @@
 
 
 def parse_request(words: list[bytes]) -> Request:
-    """Read a client's request; raises ValueError in words for the client."""
+    """Parse the words of a command into a request; raise ValueError with a message for the client."""
     name = words[0].upper()
     if name not in (b"KV.GET", b"KV.SET"):
         raise ValueError("unknown command")
@@ -100,19 +102,19 @@
     key, request, info = words[1:4]
     if len(key) + len(request) + len(info) > MAX_WORD:
         raise ValueError("key, id or list too long")
-    # Danger: these words become HTTP lines at the origin, where a line break would forge a header.
+    # Danger: these words become HTTP header lines to the origin, where a line break would inject a header.
     if not _PLAIN(request) or not _TEXT(info):
         raise ValueError("id and list must be plain text")
     check_key(key)
-    told = _told if len(info) <= REMEMBERED_INFO else _told.__wrapped__
-    request_class, tenant, timeout_ms, retry = told(info)
+    parse = _parse_fields if len(info) <= MAX_CACHED_INFO_BYTES else _parse_fields.__wrapped__
+    request_class, tenant, timeout_ms, retry = parse(info)
     value = words[4] if is_write else None
     return Request(request, key, request_class, tenant, timeout_ms, value, retry, info)
 
 
 @lru_cache(maxsize=512)
-def _told(info: bytes) -> tuple[str, str | None, int, bool]:
-    """Class, tenant, milliseconds and retry mark; most requests' lists are like some that came before."""
+def _parse_fields(info: bytes) -> tuple[str, str | None, int, bool]:
+    """Return class, tenant, timeout in milliseconds and retry mark; cached, as most info lists recur."""
     fields = parse_info(info)
     timeout = fields.get("d", "")
     if not timeout.isdecimal() or len(timeout) > 9:
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -122,9 +122,9 @@
     def _dialect(self) -> Callable[[], ClientDialect]:
         if self._memcached is None or not self._config.memcached.shared:
             return RespDialect
-        from saltport.downstream.memcached import EitherDialect
+        from saltport.downstream.memcached import DetectingDialect
 
-        return partial(EitherDialect, self._memcached, RespDialect)
+        return partial(DetectingDialect, self._memcached, RespDialect)
 
     async def run(self) -> None:
         """Run until SIGTERM, and then until all that was taken is answered. Raises OSError."""
@@ -325,13 +325,13 @@
             log.info("back to work by hand")
             self._draining.cancel()
             self._draining = None
-        self._clients.draining = self._clients.emptying = False
+        self._clients.draining = self._clients.closing_when_answered = False
 
     async def _empty(self, plan: Plan, health: bool) -> None:
         """Bring clients' connections to their end; `health`: also those that only ask how the router is."""
         begun = self._loop.time()
         while not (step := plan.step(self._loop.time() - begun)).over:
-            self._clients.emptying = step.leaving
+            self._clients.closing_when_answered = step.leaving
             if step.idle:
                 self._clients.finish(step.midway, health)
             if step.leaving and health:
@@ -351,11 +351,11 @@
             self._takeover.accept_rest()
         if self._takeover is not None and self._takeover.replaced:
             self._clients.successor = self._takeover
-            self._clients.ends_at = self._loop.time() + plan.over
+            self._clients.exits_at = self._loop.time() + plan.over
         self._host.ends_in(int(plan.over * NS_PER_S))
         await self._empty(plan, health=True)
         self._host.end_all()
-        self._clients.finish(even_midway=True)
+        self._clients.finish(even_mid_command=True)
         ended = self._loop.time()
         while self._clients.connected and self._loop.time() - ended < LAST_ANSWERS_S:
             await asyncio.sleep(STEP_S)
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -205,7 +205,7 @@
             self.figures.current += 1
             request.arrived()
             return
-        reply.forgotten()
+        reply.release_memory()
 
     def request_refused(self, asked: Request) -> None:
         """A request is refused at the door."""
@@ -217,7 +217,7 @@
         if reply.request is not None:
             reply.request.client_gone()
 
-    def go_on(self, value: Value, descriptor: int, reply: Reply) -> MovedValue:
+    def resume_value(self, value: Value, descriptor: int, reply: Reply) -> MovedValue:
         """Take up a value that another process began, and the server's connection that it comes on."""
         moved = reply.request = MovedValue(self, value, reply)
         dialect = OriginConnection if value.flow.kind == "origin" else CacheConnection
@@ -228,7 +228,7 @@
         """Forget a request that is answered and has nothing out."""
         if request.closed and not request.out and request.id in self._requests:
             del self._requests[request.id]
-            request.reply.forgotten()
+            request.reply.release_memory()
 
     def _final(self, request_id: str, retry_after: int | None) -> None:
         """Give a request its final answer: refused with this pause in nanoseconds, or failed."""
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -215,7 +215,7 @@
             # server that is not read would be given up as silent.
             self._came_at = max(self._came_at, self._host.loop.time())
             self._given += len(data)
-            self._reply.part(data)
+            self._reply.send_part(data)
 
     def pause(self) -> None:
         """The client can't take more: stop reading at the server."""
@@ -398,7 +398,7 @@
                 reply.finish()
             else:
                 self._host.count(request, self._host.figures.errored)
-                reply.cut_off()
+                reply.abort_value()
         elif outcome is Outcome.OK and not request.closed and value is not None:
             if self._hold:
                 request.held = value
@@ -468,4 +468,4 @@
         if whole:
             self._reply.finish()
         else:
-            self._reply.cut_off()
+            self._reply.abort_value()
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -14,12 +14,12 @@
 
 import pytest
 
-from saltport.downstream.clients import FRESH_S, MAX_PIPELINE, ClientConnection, ClientServer
-from saltport.downstream.lingering import LINGER_BYTES, LINGER_S
+from saltport.downstream.clients import FIRST_REQUEST_GRACE_S, MAX_PIPELINE, ClientConnection, ClientServer
+from saltport.downstream.lingering_close import LINGER_TIMEOUT_S, MAX_LINGER_BYTES
+from saltport.downstream.paused_reads import POLL_INTERVAL_S
 from saltport.downstream.replies import Reply
 from saltport.downstream.resp import RespDialect
-from saltport.downstream.taking import STALL_S
-from saltport.downstream.unread import LOOK_S
+from saltport.downstream.unacknowledged import STALL_TIMEOUT_S
 from saltport.messages import Request
 from saltport.transport.loop import on_router_loop
 from tests.sockets import PATIENCE_S, bulk, get
@@ -52,7 +52,7 @@
     def client_gone(self, reply: Reply) -> None:
         self.gone.append(reply)
 
-    def go_on(self, *_: Any) -> Any:
+    def resume_value(self, *_: Any) -> Any:
         raise NotImplementedError
 
     @property
@@ -123,7 +123,7 @@
         end, connection = await front.client()
         end.sendall(get("a1"))
         unread(connection)
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await front.all_of(end) == b""
         assert front.host.ids == []
         end.close()
@@ -137,7 +137,7 @@
         end, connection = await front.client(small=True)
         end.sendall(get("a1"))
         await front.until(lambda: front.host.requests)
-        front.server.emptying = True
+        front.server.closing_when_answered = True
         end.sendall(get("a2"))
         unread(connection)
         front.host.requests[0][1].served(LONG)
@@ -172,15 +172,16 @@
         end, connection = await front.client()
         end.sendall(get("a1"))
         await front.until(lambda: front.host.requests)
-        front.server.emptying = True
+        front.server.closing_when_answered = True
         front.host.requests[0][1].served(b"one")
         other, beside = await front.client()
         half = get("b1")[:20]
         other.sendall(half)
         await front.until(lambda: beside._dialect.need)
-        beside.carried = True  # it had been used before, and is within a command as the drain begins
-        connection.finish(even_midway=False)
-        beside.finish(even_midway=False)
+        # it had been used before, and is within a command as the drain begins
+        beside.has_carried_request = True
+        connection.finish(even_mid_command=False)
+        beside.finish(even_mid_command=False)
         # Of two commands in one read the first has its answer at once; the second was taken with it.
         other.sendall(get("b1")[20:] + bulk(b"NO", b"SUCH") + get("b2"))
         await front.until(lambda: len(front.host.requests) == 3)
@@ -198,7 +199,7 @@
 def test_refused_command_does_not_end_the_connection_under_the_next_of_its_read() -> None:
     async def scene(front: Front) -> None:
         end, connection = await front.client()
-        connection.carried = front.server.emptying = True
+        connection.has_carried_request = front.server.closing_when_answered = True
         end.sendall(bulk(b"NO", b"SUCH") + get("a1"))
         await front.until(lambda: front.host.requests)
         assert not connection.closed
@@ -213,12 +214,12 @@
 def test_client_that_never_ends_is_closed_after_a_bound() -> None:
     async def scene(front: Front) -> None:
         end, connection = await front.client()
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await front.all_of(end) == b""
         now = asyncio.get_running_loop().time()
-        front.server.lingering.check(now + LINGER_S / 2)
+        front.server.lingering.check(now + LINGER_TIMEOUT_S / 2)
         assert front.server.connected == 1
-        front.server.lingering.check(now + LINGER_S)
+        front.server.lingering.check(now + LINGER_TIMEOUT_S)
         await front.until(lambda: not front.server.connected)
         end.close()
 
@@ -228,19 +229,19 @@
 def test_client_that_sends_without_end_is_read_to_a_bound() -> None:
     async def scene(front: Front) -> None:
         end, connection = await front.client()
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await front.all_of(end) == b""
 
         def flood() -> int:
             sent = 0
             try:
-                while sent < 64 * LINGER_BYTES:
+                while sent < 64 * MAX_LINGER_BYTES:
                     sent += end.send(b"x" * 65536)
             except OSError:
                 pass
             return sent
 
-        assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * LINGER_BYTES
+        assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * MAX_LINGER_BYTES
         await front.until(lambda: not front.server.connected)
 
     play(scene)
@@ -251,10 +252,10 @@
         end, _ = await front.client(small=True)
         end.sendall(get("a1"))
         await front.until(lambda: front.host.requests)
-        front.server.emptying = True
+        front.server.closing_when_answered = True
         front.host.requests[0][1].served(LONG)
         now = asyncio.get_running_loop().time()
-        for later in (LINGER_S, STALL_S / 2):
+        for later in (LINGER_TIMEOUT_S, STALL_TIMEOUT_S / 2):
             front.server.lingering.check(now + later)
         assert await front.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
@@ -271,8 +272,12 @@
         front.host.requests[0][1].served(LONG)  # more than its client takes now
         await front.until(lambda: at_work.idle)
         now = asyncio.get_running_loop().time()
-        at_work.used_at, asked.used_at, rests.used_at = now - 0.03, now - 0.02, now - 0.01
-        rests.came_at = asked.came_at = now - FRESH_S
+        at_work.last_active_at, asked.last_active_at, rests.last_active_at = (
+            now - 0.03,
+            now - 0.02,
+            now - 0.01,
+        )
+        rests.connected_at = asked.connected_at = now - FIRST_REQUEST_GRACE_S
         # A new client comes in the same turn of the loop in which a request lies unread.
         asking.sendall(get("a2"))
         unread(asked)
@@ -285,8 +290,8 @@
             reply.served(b"v")
         assert await asyncio.get_running_loop().run_in_executor(None, asking.recv, 99) == b"$1\r\nv\r\n"
         assert await asyncio.get_running_loop().run_in_executor(None, new.recv, 99) == b"$1\r\nv\r\n"
-        front.server.emptying = True
-        at_work.finish(even_midway=False)
+        front.server.closing_when_answered = True
+        at_work.finish(even_mid_command=False)
         assert await front.all_of(full) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
     play(scene)
@@ -295,16 +300,16 @@
 def test_connection_that_has_just_come_is_not_closed_before_its_request_can_be_there() -> None:
     async def scene(front: Front) -> None:
         end, connection = await front.client()
-        front.server.finish(even_midway=False)
+        front.server.finish(even_mid_command=False)
         assert not connection.evictable
         end.sendall(get("r1"))
         await front.until(lambda: front.host.requests)
         front.host.requests[0][1].served(b"v")
         assert await front.read(end, 8) == b"$1\r\nv\r\n"
         late, connection = await front.client()
-        await asyncio.sleep(FRESH_S)
+        await asyncio.sleep(FIRST_REQUEST_GRACE_S)
         assert connection.evictable
-        front.server.finish(even_midway=False)
+        front.server.finish(even_mid_command=False)
         assert await front.all_of(late) == b""
         end.close()
         late.close()
@@ -315,7 +320,7 @@
 def test_connections_that_only_linger_make_room_first() -> None:
     async def scene(front: Front) -> None:
         ends = [await front.client() for _ in range(LIMIT)]
-        ends[0][1].finish(even_midway=False)
+        ends[0][1].finish(even_mid_command=False)
         assert len(front.server.lingering) == 1
         await front.client()
         assert len(front.server.lingering) == 0
@@ -338,8 +343,8 @@
             end.shutdown(socket.SHUT_WR)
         await front.until(lambda: connection.closed)
         assert len(front.host.gone) == len(front.host.requests)
-        assert 2 * LOOK_S < 0.1
-        assert not front.server.unread._held
+        assert 2 * POLL_INTERVAL_S < 0.1
+        assert not front.server.paused_reads._connections
 
     play(scene)
 
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -22,7 +22,7 @@
 from saltport.decisions import ListKind, RequestClass, Server, ServersChanged, Settings
 from saltport.decisions.interface import NS_PER_S
 from saltport.downstream.clients import MAX_PIPELINE, ClientConnection, ClientServer
-from saltport.downstream.received import HELD_UP_NS, TICK_NS, KernelClock, ReceiveTimes
+from saltport.downstream.receive_times import KERNEL_TICK_NS, MAX_UNCERTAINTY_NS, KernelClock, ReceiveTimes
 from saltport.downstream.resp import RespDialect
 from saltport.membership.listing import Listing
 from saltport.router.host import RouterHost
@@ -33,7 +33,7 @@
 TOTAL_MS = 10_000
 HELD_S = 0.3
 SHORT_MS = 150  # over before HELD_S is
-ROUNDING_NS = 2 * TICK_NS + NS_PER_MS  # of the kernel's clock, and of what is told
+ROUNDING_NS = 2 * KERNEL_TICK_NS + NS_PER_MS  # of the kernel's clock, and of what is told
 
 CLASSES = (RequestClass("get", aim=NS_PER_S, deadline=20 * NS_PER_S),)
 
@@ -248,21 +248,21 @@
 @pytest.mark.parametrize("told", [None, b"", b"\x01" + bytes(55)], ids=["gone", "short", "zeros"])
 def test_kernel_that_does_not_tell_leaves_the_loop_s_own_bounds(told: bytes | None) -> None:
     end, now = Silent(told), 100 * NS_PER_S
-    times = ReceiveTimes(end, KernelClock(), lambda at: at - 2 * HELD_UP_NS, now)
-    first = times.read(now + NS_PER_MS, emptied=True, is_last=True)
-    assert first == Received(now - 2 * HELD_UP_NS, now + NS_PER_MS)
-    second = times.read(now + NS_PER_S, emptied=True, is_last=True)
-    assert second == Received(now + NS_PER_S - 2 * HELD_UP_NS, now + NS_PER_S)
+    times = ReceiveTimes(end, KernelClock(), lambda at: at - 2 * MAX_UNCERTAINTY_NS, now)
+    first = times.record_read(now + NS_PER_MS, emptied=True, is_last=True)
+    assert first == Received(now - 2 * MAX_UNCERTAINTY_NS, now + NS_PER_MS)
+    second = times.record_read(now + NS_PER_S, emptied=True, is_last=True)
+    assert second == Received(now + NS_PER_S - 2 * MAX_UNCERTAINTY_NS, now + NS_PER_S)
     assert end.asked == (2 if told is None else 1)
 
 
 def test_connection_that_was_not_read_bounds_what_is_read_until_the_kernel_has_no_more() -> None:
     now = 100 * NS_PER_S
     times = ReceiveTimes(Silent(None), KernelClock(), lambda at: at, now)
-    times.read(now, emptied=True, is_last=True)
-    times.stopped(now + 1)
-    times.stopped(now + 2)
-    told = [times.read(now + at, emptied=at > 3, is_last=True) for at in (3, 4, 5)]
+    times.record_read(now, emptied=True, is_last=True)
+    times.reading_stopped(now + 1)
+    times.reading_stopped(now + 2)
+    told = [times.record_read(now + at, emptied=at > 3, is_last=True) for at in (3, 4, 5)]
     assert [received.earliest_ns - now for received in told] == [1, 1, 5]
     assert [received.latest_ns - now for received in told] == [3, 4, 5]
 
--- a/tests/downstream/test_access_log.py
+++ b/tests/downstream/test_access_log.py
@@ -15,7 +15,7 @@
 
 from saltport.downstream.access_log import AccessLog
 from saltport.downstream.access_report import Finding, Report, main, read_log
-from saltport.downstream.endings import CloseReason
+from saltport.downstream.outcomes import CloseReason
 from tests.crossings.test_closing import Front, play
 from tests.sockets import get
 
@@ -113,8 +113,8 @@
         await front.until(lambda: len(front.host.requests) == 2)
         reply = front.host.requests[0][1]
         reply.start(LONG, Source())  # type: ignore[arg-type]
-        reply.part(b"half")
-        reply.cut_off()
+        reply.send_part(b"half")
+        reply.abort_value()
 
     report = report_of(tmp_path / "log", scene)
     assert findings(report) == [(Finding.CUT, "r1"), (Finding.UNANSWERED, "r2")]
--- a/tests/downstream/test_memcached.py
+++ b/tests/downstream/test_memcached.py
@@ -7,7 +7,7 @@
 import pytest
 
 from saltport.decisions.tenancy import Prefixes
-from saltport.downstream.memcached import EitherDialect, MemcachedDialect, MemcachedRules
+from saltport.downstream.memcached import DetectingDialect, MemcachedDialect, MemcachedRules
 from saltport.downstream.resp import RespDialect
 from saltport.messages import Answers, Malformed, Message, Ping, Request
 from saltport.wire.memcached import (
@@ -200,8 +200,8 @@
 
 
 def test_the_first_byte_tells_the_dialect() -> None:
-    def either() -> EitherDialect:
-        return EitherDialect(lambda: MemcachedDialect(RULES), RespDialect)
+    def either() -> DetectingDialect:
+        return DetectingDialect(lambda: MemcachedDialect(RULES), RespDialect)
 
     binary, plain = either(), either()
     assert (binary.need, binary.broken, binary.breaking()) == (0, "", b"")
--- a/tests/router/test_limits.py
+++ b/tests/router/test_limits.py
@@ -16,7 +16,7 @@
 
 import pytest
 
-from saltport.downstream.clients import PROGRESS_S, SWEEP_S
+from saltport.downstream.clients import COMMAND_PROGRESS_TIMEOUT_S, SWEEP_INTERVAL_S
 from tests.sockets import (
     FACTS,
     PATIENCE_S,
@@ -151,7 +151,8 @@
         took = time.monotonic() - begun
         assert took >= 2.0
         assert whole.at_end()
-        assert PROGRESS_S + SWEEP_S < 3.0  # what a client is owed, whatever this machine took
+        # what a client is owed, whatever this machine took
+        assert COMMAND_PROGRESS_TIMEOUT_S + SWEEP_INTERVAL_S < 3.0
 
 
 def test_deep_pipeline_is_answered_in_order(tmp_path: Path) -> None:
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -16,7 +16,7 @@
 
 from saltport.admin.client import ask
 from saltport.decisions import CacheNote, Outcome
-from saltport.downstream.clients import IDLE_S, SWEEP_S
+from saltport.downstream.clients import IDLE_TIMEOUT_S, SWEEP_INTERVAL_S
 from saltport.messages import Request, ValueSource
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.connection import Exchange
@@ -228,7 +228,7 @@
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.send(b"".join(get(f"a{i}") for i in range(4)))
         router.until("current", 0)
-        time.sleep(IDLE_S + 2 * SWEEP_S)
+        time.sleep(IDLE_TIMEOUT_S + 2 * SWEEP_INTERVAL_S)
         # Late, and quick from here on: by a window of 4 KB the values take seconds.
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_WINDOW_CLAMP, 1 << 20)
