--- a/saltport/downstream/access_log.py
+++ b/saltport/downstream/access_log.py
@@ -1,9 +1,9 @@
-"""The access log: each request that was accepted, its final answer, and who closed a connection before it.
+"""The access log: accepted requests, their final answers, and connections closed with unfinished work.
 
-Entries are JSON, one a line, each a struct of this module told apart by its field `event`. Times are
-nanoseconds on the machine's monotonic clock. What one turn of the event loop logs is written at its end with
-one system call, so that a process which is killed loses the entries of a single turn at most. What could not
-be written is written with what comes next.
+Entries are JSON objects, one per line, encoded from the structs of this module; the field `event` gives the
+type. Times are nanoseconds of the machine's monotonic clock. The entries of one iteration of the event loop
+are written together at its end with one system call, so a process that is killed loses the entries of at most
+one iteration. Entries that could not be written are written together with the next ones.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from saltport.downstream.outcomes import CloseReason, FinalAnswer
 
 DEFAULT_MAX_BYTES = 256 << 20
-"""Size at which a log file is set aside under the suffix `.1`, in the place of the one set aside before."""
+"""Size at which the log file is renamed with the suffix `.1`, replacing the previous file of that name."""
 
 MAX_UNWRITTEN_BYTES = 4 << 20
-"""Bytes that are kept while the file can't be written; entries beyond are lost."""
+"""Limit of buffered entries while the file can't be written; later entries are lost."""
 
 log = logging.getLogger("saltport")
 
 
 class RequestAccepted(msgspec.Struct, frozen=True, tag_field="event", tag="accepted"):
-    """A request was read whole; it is owed one final answer."""
+    """A request was read completely and must get one final answer."""
 
     at_ns: int
     connection: int
-    """Number of the connection in this process."""
+    """Number of the connection, unique within this process."""
     id: str
     request_class: str
     timeout_ms: int
@@ -50,21 +50,21 @@
 
 
 class ConnectionClosed(msgspec.Struct, frozen=True, tag_field="event", tag="closed"):
-    """A connection ended while something was owed on it or under way."""
+    """A connection closed with unanswered requests, unsent bytes or a partial command."""
 
     at_ns: int
     connection: int
     reason: CloseReason
     unanswered: list[str]
-    """Ids of the requests that got no final answer, in their order."""
+    """Ids of the requests without a final answer, in the order of arrival."""
     unsent_bytes: int
-    """Bytes of answers that the kernel had not taken."""
+    """Bytes of answers not yet passed to the kernel."""
     partial_command: bool
-    """Whether a command had been read in part."""
+    """Whether a command had been partially received."""
 
 
 class LogStopped(msgspec.Struct, frozen=True, tag_field="event", tag="stopped"):
-    """The process ended by itself: nothing was lost with it unlogged."""
+    """The process exited in an orderly way, so the log is complete."""
 
     at_ns: int
 
@@ -73,30 +73,30 @@
 
 
 class AccessLog:
-    """Writes the access log of one process. A fault in writing costs entries and never a request."""
+    """Writes the access log of one process; a write error can lose entries but does not affect requests."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, path: Path, max_bytes: int = DEFAULT_MAX_BYTES
     ) -> None:
-        """Open the log for appending; raises OSError."""
+        """Open the log for appending, renaming it at `max_bytes`; raise OSError if it can't be opened."""
         self._loop, self._path, self._max_bytes = loop, path, max_bytes
         self._descriptor = _open(path)
         self._size = os.fstat(self._descriptor).st_size
         self._pending: list[bytes] = []
         self._unwritten = bytearray()
-        self._ends_whole = True
-        """Whether the file ends with a whole entry: a new file must not begin with the rest of one."""
+        self._ends_with_complete_entry = True
+        """Whether the file ends with a complete entry, so that rotation does not split an entry."""
         self._encode = msgspec.json.Encoder().encode
         self.failures = 0
-        """How many writes have failed."""
+        """Number of failed writes."""
 
     def accepted(self, connection: int, request_id: str, request_class: str, timeout_ms: int) -> None:
-        """Log a request that was read whole."""
+        """Log a request that was read completely."""
         now = time.monotonic_ns()
         self._add(RequestAccepted(now, connection, request_id, request_class, timeout_ms))
 
     def answered(self, connection: int, request_id: str, answer: FinalAnswer) -> None:
-        """Log a request's final answer."""
+        """Log the final answer to a request."""
         self._add(RequestAnswered(time.monotonic_ns(), connection, request_id, answer))
 
     def closed(
@@ -107,14 +107,14 @@
         unsent_bytes: int,
         partial_command: bool,
     ) -> None:
-        """Log the end of a connection, if anything was owed on it or under way."""
+        """Log the end of a connection unless it had no unanswered request, unsent byte or partial command."""
         ids = list(unanswered)
         if ids or unsent_bytes or partial_command:
             now = time.monotonic_ns()
             self._add(ConnectionClosed(now, connection, reason, ids, unsent_bytes, partial_command))
 
     def close(self) -> None:
-        """Write what is left, and that the process ended by itself."""
+        """Write the remaining entries and the final `stopped` entry, and close the file."""
         self._add(LogStopped(time.monotonic_ns()))
         self._flush()
         os.close(self._descriptor)
@@ -129,27 +129,27 @@
             self._unwritten += b"\n".join(self._pending) + b"\n"
         self._pending.clear()
         try:
-            if self._ends_whole and self._size + len(self._unwritten) > self._max_bytes:
+            if self._ends_with_complete_entry and self._size + len(self._unwritten) > self._max_bytes:
                 self._rotate()
             while self._unwritten:
                 self._write()
         except OSError as error:
             self.failures += 1
             if self.failures == 1:
-                log.warning("access log: %s: %s", self._path, error.strerror or error)
+                log.warning("writing the access log %s failed: %s", self._path, error.strerror or error)
 
     def _write(self) -> None:
-        """Write as much as the system takes at once; what it does not take stays for the next time."""
+        """Write as many buffered bytes as one system call accepts; the rest stays buffered."""
         written = os.write(self._descriptor, self._unwritten)
         self._size += written
-        self._ends_whole = self._unwritten[:written].endswith(b"\n")
+        self._ends_with_complete_entry = self._unwritten[:written].endswith(b"\n")
         del self._unwritten[:written]
 
     def _rotate(self) -> None:
         self._path.replace(self._path.with_name(self._path.name + ".1"))
-        fresh = _open(self._path)
+        new_descriptor = _open(self._path)
         os.close(self._descriptor)
-        self._descriptor, self._size = fresh, 0
+        self._descriptor, self._size = new_descriptor, 0
 
 
 def _open(path: Path) -> int:
--- a/tests/downstream/test_access_log.py
+++ b/tests/downstream/test_access_log.py
@@ -1,4 +1,4 @@
-"""The access log says of each accepted request how it ended, and the report finds those that did not."""
+"""Tests of the access log, and of the report that finds requests without a correct answer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class Source:
-    """A long value's source that is paused and resumed to no effect."""
+    """The source of a streamed value that ignores being paused and resumed."""
 
     def pause(self) -> None:
         pass
@@ -38,7 +38,7 @@
 def report_of(
     path: Path, scene: Callable[[Front], Coroutine[Any, Any, None]], stopped: bool = True
 ) -> Report:
-    """Play a scene with an access log, and read it."""
+    """Run a scene with an access log, and return the report of that log."""
 
     async def logged(front: Front) -> None:
         access_log = AccessLog(asyncio.get_running_loop(), path)
@@ -53,10 +53,10 @@
 
 
 def findings(report: Report) -> list[tuple[Finding, str]]:
-    return [(suspect.finding, suspect.request.id) for suspect in report.suspects]
+    return [(problem.finding, problem.request.id) for problem in report.problems]
 
 
-def test_answers_are_told_apart_in_their_order(tmp_path: Path) -> None:
+def test_answers_are_logged_by_kind_in_request_order(tmp_path: Path) -> None:
     async def scene(front: Front) -> None:
         end, _ = await front.client()
         end.sendall(b"".join(get(name) for name in ("r1", "r2", "r3", "r4")))
@@ -72,7 +72,7 @@
     report = report_of(tmp_path / "log", scene)
     assert report.accepted == 4
     assert report.answers == {"served": 2, "refused": 1, "failed": 1}
-    assert report.suspects == []
+    assert report.problems == []
     ended = [
         line["id"]
         for line in map(msgspec.json.decode, (tmp_path / "log").read_bytes().splitlines())
@@ -90,10 +90,10 @@
         await front.until(lambda: front.host.gone)
 
     report = report_of(tmp_path / "log", scene)
-    assert (report.accepted, report.left, report.suspects) == (1, 1, [])
+    assert (report.accepted, report.left, report.problems) == (1, 1, [])
 
 
-def test_a_connection_that_the_router_ends_is_found(tmp_path: Path) -> None:
+def test_a_request_unanswered_when_the_router_closes_is_found(tmp_path: Path) -> None:
     async def scene(front: Front) -> None:
         end, _ = await front.client()
         end.sendall(get("r1") + get("r2"))
@@ -103,10 +103,10 @@
 
     report = report_of(tmp_path / "log", scene)
     assert findings(report) == [(Finding.UNANSWERED, "r2")]
-    assert CloseReason.SHUTDOWN.value in str(report.suspects[0])
+    assert CloseReason.SHUTDOWN.value in str(report.problems[0])
 
 
-def test_a_value_that_is_cut_is_told_from_those_behind_it(tmp_path: Path) -> None:
+def test_a_cut_value_is_distinguished_from_unanswered_requests_behind_it(tmp_path: Path) -> None:
     async def scene(front: Front) -> None:
         end, _ = await front.client()
         end.sendall(get("r1") + get("r2"))
@@ -118,7 +118,7 @@
 
     report = report_of(tmp_path / "log", scene)
     assert findings(report) == [(Finding.CUT, "r1"), (Finding.UNANSWERED, "r2")]
-    assert {suspect.detail for suspect in report.suspects} == {CloseReason.VALUE_CUT.value}
+    assert {problem.detail for problem in report.problems} == {CloseReason.VALUE_CUT.value}
 
 
 def test_an_answer_that_never_left_is_found(tmp_path: Path) -> None:
@@ -135,12 +135,12 @@
 def test_what_is_open_at_the_end_depends_on_how_the_process_ended() -> None:
     opened = [b'{"event":"accepted","at_ns":5,"connection":1,"id":"r1","request_class":"get","timeout_ms":9}']
     assert findings(read_log("r1", opened)) == [(Finding.KILLED, "r1")]
-    later = (
+    closed = (
         b'{"event":"closed","at_ns":%d,"connection":2,"reason":"the client ended it",'
         b'"unanswered":[],"unsent_bytes":1,"partial_command":false}'
     )
-    assert findings(read_log("r1", [*opened, later % 509_000_005])) == [(Finding.KILLED, "r1")]
-    assert findings(read_log("r1", [*opened, later % 509_000_006])) == [(Finding.OVERDUE, "r1")]
+    assert findings(read_log("r1", [*opened, closed % 509_000_005])) == [(Finding.KILLED, "r1")]
+    assert findings(read_log("r1", [*opened, closed % 509_000_006])) == [(Finding.OVERDUE, "r1")]
     stopped = [*opened, b'{"event":"stopped","at_ns":7}']
     assert findings(read_log("r1", stopped)) == [(Finding.FORGOTTEN, "r1")]
     assert read_log("r1", [b'{"event":"acce']).unreadable == 1
@@ -153,7 +153,7 @@
         b'{"event":"accepted","at_ns":5,"connection":1,"id":"r1","request_class":"get","timeout_ms":9}',
         b'{"event":"answered","at_ns":%d,"connection":1,"id":"r1","answer":"served"}' % at_ns,
     ]
-    assert [suspect.finding for suspect in read_log("r1", lines).suspects] == found
+    assert [problem.finding for problem in read_log("r1", lines).problems] == found
 
 
 def test_a_second_answer_is_found() -> None:
@@ -172,10 +172,10 @@
     lines += [answered % (1, b"served"), answered % (1, b"rejected")]
     report = read_log("r1", lines)
     assert report.answers == {"served": 1, "rejected": 2}
-    assert report.suspects == []
+    assert report.problems == []
 
 
-def test_a_full_log_is_set_aside(tmp_path: Path) -> None:
+def test_a_full_log_is_rotated(tmp_path: Path) -> None:
     path = tmp_path / "log"
 
     async def write() -> None:
@@ -186,10 +186,10 @@
         access_log.close()
 
     asyncio.run(write())
-    kept = (path.with_name("log.1").read_bytes() + path.read_bytes()).splitlines()
+    lines = (path.with_name("log.1").read_bytes() + path.read_bytes()).splitlines()
     assert path.stat().st_size <= 400
-    assert msgspec.json.decode(kept[-2])["id"] == "r11"
-    assert {msgspec.json.decode(line)["event"] for line in kept} == {"accepted", "stopped"}
+    assert msgspec.json.decode(lines[-2])["id"] == "r11"
+    assert {msgspec.json.decode(line)["event"] for line in lines} == {"accepted", "stopped"}
 
 
 def test_a_log_that_cannot_be_written_costs_no_request(tmp_path: Path) -> None:
@@ -197,7 +197,7 @@
         access_log = front.server.access_log
         assert access_log is not None
         access_log._max_bytes = 1
-        (tmp_path / "log").unlink()  # setting it aside fails from now on
+        (tmp_path / "log").unlink()  # rotation fails from now on
         end, _ = await front.client()
         end.sendall(get("r1"))
         await front.until(lambda: front.host.requests)
@@ -227,19 +227,19 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path, count = tmp_path / "access.jsonl", 40
-    real, turn = os.write, 0
+    real_write, calls = os.write, 0
 
-    def failing(file: int, data: bytes) -> int:
-        nonlocal turn
-        turn += 1
-        if turn % 3 == 0:
+    def failing_write(file: int, data: bytes) -> int:
+        nonlocal calls
+        calls += 1
+        if calls % 3 == 0:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        return real(file, data[: max(len(data) // 3, 1)] if turn % 3 == 1 else data)
+        return real_write(file, data[: max(len(data) // 3, 1)] if calls % 3 == 1 else data)
 
     async def scene() -> None:
         access_log = AccessLog(asyncio.get_running_loop(), path)
         with monkeypatch.context() as patched:
-            patched.setattr(os, "write", failing)
+            patched.setattr(os, "write", failing_write)
             for number in range(count):
                 access_log.accepted(1, f"r{number}", "get", 500)
                 await asyncio.sleep(0)
--- a/tests/router/test_features.py
+++ b/tests/router/test_features.py
@@ -82,7 +82,7 @@
         (path,) = tmp_path.glob("access-*.jsonl")
     assert b'"event":"stopped"' in path.read_bytes()
     report = read_log("r1", path.read_bytes().splitlines())
-    assert (report.accepted, report.answers, report.suspects) == (1, {"served": 1}, [])
+    assert (report.accepted, report.answers, report.problems) == (1, {"served": 1}, [])
 
 
 def test_an_access_log_needs_its_folder(tmp_path: Path) -> None:
