--- a/benchmarks/bulk.py
+++ b/benchmarks/bulk.py
@@ -21,13 +21,13 @@
 
 import orjson
 
-from tests.sockets import Client, Peer, Routed, get, hit, routed
+from tests.sockets import Client, Peer, RunningRouter, get, hit, run_router
 
 VALUE = b"v" * (4 << 20)
 SLOW_STEP, SLOW_PAUSE_S = 128 << 10, 0.05  # some 2.5 MB a second
 
 
-def _cpu_s(router: Routed) -> float:
+def _cpu_s(router: RunningRouter) -> float:
     fields = Path(f"/proc/{router.process.pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
@@ -35,7 +35,7 @@
 class Readers:
     """Clients of long values, and how much they got."""
 
-    def __init__(self, router: Routed, count: int, slow: bool) -> None:
+    def __init__(self, router: RunningRouter, count: int, slow: bool) -> None:
         self.bytes = 0
         self._lock, self._over = threading.Lock(), threading.Event()
         self._clients = [
@@ -45,7 +45,7 @@
         for client in self._clients:
             client.start()
 
-    def _ask(self, router: Routed, client: Client, name: str) -> tuple[Client, int]:
+    def _ask(self, router: RunningRouter, client: Client, name: str) -> tuple[Client, int]:
         """The length that is to come; a connection that was closed as idle meanwhile is made anew."""
         while True:
             try:
@@ -57,7 +57,7 @@
             client.close()
             client = router.client()
 
-    def _run(self, router: Routed, name: str, slow: bool) -> None:
+    def _run(self, router: RunningRouter, name: str, slow: bool) -> None:
         client, count = router.client(), 0
         while not self._over.is_set():
             client, left = self._ask(router, client, f"{name}x{count}")
@@ -82,7 +82,7 @@
     node = Peer(lambda _, words: hit(words[2] if words[1].startswith(b"k") else VALUE))
     with (
         tempfile.TemporaryDirectory(prefix="saltport-bulk-") as folder,
-        routed(Path(folder), {"s1": node}) as router,
+        run_router(Path(folder), {"s1": node}) as router,
     ):
         short = router.client()
         assert short.ask(get("first")) == b"first"
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -25,7 +25,7 @@
 from benchmarks.bulk import VALUE, Readers
 from saltport.address import Address
 from saltport.admin.client import call
-from tests.sockets import Peer, hit, routed
+from tests.sockets import Peer, hit, run_router
 
 CALLS = ("/healthcheck", "/stats", "/state")
 PAUSE_S = 0.02
@@ -54,7 +54,7 @@
     unanswered = 0
     with (
         tempfile.TemporaryDirectory(prefix="saltport-calls-") as folder,
-        routed(Path(folder), {"s1": node}) as router,
+        run_router(Path(folder), {"s1": node}) as router,
     ):
         over = threading.Event()
         callers = [threading.Thread(target=_silent, args=(router.admin, over)) for _ in range(silent)]
--- a/benchmarks/platform.py
+++ b/benchmarks/platform.py
@@ -17,11 +17,11 @@
 
 from saltport.admin.client import call
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     DiscoveryPeer,
-    Operated,
     Peer,
+    RouterHandle,
     configuration,
     entry,
     eventually,
@@ -32,7 +32,7 @@
 )
 
 
-class Process(Operated):
+class Process(RouterHandle):
     """One process of the router."""
 
     def healthy(self) -> bool:
@@ -50,7 +50,7 @@
 
     def end(self) -> str:
         """Wait until it has ended; returns its log."""
-        _, log = self.process.communicate(timeout=PATIENCE_S)
+        _, log = self.process.communicate(timeout=TIMEOUT_S)
         assert "Traceback" not in log, log
         return log
 
--- a/benchmarks/upgrades.py
+++ b/benchmarks/upgrades.py
@@ -20,7 +20,7 @@
 
 from benchmarks.platform import Load, LongReaders, long_nodes, platform
 from saltport.admin.client import ask
-from tests.sockets import PATIENCE_S, eventually
+from tests.sockets import TIMEOUT_S, eventually
 
 VALUE = 4 << 20
 SLOWEST, FASTEST = 0.5 * (1 << 20), 8.0 * (1 << 20)
@@ -49,7 +49,7 @@
                 answered = load.answered
                 running.terminate()
                 memory = descriptors = 0
-                while not running.gone and time.monotonic() - begun < PATIENCE_S:
+                while not running.gone and time.monotonic() - begun < TIMEOUT_S:
                     try:
                         memory = max(memory, running.memory_kb() + following.memory_kb())
                         descriptors = max(descriptors, running.descriptors() + following.descriptors())
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -20,9 +20,10 @@
 from saltport.transport.loop import on_router_loop
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Peer,
-    Routed,
+    RunningRouter,
+    echo_cache,
     eventually,
     free_port,
     get,
@@ -30,14 +31,13 @@
     http_answer,
     put,
     reset,
-    routed,
-    serving,
+    run_router,
 )
 
 
-def raw(router: Routed, data: bytes, end: bool = False) -> bytes:
+def raw(router: RunningRouter, data: bytes, end: bool = False) -> bytes:
     """What these bytes are answered with, until the router closes."""
-    with socket.create_connection(router.admin, timeout=PATIENCE_S) as caller:
+    with socket.create_connection(router.admin, timeout=TIMEOUT_S) as caller:
         caller.sendall(data)
         if end:
             caller.shutdown(socket.SHUT_WR)
@@ -49,8 +49,8 @@
 
 
 @pytest.fixture(scope="module")
-def router(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Routed]:
-    with routed(tmp_path_factory.mktemp("admin"), {"s1": serving()}) as running:
+def router(tmp_path_factory: pytest.TempPathFactory) -> Iterator[RunningRouter]:
+    with run_router(tmp_path_factory.mktemp("admin"), {"s1": echo_cache()}) as running:
         yield running
 
 
@@ -77,7 +77,7 @@
         (b"PUT /stats HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"y" * (MAX_BODY + 1), 413),
     ],
 )
-def test_every_call_gets_its_status_and_a_close(router: Routed, data: bytes, status: int) -> None:
+def test_every_call_gets_its_status_and_a_close(router: RunningRouter, data: bytes, status: int) -> None:
     told = raw(router, data)
     assert told.startswith(b"HTTP/1.1 %d " % status), told[:200]
     head, _, body = told.partition(b"\r\n\r\n")
@@ -85,28 +85,28 @@
     assert int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0]) == len(body)
 
 
-def test_head_is_answered_without_a_body(router: Routed) -> None:
+def test_head_is_answered_without_a_body(router: RunningRouter) -> None:
     head, _, body = raw(router, b"HEAD /stats HTTP/1.1\r\nHost: x\r\n\r\n").partition(b"\r\n\r\n")
     assert head.startswith(b"HTTP/1.1 200 ")
     assert body == b""
 
 
-def test_only_the_first_call_of_a_connection_counts(router: Routed) -> None:
+def test_only_the_first_call_of_a_connection_counts(router: RunningRouter) -> None:
     told = raw(router, b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n" * 2)
     assert told.count(b"HTTP/1.1 ") == 1
 
 
-def test_call_in_single_bytes_is_a_call(router: Routed) -> None:
-    with socket.create_connection(router.admin, timeout=PATIENCE_S) as caller:
+def test_call_in_single_bytes_is_a_call(router: RunningRouter) -> None:
+    with socket.create_connection(router.admin, timeout=TIMEOUT_S) as caller:
         for byte in b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n":
             caller.sendall(bytes([byte]))
             time.sleep(0.002)
         assert caller.recv(100).startswith(b"HTTP/1.1 200 ")
 
 
-def test_silent_callers_keep_nobody_out_and_end_by_themselves(router: Routed) -> None:
+def test_silent_callers_keep_nobody_out_and_end_by_themselves(router: RunningRouter) -> None:
     begun = time.monotonic()
-    silent = [socket.create_connection(router.admin, timeout=PATIENCE_S) for _ in range(2 * MAX_CALLERS)]
+    silent = [socket.create_connection(router.admin, timeout=TIMEOUT_S) for _ in range(2 * MAX_CALLERS)]
     for half in silent[::2]:
         half.sendall(b"GET /sta")
     held = router.descriptors()
@@ -133,7 +133,7 @@
         crowd = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CALLERS)]
         writer.write(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
         try:
-            told = await asyncio.wait_for(reader.read(), PATIENCE_S)
+            told = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         except ConnectionResetError:
             told = b""
         for _, other in [(reader, writer), *crowd]:
@@ -144,7 +144,7 @@
     assert on_router_loop(play()).startswith(b"HTTP/1.1 404") == answered
 
 
-def test_unknown_server_is_a_no_and_a_listed_one_a_yes(router: Routed) -> None:
+def test_unknown_server_is_a_no_and_a_listed_one_a_yes(router: RunningRouter) -> None:
     assert router.ban("never") == 404
     assert router.ban("never", "ready") == 404
     assert router.ban("s1") == 200
@@ -152,7 +152,7 @@
     assert router.ban("s1", "ready") == 200
 
 
-def test_many_callers_of_one_server_at_once_leave_it_as_the_last_one_said(router: Routed) -> None:
+def test_many_callers_of_one_server_at_once_leave_it_as_the_last_one_said(router: RunningRouter) -> None:
     def change(state: str) -> None:
         for _ in range(10):
             assert router.ban("s1", state) == 200
@@ -173,12 +173,12 @@
         if words[1] == b"bad":
             reset(connection)
         if words[1] == b"held":
-            held.wait(PATIENCE_S)
+            held.wait(TIMEOUT_S)
         return MISS if words[1] == b"miss" else hit(words[2])
 
     cache = Peer(serve)
     origin = Peer(lambda _, message: http_answer(500 if message[0] == b"PUT" else 200, b"x"), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         for i in range(20):
             assert client.ask(get(f"g{i}")) == b"g%d" % i
@@ -210,8 +210,8 @@
 def test_calls_are_answered_beside_long_values_and_silent_callers(tmp_path: Path) -> None:
     value = b"v" * (4 << 20)
     cache = Peer(lambda _, words: hit(value))
-    with routed(tmp_path, {"s1": cache}) as router:
-        silent = [socket.create_connection(router.admin, timeout=PATIENCE_S) for _ in range(64)]
+    with run_router(tmp_path, {"s1": cache}) as router:
+        silent = [socket.create_connection(router.admin, timeout=TIMEOUT_S) for _ in range(64)]
         over = threading.Event()
 
         def read(number: int) -> None:
@@ -224,7 +224,7 @@
         readers = [threading.Thread(target=read, args=(n,)) for n in range(4)]
         for reader in readers:
             reader.start()
-        told = [ask(router.admin, "/stats", timeout_s=PATIENCE_S) for _ in range(20)]
+        told = [ask(router.admin, "/stats", timeout_s=TIMEOUT_S) for _ in range(20)]
         over.set()
         for reader in readers:
             reader.join()
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -20,8 +20,8 @@
 from saltport.upstream.pool import Pool
 from saltport.upstream.resp import CacheConnection
 from saltport.wire.memcached import RESPONSE_MAGIC, Opcode, Packet, encode
-from tests.binary import Binary, Store, front
-from tests.sockets import MISS, PATIENCE_S, Peer, eventually, get, hit, http_answer, reset, routed
+from tests.binary import MemcachedClient, OriginStore, run_memcached_router
+from tests.sockets import MISS, TIMEOUT_S, Peer, eventually, get, hit, http_answer, reset, run_router
 
 VALUE = b"v" * 3000
 HEAD = b"HTTP/1.1 200 X\r\nConnection: close\r\n\r\n"
@@ -37,7 +37,7 @@
         return b""
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert client.ask(get("r1", d=15_000)) == value
         assert client.ask(get("r2", "k2", d=15_000)) == value
@@ -48,15 +48,15 @@
     def fetch(connection: socket.socket, _: list[bytes]) -> bytes:
         connection.sendall(HEAD + VALUE[:1000])
         sent.set()
-        assert read.wait(PATIENCE_S)
+        assert read.wait(TIMEOUT_S)
         return reset(connection)
 
     sent, read = threading.Event(), threading.Event()
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client, other = router.client(), router.client()
         client.send(get("r1", d=15_000))
-        assert sent.wait(PATIENCE_S)
+        assert sent.wait(TIMEOUT_S)
         for i in range(5):  # the router's loop has turned: the first part is read
             assert other.ask(b"*1\r\n$4\r\nPING\r\n") == b"+PONG", i
         read.set()
@@ -72,7 +72,7 @@
         return b""
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(get("r1", d=15_000)).startswith(b"-")
 
 
@@ -81,7 +81,7 @@
         return http_answer(200, message[1][1:]) + http_answer(200, b"nobody's")
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert [client.ask(get(f"r{i}", f"k{i}", d=15_000)) for i in range(5)] == [
             b"k%d" % i for i in range(5)
@@ -118,13 +118,13 @@
     """Ask a real server that gives these answers in turn, in pieces; returns end, value, parts of each."""
 
     async def play() -> list[tuple[Outcome, bytes | None, bytes]]:
-        pool = Pool(asyncio.get_running_loop(), 8, PATIENCE_S, PATIENCE_S)
+        pool = Pool(asyncio.get_running_loop(), 8, TIMEOUT_S, TIMEOUT_S)
         pool.list_server("s1", ("127.0.0.1", peer.port), connect)
         came = []
         for _ in answers:
             received = Received()
             pool.submit("s1", received)
-            outcome, value = await asyncio.wait_for(received.end_of_it, PATIENCE_S)
+            outcome, value = await asyncio.wait_for(received.end_of_it, TIMEOUT_S)
             came.append((outcome, value, b"".join(received.parts)))
         pool.close()
         return came
@@ -269,7 +269,7 @@
 def test_client_never_gets_a_value_whose_framing_is_broken(tmp_path: Path, how: str) -> None:
     """Through the whole router; a long value that has begun ends with its connection, short of its end."""
     cache = Peer(lambda _, words: BROKEN[how] if words[1] == b"bad" else hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("r1", "good")) == b"r1"
         answer = client.ask(get("r2", "bad"))
@@ -290,14 +290,14 @@
             return long
         connection.sendall(broken[:whole])
         if pause:
-            assert read.wait(PATIENCE_S)
+            assert read.wait(TIMEOUT_S)
         return broken[whole:]
 
-    read, store = threading.Event(), Store()
+    read, store = threading.Event(), OriginStore()
     store.cache.close()
     store.cache = Peer(serve)
-    with front(tmp_path, store) as (router, _):
-        client, bad = Binary(router.port), Binary(router.port)
+    with run_memcached_router(tmp_path, store) as (router, _):
+        client, bad = MemcachedClient(router.port), MemcachedClient(router.port)
         client.send(Packet(Opcode.GET, b"good", opaque=1))
         assert client.answers(1)[0].value == b"v" * 100_000
         bad.send(Packet(Opcode.GET, b"bad", opaque=1))
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -22,7 +22,7 @@
 from saltport.downstream.unacknowledged import STALL_TIMEOUT_S
 from saltport.messages import Request
 from saltport.transport.loop import on_router_loop
-from tests.sockets import PATIENCE_S, bulk, get
+from tests.sockets import TIMEOUT_S, bulk, get
 
 LIMIT = 3
 LONG = b"v" * (1 << 20)
@@ -71,7 +71,7 @@
         """A client and the router's end of its connection; `small`: it takes little at a time."""
         known = set(self.server._connections)
         end = socket.socket()
-        end.settimeout(PATIENCE_S)
+        end.settimeout(TIMEOUT_S)
         if small:
             end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await self._loop.run_in_executor(None, end.connect, ("127.0.0.1", self._port))
@@ -102,7 +102,7 @@
     """Wait until something of a client's lies in the kernel, while the loop stands still."""
     assert connection.transport is not None
     handle = connection.transport.get_extra_info("socket").fileno()
-    assert select.select([handle], [], [], PATIENCE_S)[0]
+    assert select.select([handle], [], [], TIMEOUT_S)[0]
 
 
 def play(scene: Callable[[Front], Coroutine[Any, Any, None]]) -> None:
@@ -110,7 +110,7 @@
         host = Taken()
         server = ClientServer(asyncio.get_running_loop(), host, RespDialect, LIMIT, 1 << 20)
         port = server.listen(("127.0.0.1", 0))
-        async with asyncio.timeout(2 * PATIENCE_S):
+        async with asyncio.timeout(2 * TIMEOUT_S):
             await scene(Front(server, host, port))
         server.close()
         await asyncio.sleep(0)
--- a/tests/crossings/test_gone_clients.py
+++ b/tests/crossings/test_gone_clients.py
@@ -16,16 +16,16 @@
 from saltport.upstream.pool import PER_SERVER
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
-    Routed,
+    RunningRouter,
     bulk,
     eventually,
     get,
     hit,
     http_answer,
-    routed,
+    run_router,
 )
 
 LONG = 60_000  # milliseconds: longer than anything is waited for here
@@ -40,7 +40,7 @@
         self.peer = Peer(self._answer)
 
     def _answer(self, _: socket.socket, words: list[bytes]) -> bytes:
-        assert self.let_go.wait(PATIENCE_S)
+        assert self.let_go.wait(TIMEOUT_S)
         return hit(words[2])
 
     def asked_for(self, of: str) -> list[bytes]:
@@ -52,7 +52,7 @@
     """An origin that answers each read with its key once it is let go."""
 
     def fetch(_: socket.socket, message: list[bytes]) -> bytes:
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, message[1][1:])
 
     return Peer(fetch, is_http=True)
@@ -66,7 +66,7 @@
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def fill(router: Routed, cache: HeldBack) -> Client:
+def fill(router: RunningRouter, cache: HeldBack) -> Client:
     """Take every connection that the one server may have."""
     busy = router.client()
     busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
@@ -79,7 +79,7 @@
     tmp_path: Path, leave: Callable[[Client], None]
 ) -> None:
     cache = HeldBack()
-    with routed(tmp_path, {"s1": cache.peer}) as router:
+    with run_router(tmp_path, {"s1": cache.peer}) as router:
         busy, leaver, stayer = fill(router, cache), router.client(), router.client()
         leaver.send(get("gone1", "g", LONG))
         router.until("current", PER_SERVER + 1)
@@ -98,7 +98,7 @@
     tmp_path: Path, leave: Callable[[Client], None]
 ) -> None:
     cache = HeldBack()
-    with routed(tmp_path, {"s1": cache.peer}) as router:
+    with run_router(tmp_path, {"s1": cache.peer}) as router:
         leaver = router.client()
         many = MAX_PIPELINE + 10  # past which the router reads no more until it has answered
         leaver.send(b"".join(get(f"gone{i}", f"g{i}", LONG) for i in range(many)))
@@ -114,7 +114,7 @@
 def test_fetch_of_a_client_that_left_goes_on_for_those_who_wait_for_it(tmp_path: Path) -> None:
     let_go = threading.Event()
     cache, origin = Peer(lambda _, words: MISS), held_origin(let_go)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         leader, waiter = router.client(), router.client()
         leader.send(get("leader", "k", LONG))
         eventually(lambda: origin.seen, "the fetch")
@@ -135,7 +135,7 @@
 def test_fetch_that_waits_for_a_connection_passes_to_the_next_when_its_client_leaves(tmp_path: Path) -> None:
     let_go = threading.Event()
     cache, origin = Peer(lambda _, words: MISS), held_origin(let_go)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         busy, leader, waiter = router.client(), router.client(), router.client()
         busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
         eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are taken")
@@ -155,14 +155,14 @@
     let_go = threading.Event()
 
     def write(_: socket.socket, message: list[bytes]) -> bytes:
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, b"receipt")
 
     def put(name: bytes) -> bytes:
         return bulk(b"KV.SET", b"k", name, b"c=put,t=acme,d=60000,k=5c", b"v")
 
     origin = Peer(write, is_http=True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         leaver = router.client()
         leaver.send(put(b"gone1") + put(b"gone2"))
         eventually(lambda: origin.seen, "the first write")
@@ -184,7 +184,7 @@
     def write(_: socket.socket, message: list[bytes]) -> bytes:
         if failing.is_set():
             return http_answer(500)
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, b"receipt")
 
     def put(name: str, d: int = LONG) -> bytes:
@@ -194,7 +194,7 @@
         return any(message[1] == b"/" + name.encode() for message in origin.seen)
 
     origin = Peer(write, is_http=True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         failed = router.client()
         for n in range(WRITES_THAT_FAIL):  # one at a time, until no more than one is sent at a time
             assert failed.ask(put(f"failed{n}", d=300)).startswith(b"-")
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -31,7 +31,7 @@
 from saltport.transport.loop import on_router_loop
 from saltport.transport.stream import TcpStream
 from saltport.upstream.pool import Pool
-from tests.sockets import PATIENCE_S, Peer, hit, http_answer, reset
+from tests.sockets import TIMEOUT_S, Peer, hit, http_answer, reset
 
 MS = NS_PER_S // 1000
 WINDOW = 100 * MS
@@ -94,13 +94,13 @@
 def play(peers: dict[str, Peer], scene: Callable[[RouterHost, HeldDials], Coroutine[Any, Any, None]]) -> None:
     async def run() -> None:
         dials = HeldDials()
-        pool = Pool(asyncio.get_running_loop(), 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(asyncio.get_running_loop(), 64, TIMEOUT_S, TIMEOUT_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
         pool.touched = host.touched
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await scene(host, dials)
         pool.close()
         await asyncio.sleep(0)
@@ -179,7 +179,7 @@
         host.servers_changed(listing({"s1": old}, ServerState.DRAINING))
         host.servers_changed(listing({"s2": new}))
         dials.let_go.set()
-        await asyncio.wait([told.answer], timeout=PATIENCE_S)
+        await asyncio.wait([told.answer], timeout=TIMEOUT_S)
         assert await ask(host, b"r2", "get", 15_000).answer == "new"
         assert not old.seen
 
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -20,7 +20,7 @@
 from saltport.admin.client import ask
 from saltport.handover.exchange import LAST, PART, TAKEN, TURNED_DOWN
 from saltport.handover.record import ConnectionRecord, Flow, Segment, Value, decode, encode
-from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit
+from tests.sockets import TIMEOUT_S, Client, Peer, eventually, get, hit
 
 VALUE = bytes(range(256)) * (4 << 10)
 ANSWER = hit(VALUE)
@@ -40,7 +40,7 @@
 
     def _serve(self, connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[1] == b"held":
-            assert self.goes.wait(PATIENCE_S)
+            assert self.goes.wait(TIMEOUT_S)
         if words[1] != b"long":
             return hit(words[2])
         sent = FIRST
@@ -58,7 +58,7 @@
         if not self.goes.is_set():
             self.left.set()
             raise OSError("the connection has ended")
-        connection.settimeout(PATIENCE_S)
+        connection.settimeout(TIMEOUT_S)
         return ANSWER[sent:]
 
 
@@ -67,7 +67,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.socket.settimeout(PATIENCE_S)
+        self.socket.settimeout(TIMEOUT_S)
         self.socket.connect(str(folder / "saltport.takeover"))
         self.socket.send(b"H1")
         assert self.socket.recv(1 << 20)[:1] == b"L"
@@ -139,7 +139,7 @@
             link.socket.send(receipt)
         else:
             link.socket.close()
-        assert node.left.wait(PATIENCE_S), "the value's connection is closed, and its rest never read"
+        assert node.left.wait(TIMEOUT_S), "the value's connection is closed, and its rest never read"
         eventually(lambda: old.gone, "nothing holds the old process up")
         assert old.process.returncode == 0
 
@@ -152,11 +152,11 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
+    listener.settimeout(TIMEOUT_S)
     with platform(tmp_path, {"s1": node.peer}) as held, socket.create_server(("127.0.0.1", 0)) as door:
         process = held.start()
         link, _ = listener.accept()
-        link.settimeout(PATIENCE_S)
+        link.settimeout(TIMEOUT_S)
         process.ready()
         assert link.recv(64) == b"H1"
         client = Client(door.getsockname()[1])
@@ -175,7 +175,7 @@
         assert link.recv(256) == TAKEN
         ours.close()
         upstream.close()
-        assert node.left.wait(PATIENCE_S)
+        assert node.left.wait(TIMEOUT_S)
         eventually(lambda: ask(process.admin, "/stats")["current"] == 0, "it is owed to nobody")
         assert ask(process.admin, "/stats")["errored"]["get"] == 0
         assert held.client().ask(get("c2")) == b"c2"
@@ -214,7 +214,7 @@
         # It is counted out in the step that sends its record; as a request it ends before that.
         eventually(lambda: ask(old.admin, "/state")["connected"] == 1, "the record is sent")
         os.kill(taker.process.pid, signal.SIGKILL)
-        taker.process.communicate(timeout=PATIENCE_S)
+        taker.process.communicate(timeout=TIMEOUT_S)
         node.goes.set()
         answer = staying.answer()
         assert answer == b"c2" or answer.startswith(b"-"), "its final answer, from the process that it is at"
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -18,20 +18,20 @@
 from saltport.lifecycle.service import LAST_ANSWERS_S, STEP_S
 from saltport.upstream.pool import PER_SERVER
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
-from tests.binary import FRONT
+from tests.binary import MEMCACHED_FEATURE
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
-    Routed,
+    RunningRouter,
     eventually,
     free_port,
     get,
     hit,
     http_answer,
     put,
-    routed,
+    run_router,
 )
 
 MS = 10**6
@@ -46,7 +46,7 @@
 LONG = 60_000  # milliseconds that a client waits: far beyond what the settings say
 
 
-def closes(router: Routed) -> bool:
+def closes(router: RunningRouter) -> bool:
     """Whether the router takes no new connections any more."""
     try:
         Client(router.port).close()
@@ -74,11 +74,11 @@
     held = threading.Event()
 
     def hold(*_: object) -> bytes:
-        held.wait(2 * PATIENCE_S)
+        held.wait(2 * TIMEOUT_S)
         return hit(b"late")
 
     cache = Peer(hold)
-    with routed(tmp_path, {"s1": cache}, facts=SHORT) as router:
+    with run_router(tmp_path, {"s1": cache}, facts=SHORT) as router:
         unsafe, reads = router.client(), router.client()
         unsafe.send(put("once1", cls="once", d=LONG))
         reads.send(b"".join(get(f"r{i}", f"k{i}", LONG) for i in range(PER_SERVER)))
@@ -93,8 +93,8 @@
         assert all(answers[i].startswith(b"-BUSY") for i in queued), "it never left"
         assert unsafe.at_end()
         assert reads.at_end()
-        assert time.monotonic() - begun < PATIENCE_S
-        assert router.process.wait(PATIENCE_S) == 0
+        assert time.monotonic() - begun < TIMEOUT_S
+        assert router.process.wait(TIMEOUT_S) == 0
         held.set()
 
 
@@ -102,10 +102,10 @@
     held = threading.Event()
 
     def hold(*_: object) -> bytes:
-        held.wait(2 * PATIENCE_S)
+        held.wait(2 * TIMEOUT_S)
         return hit(b"late")
 
-    with routed(tmp_path, {"s1": Peer(hold)}, facts=SHORT) as router:
+    with run_router(tmp_path, {"s1": Peer(hold)}, facts=SHORT) as router:
         client = router.client()
         client.send(get("a1", "k1", LONG))
         router.until("current", 1)
@@ -146,7 +146,7 @@
 
     def _serve(self, connection: socket.socket, message: list[bytes]) -> bytes | None:
         if b"held" in message[1]:
-            self.ended.wait(2 * PATIENCE_S)
+            self.ended.wait(2 * TIMEOUT_S)
             return None
         connection.sendall(self._answer[:HALF])
         assert connection.recv(1) == b""
@@ -169,7 +169,7 @@
     tmp_path: Path, kind: str, reads: bool
 ) -> None:
     caches, origin, server = half_from(kind)
-    with routed(tmp_path, caches, origin, facts=ASIDE) as router:
+    with run_router(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
         client.send(get("a1", "k1", LONG))
         if reads:
@@ -177,8 +177,8 @@
         else:
             router.until("current", 1)
         router.terminate()
-        assert router.process.wait(PATIENCE_S) == 0
-        assert server.ended.wait(PATIENCE_S)
+        assert router.process.wait(TIMEOUT_S) == 0
+        assert server.ended.wait(TIMEOUT_S)
         told = client.stream.read()
         whole = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
         assert len(told) < HALF + 100
@@ -187,7 +187,7 @@
 
 def test_value_behind_an_unanswered_request_is_cut_off_at_the_end_behind_that_answer(tmp_path: Path) -> None:
     caches, origin, server = half_from("cache")
-    with routed(tmp_path, caches, origin, facts=ASIDE) as router:
+    with run_router(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
         client.send(get("a1", "held", LONG) + get("a2", "k2", LONG))
         router.until("current", 2)
@@ -195,19 +195,19 @@
         assert client.answer().startswith(b"-")
         assert client.answer().startswith(b"cut off after")
         assert client.at_end()
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
         server.ended.set()
 
 
 def test_value_that_is_half_passed_on_at_the_end_is_cut_off_on_the_memcached_wire(tmp_path: Path) -> None:
     caches, origin, _ = half_from("cache")
     port, features = free_port(), tmp_path / "memcached.toml"
-    features.write_text(FRONT.format(port=port))
-    with routed(tmp_path, caches, origin, facts=ASIDE, more=["--with", str(features)]) as router:
+    features.write_text(MEMCACHED_FEATURE.format(port=port))
+    with run_router(tmp_path, caches, origin, facts=ASIDE, more=["--with", str(features)]) as router:
         client = Client(port)
         client.send(encode(Packet(Opcode.GET, b"k1"), REQUEST_MAGIC))
         head = client.stream.read(24)
         router.terminate()
         assert int.from_bytes(head[8:12], "big") > len(VALUE)
         assert len(client.stream.read()) < len(VALUE)
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
--- a/tests/crossings/test_start.py
+++ b/tests/crossings/test_start.py
@@ -10,19 +10,19 @@
 import pytest
 
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
     bulk,
     configuration,
+    echo_cache,
     entry,
     eventually,
     free_port,
     get,
     is_ready,
-    routed,
-    serving,
+    run_router,
     start_router,
 )
 
@@ -41,7 +41,7 @@
 def test_known_list_that_is_none_does_not_keep_a_router_from_its_work(
     tmp_path: Path, known: Any, mode: str
 ) -> None:
-    cache = serving()
+    cache = echo_cache()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     port = free_port()
     told = configuration(port, discovery, facts={"membershipMode": mode}) | {"known": known}
@@ -52,7 +52,7 @@
         assert Client(port).ask(get("r1")) == b"r1"
     finally:
         process.terminate()
-        log = process.communicate(timeout=PATIENCE_S)[1]
+        log = process.communicate(timeout=TIMEOUT_S)[1]
         cache.close()
         discovery.peer.close()
     assert log.count("known:") == (known is not None), "said once, in one line"
@@ -60,12 +60,12 @@
 
 def test_idle_clients_that_fill_their_share_keep_nobody_from_discovery_or_servers(tmp_path: Path) -> None:
     """Discovery is silent from the start; many more idle clients come than there are descriptors for."""
-    cache, speaks = serving(), threading.Event()
+    cache, speaks = echo_cache(), threading.Event()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     answer = discovery.peer.handler
 
     def silent(connection: Any, message: list[bytes]) -> bytes | None:
-        speaks.wait(2 * PATIENCE_S)
+        speaks.wait(2 * TIMEOUT_S)
         return answer(connection, message)
 
     discovery.peer.handler = silent
@@ -90,7 +90,7 @@
     finally:
         speaks.set()
         process.terminate()
-        log = process.communicate(timeout=PATIENCE_S)[1]
+        log = process.communicate(timeout=TIMEOUT_S)[1]
         for peer in (cache, old, discovery.peer):
             peer.close()
         for client in idle:
@@ -102,10 +102,10 @@
 
 def test_a_router_runs_in_one_thread(tmp_path: Path) -> None:
     """Threads cost memory in each of hundreds of processes on one machine."""
-    cache = serving()
-    with routed(tmp_path, {"s1": cache}) as router:
+    cache = echo_cache()
+    with run_router(tmp_path, {"s1": cache}) as router:
         assert router.client().ask(get("r1")) == b"r1"
-        assert router.shows("pid") == router.process.pid
+        assert router.status_value("pid") == router.process.pid
         tasks = Path(f"/proc/{router.process.pid}/task")
         threads = [task.joinpath("comm").read_text().strip() for task in tasks.iterdir()]
     assert len(threads) == 1, threads
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -28,7 +28,7 @@
 from saltport.router.host import RouterHost
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.pool import Pool
-from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit, routed
+from tests.sockets import TIMEOUT_S, Client, Peer, eventually, get, hit, run_router
 
 TOTAL_MS = 10_000
 HELD_S = 0.3
@@ -73,19 +73,19 @@
 
     def serve(_: socket.socket, words: list[bytes]) -> bytes:
         if gate is not None and words[1] == b"slow":
-            assert gate.wait(PATIENCE_S)
+            assert gate.wait(TIMEOUT_S)
         return hit(words[2])
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, Settings(classes=CLASSES), 1, pool, 1000)
         pool.touched, host.ready = host.touched, True
         addresses = {"s1": ("127.0.0.1", cache.port)}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, (Server("s1"),)), addresses))
         clients = ClientServer(loop, host, RespDialect, 64, 1 << 20)
         listener = socket.create_server(("127.0.0.1", 0))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await scene(World(host, clients, listener, cache))
         clients.close()
         pool.close()
@@ -210,7 +210,7 @@
 
 def test_what_came_while_the_process_was_stopped_is_not_told(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("first", d=TOTAL_MS)) == b"first"
         router.process.send_signal(signal.SIGSTOP)
--- a/tests/crossings/test_time_told.py
+++ b/tests/crossings/test_time_told.py
@@ -21,7 +21,7 @@
 from saltport.router.host import RouterHost
 from saltport.upstream.connection import Exchange
 from tests.crossings.test_moment_of_sending import HeldDials, ask, play, until
-from tests.sockets import MISS, PATIENCE_S, Peer, get, hit, http_answer, put, reset, routed
+from tests.sockets import MISS, TIMEOUT_S, Peer, get, hit, http_answer, put, reset, run_router
 
 TOTAL_MS = 10_000
 HELD_S = 0.25
@@ -57,7 +57,7 @@
 
 def test_fetch_after_a_miss_tells_the_origin_what_is_left(tmp_path: Path) -> None:
     cache, origin = Holding(MISS, MISS), Peer(lambda _, words: http_answer(200, b"fetched"), is_http=True)
-    with routed(tmp_path, {"s1": cache.peer}, origin) as router:
+    with run_router(tmp_path, {"s1": cache.peer}, origin) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"fetched"
     assert told_ms(b"," + cache.peer.seen[0][3]) <= TOTAL_MS
     assert at_most_left(told_ms(origin.seen[0][2]), cache.held_ns)
@@ -65,7 +65,7 @@
 
 def test_list_that_goes_on_to_the_origin_is_otherwise_as_it_came(tmp_path: Path) -> None:
     cache, origin = Peer(lambda _, words: MISS), Peer(lambda _, words: http_answer(200, b"v"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS, more=",r=1,h=250,ad=7")) == b"v"
         assert router.client().ask(put("w1", d=TOTAL_MS)) == b"v"
     infos = [re.findall(rb"Request-Info: (.*)\r\n", message[2])[0] for message in origin.seen]
@@ -77,7 +77,7 @@
 
 def test_repeat_of_a_write_tells_the_origin_what_is_left(tmp_path: Path) -> None:
     holding = Holding(None, http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": Peer(lambda _, words: MISS)}, holding.peer) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda _, words: MISS)}, holding.peer) as router:
         assert router.client().ask(put("w1", d=TOTAL_MS)) == b"receipt"
     first, second = holding.peer.seen
     assert at_most_left(told_ms(first[2]), 0)
@@ -86,7 +86,7 @@
 
 def test_repeat_tells_the_next_cache_what_is_left(tmp_path: Path) -> None:
     holding = Holding(None, hit(b"v"))
-    with routed(tmp_path, {"s1": holding.peer}) as router:
+    with run_router(tmp_path, {"s1": holding.peer}) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"v"
     first, second = holding.peer.seen
     assert at_most_left(told_ms(b"," + first[3]), 0)
@@ -113,7 +113,7 @@
 def test_request_with_nothing_left_is_refused_and_not_sent(tmp_path: Path, ask_for: Any) -> None:
     """Of one millisecond some is gone at once, and less than a whole one can't be told."""
     cache, origin = Peer(lambda _, words: MISS), Peer(lambda _, words: http_answer(200, b"v"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert client.ask(ask_for("r0", d=0)).startswith(b"-BUSY")
         assert client.ask(ask_for("r1", d=1)).startswith(b"-BUSY")
@@ -125,7 +125,7 @@
 
 def test_list_that_tells_the_time_twice_is_rejected(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         answer = router.client().ask(get("r1", d=TOTAL_MS, more=",d=99999"))
     assert answer.startswith(b"-ERR")
     assert b"twice" in answer
@@ -162,7 +162,7 @@
 def test_copy_behind_a_dial_is_kept_no_longer_than_its_lease() -> None:
     def copy(host: RouterHost, told: Callable[[Outcome], Event]) -> ReplicationWrite:
         lease = Deadline(time.monotonic_ns() + TOTAL_MS * NS_PER_MS)
-        return ReplicationWrite(host, b"k", b"v", lease, plain_span_ns(PATIENCE_S), told)
+        return ReplicationWrite(host, b"k", b"v", lease, plain_span_ns(TIMEOUT_S), told)
 
     behind = Behind(copy)
     behind.play()
@@ -178,7 +178,7 @@
         span = plain_span_ns(HELD_S / 2)
         if is_copy:  # its lease is over, and not the time that it may take
             lease = Deadline(time.monotonic_ns() + span)
-            return ReplicationWrite(host, b"k", b"v", lease, plain_span_ns(PATIENCE_S), told)
+            return ReplicationWrite(host, b"k", b"v", lease, plain_span_ns(TIMEOUT_S), told)
         return Invalidation(host, b"k", span, told)
 
     behind = Behind(command)
--- a/tests/faults/matrix_scenes.py
+++ b/tests/faults/matrix_scenes.py
@@ -25,7 +25,7 @@
 from tests.sockets import (
     Client,
     Peer,
-    Routed,
+    RunningRouter,
     eventually,
     get,
     http_answer,
@@ -81,14 +81,14 @@
     assert answers == [b"%b%d" % (name.encode(), turn) for turn in range(len(every))]
 
 
-def nobody_was_blamed(router: Routed, store: Peer, writes: int) -> None:
+def nobody_was_blamed(router: RunningRouter, store: Peer, writes: int) -> None:
     eventually(lambda: answers_operators(router), "the operators' calls are answered")
-    assert router.shows("cluster_unhealthy") == 0, "no server is held to account"
+    assert router.status_value("cluster_unhealthy") == 0, "no server is held to account"
     sent = [message for message in store.seen if message[1] != b"/stats" and message[1] != b"/health/live"]
     assert [message[0] for message in sent] == [b"PUT"] * writes, "no read at the origin, each write once"
 
 
-def answers_operators(router: Routed) -> bool:
+def answers_operators(router: RunningRouter) -> bool:
     try:
         return bool(ask(router.admin, "/state"))
     except OSError:
--- a/tests/faults/test_accept.py
+++ b/tests/faults/test_accept.py
@@ -11,7 +11,7 @@
 
 from saltport.admin.client import ask
 from tests.faults.system_calls import Call, SystemCalls
-from tests.sockets import eventually, get, routed, serving
+from tests.sockets import echo_cache, eventually, get, run_router
 
 CLIENTS = 8
 LONG_S = 0.6
@@ -31,7 +31,7 @@
 @pytest.mark.parametrize("number", MOMENTARY, ids=names(MOMENTARY))
 def test_requests_on_connections_whose_accept_failed_are_served(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, environ=calls.environ) as router:
         calls.strike(Call.ACCEPT, number, times=3)
         clients = [router.client() for _ in range(CLIENTS)]
         for turn, client in enumerate(clients):
@@ -43,7 +43,7 @@
 @pytest.mark.parametrize("number", EXHAUSTED, ids=names(EXHAUSTED))
 def test_accepts_that_fail_for_long_are_tried_again_without_a_spin(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, environ=calls.environ) as router:
         calls.strike(Call.ACCEPT, number)
         clients = [router.client() for _ in range(CLIENTS)]
         for turn, client in enumerate(clients):
@@ -56,7 +56,7 @@
 
 def test_operators_are_answered_once_accepts_work_again_and_none_spins(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, environ=calls.environ) as router:
         calls.strike(Call.ACCEPT, errno.ENFILE)
         told: list[object] = []
         caller = threading.Thread(target=lambda: told.append(ask(router.admin, "/stats")))
@@ -70,7 +70,7 @@
 
 def test_connections_that_wait_at_the_end_are_taken_before_the_door_closes(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, environ=calls.environ) as router:
         calls.strike(Call.ACCEPT, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
--- a/tests/faults/test_departed_clients.py
+++ b/tests/faults/test_departed_clients.py
@@ -16,22 +16,22 @@
 from tests.faults.system_calls import Call, SystemCalls
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Peer,
-    Routed,
+    RunningRouter,
+    echo_cache,
     eventually,
     get,
     http_answer,
     put,
-    routed,
-    serving,
+    run_router,
 )
 
 GONE_S = 0.25  # far beyond the 0.1 s in which an attempt may still begin
 
 
 @contextmanager
-def stopped(router: Routed) -> Iterator[None]:
+def stopped(router: RunningRouter) -> Iterator[None]:
     """The process stands still meanwhile."""
     os.kill(router.process.pid, signal.SIGSTOP)
     try:
@@ -44,11 +44,11 @@
     let_go = threading.Event()
 
     def miss(*_: object) -> bytes:
-        let_go.wait(PATIENCE_S)
+        let_go.wait(TIMEOUT_S)
         return MISS
 
     cache, origin = Peer(miss), Peer(lambda *_: http_answer(200, b"value"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         let_go.set()
         assert router.client().ask(get("a0")) == b"value", "connections are up"
         let_go.clear()
@@ -66,8 +66,8 @@
 
 @pytest.mark.parametrize("kind", ["read", "write"])
 def test_request_and_end_that_are_read_together_late_are_not_sent(tmp_path: Path, kind: str) -> None:
-    cache, origin = serving(), Peer(lambda *_: http_answer(200, b"value"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    cache, origin = echo_cache(), Peer(lambda *_: http_answer(200, b"value"), is_http=True)
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         assert client.ask(put("b0")) == b"value"
@@ -81,8 +81,8 @@
 
 
 def test_request_of_a_client_that_left_before_it_was_accepted_is_not_sent(tmp_path: Path) -> None:
-    calls, cache = SystemCalls(tmp_path), serving()
-    with routed(tmp_path, {"s1": cache}, environ=calls.environ) as router:
+    calls, cache = SystemCalls(tmp_path), echo_cache()
+    with run_router(tmp_path, {"s1": cache}, environ=calls.environ) as router:
         assert router.client().ask(get("a0")) == b"a0"
         calls.strike(Call.ACCEPT, errno.ENFILE)
         client = router.client()
@@ -95,8 +95,8 @@
 
 
 def test_request_that_waits_for_a_dial_is_not_sent_for_a_client_that_left_meanwhile(tmp_path: Path) -> None:
-    calls, cache = SystemCalls(tmp_path), serving()
-    with routed(tmp_path, {"s1": cache}, environ=calls.environ) as router:
+    calls, cache = SystemCalls(tmp_path), echo_cache()
+    with run_router(tmp_path, {"s1": cache}, environ=calls.environ) as router:
         calls.strike(Call.SOCKET, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
--- a/tests/faults/test_dial.py
+++ b/tests/faults/test_dial.py
@@ -12,7 +12,7 @@
 import pytest
 
 from tests.faults.system_calls import Call, SystemCalls
-from tests.sockets import MISS, Peer, entry, eventually, get, http_answer, put, routed, serving
+from tests.sockets import MISS, Peer, echo_cache, entry, eventually, get, http_answer, put, run_router
 
 READS = 8
 SHORTAGES = (errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM)
@@ -29,8 +29,8 @@
 @pytest.mark.parametrize(("call", "number"), OWN, ids=NAMES)
 def test_a_few_failures_move_no_read_to_the_origin(tmp_path: Path, call: Call, number: int) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    caches = {f"s{turn}": serving() for turn in range(4)}
-    with routed(tmp_path, caches, store, environ=calls.environ) as router:
+    caches = {f"s{turn}": echo_cache() for turn in range(4)}
+    with run_router(tmp_path, caches, store, environ=calls.environ) as router:
         calls.strike(call, number, times=3)
         client = router.client()
         client.send(b"".join(get(f"a{turn}", f"k{turn}") for turn in range(READS)))
@@ -44,8 +44,8 @@
     tmp_path: Path, call: Call, number: int
 ) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    caches = {f"s{turn}": serving() for turn in range(4)}
-    with routed(tmp_path, caches, store, environ=calls.environ) as router:
+    caches = {f"s{turn}": echo_cache() for turn in range(4)}
+    with run_router(tmp_path, caches, store, environ=calls.environ) as router:
         calls.strike(call, number)
         client = router.client()
         client.send(b"".join(get(f"a{turn}", f"k{turn}") for turn in range(READS)))
@@ -55,13 +55,13 @@
         assert [client.answer() for _ in range(READS)] == [b"a%d" % turn for turn in range(READS)]
         assert not store.seen
         assert 0 < failed < LONG_S * len(caches) * 60, "dialed again now and then, without a spin"
-        assert router.shows("cluster_unhealthy") == 0
+        assert router.status_value("cluster_unhealthy") == 0
 
 
 def test_reads_whose_time_ends_meanwhile_are_refused_and_all_is_served_right_after(tmp_path: Path) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    caches = {f"s{turn}": serving() for turn in range(4)}
-    with routed(tmp_path, caches, store, environ=calls.environ) as router:
+    caches = {f"s{turn}": echo_cache() for turn in range(4)}
+    with run_router(tmp_path, caches, store, environ=calls.environ) as router:
         calls.strike(Call.SOCKET, errno.ENFILE)
         client = router.client()
         begun = time.monotonic()
@@ -76,8 +76,8 @@
 
 
 def test_a_server_that_drains_meanwhile_gets_nothing(tmp_path: Path) -> None:
-    calls, store, gone = SystemCalls(tmp_path), origin(), serving()
-    with routed(tmp_path, {"s1": gone}, store, environ=calls.environ) as router:
+    calls, store, gone = SystemCalls(tmp_path), origin(), echo_cache()
+    with run_router(tmp_path, {"s1": gone}, store, environ=calls.environ) as router:
         calls.strike(Call.SOCKET, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
@@ -92,7 +92,7 @@
 
 def test_what_a_miss_needs_of_the_origin_waits_as_well(tmp_path: Path) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    with routed(tmp_path, {"s1": Peer(lambda *_: MISS)}, store, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda *_: MISS)}, store, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"from the origin"
         time.sleep(0.1)
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("request_class", ["once", "put"])
 def test_write_whose_dial_never_came_up_never_ran(tmp_path: Path, request_class: str) -> None:
-    with deaf_origin() as deaf, routed(tmp_path, {"s1": serving()}, deaf) as router:
+    with deaf_origin() as deaf, run_router(tmp_path, {"s1": echo_cache()}, deaf) as router:
         client = router.client()
         answer = client.ask(put("w1", cls=request_class, d=300))
         assert answer.startswith(b"-BUSY"), "refused: trying again is harmless"
--- a/tests/faults/test_matrix_end.py
+++ b/tests/faults/test_matrix_end.py
@@ -13,22 +13,24 @@
 )
 from tests.faults.system_calls import SystemCalls
 from tests.sockets import (
+    echo_cache_with_slow_key,
     eventually,
     get,
-    routed,
-    slow_until,
+    run_router,
 )
 
 
 @cases(Scene.END)
 def test_end_answers_what_was_taken(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, store, let_go = SystemCalls(tmp_path), origin(), threading.Event()
-    with routed(tmp_path, {"s1": slow_until(let_go)}, store, environ=calls.environ) as router:
+    with run_router(
+        tmp_path, {"s1": echo_cache_with_slow_key(let_go)}, store, environ=calls.environ
+    ) as router:
         waiting, idle = router.client(), router.client()
         assert waiting.ask(get("a0")) == b"a0"
         assert idle.ask(get("a1")) == b"a1"
         waiting.send(get("a2", "slow"))
-        eventually(lambda: router.shows("current") == 1, "it is taken")
+        eventually(lambda: router.status_value("current") == 1, "it is taken")
         with failing(calls, case, lasting):
             router.terminate()
             late = router.client()
--- a/tests/faults/test_matrix_hand_over.py
+++ b/tests/faults/test_matrix_hand_over.py
@@ -16,16 +16,16 @@
 from tests.sockets import (
     Client,
     bulk,
+    echo_cache_with_slow_key,
     eventually,
     get,
-    slow_until,
 )
 
 
 @cases(Scene.HAND_OVER)
 def test_what_is_under_way_moves_or_stays(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, let_go = SystemCalls(tmp_path), threading.Event()
-    caches = {"s1": slow_until(let_go)}
+    caches = {"s1": echo_cache_with_slow_key(let_go)}
     with platform(tmp_path, caches, environ=calls.environ) as held:
         old = held.start().ready()
         idle, half, waiting = (held.client() for _ in range(3))
--- a/tests/faults/test_matrix_reload.py
+++ b/tests/faults/test_matrix_reload.py
@@ -17,23 +17,23 @@
 from tests.faults.system_calls import SystemCalls
 from tests.sockets import (
     DiscoveryPeer,
+    echo_cache,
     entry,
     eventually,
     get,
-    routed,
-    serving,
+    run_router,
 )
 
 
 @cases(Scene.RELOAD)
 def test_new_configuration_is_taken(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    cache, other = serving(), serving()
+    cache, other = echo_cache(), echo_cache()
     elsewhere = DiscoveryPeer([entry(other, "s2"), entry(store, "origin", "origin")])
-    with routed(tmp_path, {"s1": cache}, store, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": cache}, store, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
-        told = router.told() | {"discovery": f"127.0.0.1:{elsewhere.peer.port}"}
+        told = router.read_configuration() | {"discovery": f"127.0.0.1:{elsewhere.peer.port}"}
         with failing(calls, case, lasting):
             begun = time.monotonic()
             router.reload(json.dumps(told))
--- a/tests/faults/test_matrix_service.py
+++ b/tests/faults/test_matrix_service.py
@@ -19,20 +19,20 @@
 )
 from tests.faults.system_calls import SystemCalls
 from tests.sockets import (
+    echo_cache,
     entry,
     eventually,
     put,
-    routed,
-    serving,
+    run_router,
 )
 
 
 @cases(Scene.SERVICE)
 def test_service_goes_on(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    caches = {f"s{turn}": serving() for turn in range(3)}
-    later = serving()
-    with routed(tmp_path, caches, store, environ=calls.environ) as router:
+    caches = {f"s{turn}": echo_cache() for turn in range(3)}
+    later = echo_cache()
+    with run_router(tmp_path, caches, store, environ=calls.environ) as router:
         quiet = router.client()
         assert quiet.ask(put("w0", cls="once", d=15_000)) == b"receipt"
         calm_s = processor_s(router.process.pid)
--- a/tests/faults/test_matrix_start.py
+++ b/tests/faults/test_matrix_start.py
@@ -12,23 +12,23 @@
 )
 from tests.faults.system_calls import Call, SystemCalls
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     DiscoveryPeer,
     configuration,
+    echo_cache,
     entry,
     eventually,
     free_port,
     get,
     is_ready,
-    serving,
     start_router,
 )
 
 
 @cases(Scene.START)
 def test_start_waits_it_out(tmp_path: Path, case: Case, lasting: int | float) -> None:
-    calls, cache = SystemCalls(tmp_path), serving()
+    calls, cache = SystemCalls(tmp_path), echo_cache()
     discovery, port, admin = DiscoveryPeer([entry(cache, "s1")]), free_port(), free_port()
     told = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{admin}"}
     with failing(calls, case, lasting):
@@ -41,7 +41,7 @@
             client.close()
         finally:
             process.terminate()
-            _, log = process.communicate(timeout=PATIENCE_S)
+            _, log = process.communicate(timeout=TIMEOUT_S)
             discovery.peer.close()
             cache.close()
     assert process.returncode == 0, log
--- a/tests/faults/test_shortages.py
+++ b/tests/faults/test_shortages.py
@@ -24,7 +24,7 @@
 import pytest
 
 from tests.faults.system_calls import Call, SystemCalls
-from tests.sockets import Client, Peer, Routed, get, http_answer, put, routed, serving
+from tests.sockets import Client, Peer, RunningRouter, echo_cache, get, http_answer, put, run_router
 
 CLIENTS = 8
 OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
@@ -52,9 +52,9 @@
     ]
 
 
-def nothing_was_moved(router: Routed, store: Peer) -> None:
+def nothing_was_moved(router: RunningRouter, store: Peer) -> None:
     assert not store.seen, "no read went to the origin"
-    assert router.shows("cluster_unhealthy") == 0, "no server is held to account"
+    assert router.status_value("cluster_unhealthy") == 0, "no server is held to account"
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -63,7 +63,9 @@
     tmp_path: Path, call: Call, number: int, times: int
 ) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, store, environ=calls.environ) as router:
+    with run_router(
+        tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, store, environ=calls.environ
+    ) as router:
         clients = [router.client() for _ in range(CLIENTS)]
         ask_at_once(clients, "a")
         calls.strike(call, number, times=times)
@@ -79,7 +81,9 @@
     tmp_path: Path, call: Call, number: int, times: int
 ) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, store, environ=calls.environ) as router:
+    with run_router(
+        tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, store, environ=calls.environ
+    ) as router:
         calls.strike(call, number, times=times)
         ask_at_once([router.client() for _ in range(CLIENTS)], "a")
         calls.end(call)
@@ -90,7 +94,7 @@
 def test_unsafe_writes_run_once_and_are_answered(tmp_path: Path, call: Call, number: int) -> None:
     calls = SystemCalls(tmp_path)
     store = Peer(lambda *_: http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": serving()}, store, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, store, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(put("w0", cls="once")) == b"receipt"
         for turn in range(1, 6):
--- a/tests/faults/test_shortages_midway.py
+++ b/tests/faults/test_shortages_midway.py
@@ -11,7 +11,18 @@
 import pytest
 
 from tests.faults.system_calls import Call, SystemCalls
-from tests.sockets import MISS, PATIENCE_S, Peer, eventually, get, hit, http_answer, put, routed, serving
+from tests.sockets import (
+    MISS,
+    TIMEOUT_S,
+    Peer,
+    echo_cache,
+    eventually,
+    get,
+    hit,
+    http_answer,
+    put,
+    run_router,
+)
 
 OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
 NAMES = [errno.errorcode[number] for number in OF_MEMORY]
@@ -25,11 +36,11 @@
     store = Peer(lambda *_: http_answer(200, b"from the origin"), is_http=True)
 
     def miss_late(*_: object) -> bytes:
-        let_go.wait(PATIENCE_S)
+        let_go.wait(TIMEOUT_S)
         return MISS
 
     cache = Peer(miss_late)
-    with routed(tmp_path, {"s1": cache}, store, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": cache}, store, environ=calls.environ) as router:
         client = router.client()
         client.send(get("a1"))
         eventually(lambda: cache.seen, "the read is at its server")
@@ -46,7 +57,7 @@
 @pytest.mark.parametrize("number", OF_MEMORY, ids=NAMES)
 def test_long_value_arrives_whole_through_buffers_that_are_full(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": Peer(lambda *_: hit(LONG))}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda *_: hit(LONG))}, environ=calls.environ) as router:
         client, over = router.client(), threading.Event()
 
         def fail_now_and_then() -> None:
@@ -70,7 +81,7 @@
 def test_long_write_arrives_whole_and_once(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
     store = Peer(lambda *_: http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": serving()}, store, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, store, environ=calls.environ) as router:
         client = router.client()
         for turn in range(8):
             client.send(put(f"w{turn}", LONG, cls="once", d=15_000)[: len(LONG) // 2])
@@ -84,7 +95,7 @@
 @pytest.mark.parametrize("number", OF_MEMORY, ids=NAMES)
 def test_commands_behind_a_read_that_fails_are_answered_in_order(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, environ=calls.environ) as router:
         client = router.client()
         batch = b"".join(get(f"a{turn}", f"k{turn}", d=15_000) for turn in range(60))
         for start in range(0, len(batch), 701):
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -11,10 +11,11 @@
 
 from tests.faults.system_calls import Call, SystemCalls
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     DiscoveryPeer,
     Peer,
     configuration,
+    echo_cache,
     entry,
     eventually,
     free_port,
@@ -22,8 +23,7 @@
     http_answer,
     is_ready,
     put,
-    routed,
-    serving,
+    run_router,
     start_router,
 )
 
@@ -54,7 +54,9 @@
 ) -> None:
     calls = SystemCalls(tmp_path)
     origin = Peer(lambda *_: http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, origin, environ=calls.environ) as router:
+    with run_router(
+        tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, origin, environ=calls.environ
+    ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         calls.strike(call, number, times)
@@ -70,7 +72,7 @@
 
 def test_writes_that_fail_for_want_of_memory_are_made_again(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, environ=calls.environ) as router:
         client = router.client()
         for turn, number in enumerate([errno.ENOBUFS, errno.ENOMEM] * 5):
             assert client.ask(get(f"a{turn}", f"k{turn}")) == b"a%d" % turn
@@ -84,7 +86,7 @@
 def test_short_reads_and_writes_change_nothing(tmp_path: Path, call: Call, most: int) -> None:
     calls = SystemCalls(tmp_path)
     origin = Peer(lambda _, words: http_answer(200, VALUE), is_http=True)
-    with routed(tmp_path, {"s1": serving()}, origin, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, origin, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         calls.strike(call, most=most)
@@ -101,7 +103,9 @@
 ) -> None:
     calls = SystemCalls(tmp_path)
     origin = Peer(lambda *_: http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": serving(), "s2": serving()}, origin, environ=calls.environ) as router:
+    with run_router(
+        tmp_path, {"s1": echo_cache(), "s2": echo_cache()}, origin, environ=calls.environ
+    ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         assert client.ask(put("w0", cls="once")) == b"receipt"
@@ -123,11 +127,11 @@
     calls, let_go = SystemCalls(tmp_path), threading.Event()
 
     def serve(*_: object) -> bytes:
-        let_go.wait(PATIENCE_S)
+        let_go.wait(TIMEOUT_S)
         return http_answer(200, b"receipt")
 
     held = Peer(serve, is_http=True)
-    with routed(tmp_path, {"s1": serving()}, held, environ=calls.environ) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}, held, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         client.send(put("w1", cls="once") if request_class == "once" else put("w1"))
@@ -145,7 +149,7 @@
 @pytest.mark.parametrize("number", SHORTAGES, ids=[errno.errorcode[number] for number in SHORTAGES])
 @pytest.mark.parametrize("call", [Call.SOCKET, Call.BIND])
 def test_start_waits_out_a_shortage(tmp_path: Path, call: Call, number: int) -> None:
-    calls, cache = SystemCalls(tmp_path), serving()
+    calls, cache = SystemCalls(tmp_path), echo_cache()
     discovery, port = DiscoveryPeer([entry(cache, "s1")]), free_port()
     told = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{free_port()}"}
     calls.strike(call, number)
@@ -158,14 +162,14 @@
         assert process.poll() is None
     finally:
         process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 0, log
 
 
 def test_start_at_an_address_that_is_taken_is_a_prompt_error(tmp_path: Path) -> None:
-    cache = serving()
+    cache = echo_cache()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     process = start_router(tmp_path, configuration(cache.port, discovery))
-    _, log = process.communicate(timeout=PATIENCE_S)
+    _, log = process.communicate(timeout=TIMEOUT_S)
     assert process.returncode == 1
     assert "ddress already in use" in log
--- a/tests/faults/test_terms_at_their_ends.py
+++ b/tests/faults/test_terms_at_their_ends.py
@@ -13,16 +13,16 @@
 from tests.crossings.test_shutdown import ASIDE
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
-    Routed,
+    RunningRouter,
+    echo_cache,
     eventually,
     get,
     http_answer,
     put,
-    routed,
-    serving,
+    run_router,
 )
 
 TERM, HUP = signal.SIGTERM, signal.SIGHUP
@@ -63,11 +63,11 @@
     let_go = threading.Event()
 
     def hang(*_: object) -> bytes:
-        let_go.wait(2 * PATIENCE_S)
+        let_go.wait(2 * TIMEOUT_S)
         return b""
 
     caches = {f"s{number}": Peer(hang) for number in range(3)}
-    with routed(tmp_path, caches, Peer(hang, is_http=True), facts=ASIDE) as router:
+    with run_router(tmp_path, caches, Peer(hang, is_http=True), facts=ASIDE) as router:
         askers = [Asker(router.client(), f"a{number}") for number in range(4)]
         for asker in askers:
             asker.start()
@@ -76,8 +76,8 @@
             router.process.send_signal(number)
             time.sleep(0.03)
         for asker in askers:
-            asker.join(PATIENCE_S)
-        assert router.process.wait(PATIENCE_S) == 0
+            asker.join(TIMEOUT_S)
+        assert router.process.wait(TIMEOUT_S) == 0
         for asker in askers:
             # The last request may have crossed the end, which came between requests.
             assert asker.asked - 1 <= len(asker.answers) <= asker.asked
@@ -90,30 +90,30 @@
     def drop(*_: object) -> None:
         return None
 
-    peer = {"answers": serving(), "drops it": Peer(drop), "misses": Peer(lambda *_: MISS)}[cache]
+    peer = {"answers": echo_cache(), "drops it": Peer(drop), "misses": Peer(lambda *_: MISS)}[cache]
     origin = Peer(drop if cache == "drops it" else lambda *_: http_answer(200, b"value"), is_http=True)
-    with routed(tmp_path, {"s1": peer}, origin) as router:
+    with run_router(tmp_path, {"s1": peer}, origin) as router:
         client = router.client()
         for turn in range(30):
             d = LITTLE_MS[turn % len(LITTLE_MS)]
             begun = time.monotonic()
             answer = client.ask(put(f"w{turn}", d=d) if turn % 5 == 4 else get(f"a{turn}", f"k{turn}", d))
             assert answer, "a final answer"
-            assert time.monotonic() - begun < 0.5 + PATIENCE_S / 4
-        assert router.shows("cluster_unhealthy") == 0 or cache == "drops it"
+            assert time.monotonic() - begun < 0.5 + TIMEOUT_S / 4
+        assert router.status_value("cluster_unhealthy") == 0 or cache == "drops it"
 
 
-def half_on_a_new_connection(router: Routed) -> Client:
+def half_on_a_new_connection(router: RunningRouter) -> Client:
     return router.client()
 
 
-def half_behind_an_answer(router: Routed) -> Client:
+def half_behind_an_answer(router: RunningRouter) -> Client:
     client = router.client()
     assert client.ask(get("a1")) == b"a1"
     return client
 
 
-def half_behind_a_refusal(router: Routed) -> Client:
+def half_behind_a_refusal(router: RunningRouter) -> Client:
     client = router.client()
     assert client.ask(get("a1", d=1)).startswith((b"-", b"a1"))
     return client
@@ -125,7 +125,7 @@
     tmp_path: Path, prepared: object, part: int
 ) -> None:
     assert callable(prepared)
-    with routed(tmp_path, {"s1": serving()}) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}) as router:
         client = prepared(router)
         client.send(get("half")[:part])
         begun = time.monotonic()
--- a/tests/faults/test_wall_clock.py
+++ b/tests/faults/test_wall_clock.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.faults.system_calls import SystemCalls
-from tests.sockets import Routed, entry, get, routed, serving
+from tests.sockets import RunningRouter, echo_cache, entry, get, run_router
 
 COLD_S = 2.5
 FACTS = {"rules": {"coldShare": 0.1, "coldNs": int(COLD_S * 1e9)}}
@@ -18,7 +18,7 @@
 """Shares of reads at one of two servers: 0.09 to 0.25 as it begins, 0.47 once both are warm."""
 
 
-def share_of(name: bytes, router: Routed, turn: str) -> float:
+def share_of(name: bytes, router: RunningRouter, turn: str) -> float:
     """The share of new keys that a server is asked for."""
     client = router.client()
     client.send(b"".join(get(f"{turn}{number}", f"{turn}{number}") for number in range(READS)))
@@ -33,10 +33,10 @@
     tmp_path: Path, step: float, when: str
 ) -> None:
     calls = SystemCalls(tmp_path)
-    fresh, warm = serving(), serving()
+    fresh, warm = echo_cache(), echo_cache()
     if when == "before the start":
         calls.step_wall_clock(step)
-    with routed(tmp_path, {"warm": warm}, facts=FACTS, environ=calls.environ) as router:
+    with run_router(tmp_path, {"warm": warm}, facts=FACTS, environ=calls.environ) as router:
         router.caches = {"warm": warm, "fresh": fresh}
         calls.step_wall_clock(step)
         started = {**entry(fresh, "fresh"), "startedAtMs": time.time_ns() // 10**6}
@@ -53,11 +53,11 @@
 ) -> None:
     calls = SystemCalls(tmp_path)
     calls.step_wall_clock(step)
-    fresh, older, warm = serving(), serving(), serving()
+    fresh, older, warm = echo_cache(), echo_cache(), echo_cache()
     now_ms = time.time_ns() // 10**6
     started = {"fresh": now_ms, "older": now_ms - 60_000, "warm": 0}
     caches = {"fresh": fresh, "older": older, "warm": warm}
-    with routed(tmp_path, caches, facts=FACTS, environ=calls.environ, started_ms=started) as router:
+    with run_router(tmp_path, caches, facts=FACTS, environ=calls.environ, started_ms=started) as router:
         router.caches = caches
         assert share_of(b"fresh", router, "first") <= MOST_COLD * 2 / 3
         assert share_of(b"older", router, "second") >= LEAST_WARM * 2 / 3, "a minute older than another start"
--- a/tests/handover/test_learnt.py
+++ b/tests/handover/test_learnt.py
@@ -13,7 +13,7 @@
 from benchmarks.platform import platform
 from saltport.handover.exchange import LEARNT, LEARNT_PART, LEARNT_PIECE, MAX_LEARNT, Giver, Taker
 from saltport.lifecycle.takeover import MAX_MESSAGE
-from tests.sockets import PATIENCE_S, entry, eventually, get, serving
+from tests.sockets import TIMEOUT_S, echo_cache, entry, eventually, get
 
 SERVERS = 1_600
 
@@ -77,13 +77,13 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
-    told, peer = learnt(SERVERS), serving()
+    listener.settimeout(TIMEOUT_S)
+    told, peer = learnt(SERVERS), echo_cache()
     with platform(tmp_path, {"s1": peer}) as held:
         held.discovery.change(*(entry(peer, name) for name in told["servers"]))
         process = held.start()
         before, _ = listener.accept()
-        before.settimeout(PATIENCE_S)
+        before.settimeout(TIMEOUT_S)
         assert before.recv(64) == b"H1"
         giver = Giver(lambda _: None)
         giver.tell(json.dumps(told).encode())
@@ -93,7 +93,7 @@
         process.ready()
         # Its own place in the folder is where the next one looks.
         after = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        after.settimeout(PATIENCE_S)
+        after.settimeout(TIMEOUT_S)
         eventually(lambda: after.connect_ex(str(tmp_path / "saltport.takeover")) == 0, "it listens")
         taker, passed_on = Taker(), b""
         while not passed_on:
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -21,10 +21,10 @@
 from saltport.admin.client import ask
 from saltport.router.requests import STALL_S
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
-from tests.binary import FRONT, Binary
+from tests.binary import MEMCACHED_FEATURE, MemcachedClient
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
     bulk,
@@ -58,7 +58,7 @@
         # Danger: a node that is silent for STALL_S counts as vanished, and on a busy machine a process takes
         # longer than that to start: it goes on, byte by byte, but where a test is about the very last ones.
         step = int(len(answer) - sent > len(LONG) // 2)
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not self.goes.wait(STALL_S / 8):
             assert time.monotonic() < end
             connection.sendall(answer[sent : sent + step])
@@ -137,7 +137,7 @@
             return http_answer(200, b"short")
         answer = http_answer(200, LONG)
         connection.sendall(answer[: 200 << 10])
-        assert goes.wait(PATIENCE_S)
+        assert goes.wait(TIMEOUT_S)
         return answer[200 << 10 :]
 
     origin = Peer(serve, is_http=True)
@@ -158,10 +158,10 @@
 
 def test_value_on_the_memcached_wire_and_a_packet_half_read(tmp_path: Path) -> None:
     gate, file = Gate(), tmp_path / "memcached.toml"
-    file.write_text(FRONT.format(port=free_port()).replace("listen", "# listen"))
+    file.write_text(MEMCACHED_FEATURE.format(port=free_port()).replace("listen", "# listen"))
     with platform(tmp_path, {"s1": gate.peer}, more=["--with", str(file)]) as held:
         old = held.start().ready()
-        client = Binary(held.port)
+        client = MemcachedClient(held.port)
         last = encode(Packet(Opcode.GETK, b"k3", opaque=3), REQUEST_MAGIC)
         client.send(Packet(Opcode.GET, b"long", opaque=1), Packet(Opcode.GETQ, b"k2", opaque=2))
         client.socket.sendall(last[:20])
@@ -242,7 +242,7 @@
     with midway(tmp_path) as (gate, held, old, client):
         new = held.start().ready()
         os.kill(new.process.pid, signal.SIGKILL)
-        new.process.communicate(timeout=PATIENCE_S)
+        new.process.communicate(timeout=TIMEOUT_S)
         gate.goes.set()
         assert client.answer() == LONG
         assert old.healthy()
@@ -251,7 +251,7 @@
 def joined(folder: Path, says: bytes) -> socket.socket:
     """A process of another kind that joins the one that runs, as any version of the program may."""
     link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    link.settimeout(PATIENCE_S)
+    link.settimeout(TIMEOUT_S)
     link.connect(str(folder / "saltport.takeover"))
     if says:
         link.send(says)
@@ -327,12 +327,12 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
+    listener.settimeout(TIMEOUT_S)
     peer = Peer(lambda _, words: hit(words[2]))
     with platform(tmp_path, {"s1": peer}) as held:
         process = held.start()
         link, _ = listener.accept()
-        link.settimeout(PATIENCE_S)
+        link.settimeout(TIMEOUT_S)
         process.ready()
         assert link.recv(64) == b"H1"
         before = process.descriptors()
--- a/tests/lifecycle/test_bans.py
+++ b/tests/lifecycle/test_bans.py
@@ -10,7 +10,7 @@
 
 from saltport.admin.client import ask
 from saltport.lifecycle.bans import Bans, BanStore
-from tests.sockets import Peer, entry, eventually, get, hit, routed, serving
+from tests.sockets import Peer, echo_cache, entry, eventually, get, hit, run_router
 
 IDS = ["s-1", "ü/ ä", "..", ".", "a%2Eb", "x" * 80, "a\nb"]
 
@@ -71,8 +71,8 @@
 
 
 def test_no_send_follows_the_yes_over_list_changes_and_a_restart(tmp_path: Path) -> None:
-    caches = {f"s{i}": serving() for i in range(3)}
-    with routed(tmp_path, caches) as router:
+    caches = {f"s{i}": echo_cache() for i in range(3)}
+    with run_router(tmp_path, caches) as router:
         over = threading.Event()
         answered: list[bytes] = []
 
@@ -98,7 +98,7 @@
         router.discovery.change(*entries)
         restarted = {**entries[0], "startedAtMs": int(time.time() * 1000)}
         router.discovery.change(restarted, *entries[1:])
-        moved = serving()
+        moved = echo_cache()
         router.discovery.change({**restarted, "hostPort": f"127.0.0.1:{moved.port}"}, *entries[1:])
         done = len(answered)
         eventually(lambda: len(answered) > done + 400, "the others serve")
@@ -122,8 +122,8 @@
         held.wait(5)
         return hit(words[2])
 
-    first, second = Peer(slow), serving()
-    with routed(tmp_path, {"s1": first, "s2": second}) as router:
+    first, second = Peer(slow), echo_cache()
+    with run_router(tmp_path, {"s1": first, "s2": second}) as router:
         clients = [router.client() for _ in range(24)]
         for i, client in enumerate(clients):
             client.send(get(f"w{i}", f"k{i}", d=15_000))
@@ -134,10 +134,10 @@
 
 
 def test_bans_of_a_process_that_was_killed_hold_in_the_next(tmp_path: Path) -> None:
-    first, second = serving(), serving()
+    first, second = echo_cache(), echo_cache()
     store = BanStore(tmp_path / "saltport.out")
     store.add("s1")
-    with routed(tmp_path, {"s1": first, "s2": second}, known=[entry(first, "s1")]) as router:
+    with run_router(tmp_path, {"s1": first, "s2": second}, known=[entry(first, "s1")]) as router:
         client = router.client()
         for i in range(40):
             assert client.ask(get(f"r{i}", f"k{i}")) == b"r%d" % i
--- a/tests/lifecycle/test_drain.py
+++ b/tests/lifecycle/test_drain.py
@@ -11,8 +11,18 @@
 from saltport.admin.client import ask, call
 from saltport.lifecycle.drain import BY_CALL, Plan, at_the_end
 from saltport.wire.memcached import Opcode, Packet
-from tests.binary import Binary, Store, front
-from tests.sockets import PATIENCE_S, Peer, bulk, eventually, get, hit, routed, serving, slow_until
+from tests.binary import MemcachedClient, OriginStore, run_memcached_router
+from tests.sockets import (
+    TIMEOUT_S,
+    Peer,
+    bulk,
+    echo_cache,
+    echo_cache_with_slow_key,
+    eventually,
+    get,
+    hit,
+    run_router,
+)
 
 PING, DRAIN, RESUME = bulk(b"PING"), "/healthcheck/fail", "/healthcheck/ok"
 
@@ -49,7 +59,7 @@
     held = threading.Event()
     # Nothing that waits here is given up meanwhile.
     patient = {"name": "get", "aimNs": 30 * 10**9, "giveUpNs": 60 * 10**9, "semantics": "retryable"}
-    with routed(tmp_path, {"s1": slow_until(held)}, facts={"classes": [patient]}) as router:
+    with run_router(tmp_path, {"s1": echo_cache_with_slow_key(held)}, facts={"classes": [patient]}) as router:
         idle, busy, half, asking, pipelined = (router.client() for _ in range(5))
         assert idle.ask(get("a1")) == b"a1"
         assert half.ask(get("a2")) == b"a2"
@@ -85,7 +95,7 @@
 
 
 def test_half_a_command_that_comes_whole_during_the_drain_is_answered(tmp_path: Path) -> None:
-    with routed(tmp_path, {"s1": serving()}) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}) as router:
         half = router.client()
         half.send(get("a1")[:20])
         eventually(lambda: ask(router.admin, "/state")["connected"] == 1, "it is there")
@@ -95,7 +105,7 @@
 
 
 def test_drained_and_back_at_once_keeps_its_connections(tmp_path: Path) -> None:
-    with routed(tmp_path, {"s1": serving()}) as router:
+    with run_router(tmp_path, {"s1": echo_cache()}) as router:
         client = router.client()
         assert client.ask(get("a1")) == b"a1"
         for _ in range(5):
@@ -108,7 +118,7 @@
 def test_slow_reader_gets_its_value_whole_during_a_drain(tmp_path: Path) -> None:
     value = b"v" * (4 << 20)
     cache = Peer(lambda _, words: hit(value))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("a1"))
         assert client.stream.readline() == b"$%d\r\n" % len(value)
@@ -122,7 +132,7 @@
 
 def test_sigterm_ends_a_drained_router_and_back_to_work_is_a_no_then(tmp_path: Path) -> None:
     held = threading.Event()
-    with routed(tmp_path, {"s1": slow_until(held)}) as router:
+    with run_router(tmp_path, {"s1": echo_cache_with_slow_key(held)}) as router:
         client = router.client()
         client.send(get("a1", "slow"))
         eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "it is taken")
@@ -132,18 +142,18 @@
         eventually(lambda: router.put(RESUME) == 500, "back to work is refused")
         held.set()
         assert client.answer() == b"a1"
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
 
 
 def test_memcached_clients_are_told_too(tmp_path: Path) -> None:
-    store = Store()
-    with front(tmp_path, store) as (router, _):
-        client = Binary(router.port)
+    store = OriginStore()
+    with run_memcached_router(tmp_path, store) as (router, _):
+        client = MemcachedClient(router.port)
         assert (b"ready", b"yes") in [(p.key, p.value) for p in stat(client)]
         assert router.put(DRAIN) == 200
         assert (b"ready", b"no") in [(p.key, p.value) for p in stat(client)]
 
 
-def stat(client: Binary) -> list[Packet]:
+def stat(client: MemcachedClient) -> list[Packet]:
     client.send(Packet(Opcode.STAT))
     return client.answers(4)
--- a/tests/lifecycle/test_reload.py
+++ b/tests/lifecycle/test_reload.py
@@ -20,7 +20,7 @@
 from saltport.lifecycle.reload import SETTINGS_AT_START, plan_reload
 from saltport.router.config import Config, ConfigError, load_config, reload_config
 from saltport.standins.profile import Profile
-from tests.sockets import DiscoveryPeer, Peer, bulk, entry, eventually, get, hit, reset, routed
+from tests.sockets import DiscoveryPeer, Peer, bulk, entry, eventually, get, hit, reset, run_router
 
 
 def base() -> dict[str, Any]:
@@ -149,17 +149,17 @@
         return hit(words[2])
 
     caches = {f"s{i}": Peer(serve) for i in range(2)}
-    with routed(tmp_path, caches) as router:
+    with run_router(tmp_path, caches) as router:
         client, waiting = router.client(), router.client()
         assert client.ask(get("a0")) == b"a0"
         waiting.send(get("a1", "slow"))
         eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "it is open")
-        told = router.told()
+        told = router.read_configuration()
 
         for invalid, text in enumerate(("", json.dumps(told)[:-40], "{}"), 1):
             router.reload(text)
             router.until("conf_invalid", invalid)
-            assert router.shows("conf_loaded") == 0
+            assert router.status_value("conf_loaded") == 0
             assert client.ask(get(f"b{invalid}")) == b"b%d" % invalid
         changed = copy.deepcopy(told)
         classes = changed["settings"]["classes"]
@@ -169,7 +169,7 @@
         assert client.ask(get("c0").replace(b"c=get", b"c=put")) == b"c0"
         router.reload(json.dumps(changed))
         router.until("conf_loaded", 1)
-        assert router.shows("conf_invalid") == 3
+        assert router.status_value("conf_invalid") == 3
         assert client.ask(bulk(b"KV.GET", b"k", b"d1", b"c=fresh,t=acme,d=5000")) == b"d1"
         assert client.ask(get("d2").replace(b"c=get", b"c=put")).startswith(b"-ERR"), "a dropped class"
         assert client.ask(get("d3", "breaks")) == b"-ERR failed", "an unsafe one is not sent again"
@@ -183,9 +183,9 @@
 
 def test_two_signals_at_once_and_a_move_of_discovery(tmp_path: Path) -> None:
     first, second = Peer(lambda _, words: hit(b"first")), Peer(lambda _, words: hit(b"second"))
-    with routed(tmp_path, {"s1": first}) as router:
+    with run_router(tmp_path, {"s1": first}) as router:
         other = DiscoveryPeer([entry(second, "s2")])
-        told = router.told()
+        told = router.read_configuration()
         told["discovery"] = f"127.0.0.1:{other.peer.port}"
         told["settings"]["ceilings"]["mostTries"] = 2
         router.reload(json.dumps(told))
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -15,21 +15,21 @@
 from saltport.admin.client import ask
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Peer,
     bulk,
+    echo_cache,
+    echo_cache_with_slow_key,
     entry,
     eventually,
     get,
     http_answer,
-    serving,
-    slow_until,
     start_router,
 )
 
 
 def test_two_upgrades_in_a_row_under_load_close_no_door(tmp_path: Path) -> None:
-    with platform(tmp_path, {f"s{i}": serving() for i in range(3)}) as held:
+    with platform(tmp_path, {f"s{i}": echo_cache() for i in range(3)}) as held:
         first = held.start().ready()
         load = Load(held, 8)
         load.more(200)
@@ -46,7 +46,7 @@
 
 def test_command_that_is_half_there_and_one_that_waits_survive(tmp_path: Path) -> None:
     held_back = threading.Event()
-    with platform(tmp_path, {"s1": slow_until(held_back)}) as held:
+    with platform(tmp_path, {"s1": echo_cache_with_slow_key(held_back)}) as held:
         old = held.start().ready()
         idle, half, waiting, piped = (held.client() for _ in range(4))
         assert idle.ask(get("a1")) == b"a1"
@@ -71,7 +71,7 @@
 
 
 def test_new_process_that_dies_before_its_yes_leaves_the_old_one_untouched(tmp_path: Path) -> None:
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start().ready()
         client = held.client()
         assert client.ask(get("a1")) == b"a1"
@@ -79,7 +79,7 @@
         dead = held.start()
         eventually(lambda: ask(old.admin, "/state")["shared"], "they are linked")
         os.kill(dead.process.pid, signal.SIGKILL)
-        dead.process.communicate(timeout=PATIENCE_S)
+        dead.process.communicate(timeout=TIMEOUT_S)
         assert client.ask(get("a2")) == b"a2"
         assert held.client().ask(get("a3")) == b"a3"
         assert old.healthy()
@@ -87,7 +87,7 @@
 
 
 def test_ban_of_either_process_holds_in_both_while_they_overlap(tmp_path: Path) -> None:
-    caches = {f"s{i}": serving() for i in range(3)}
+    caches = {f"s{i}": echo_cache() for i in range(3)}
     with platform(tmp_path, caches) as held:
         old = held.start().ready()
         assert old.ban("s0") == 200
@@ -107,7 +107,7 @@
 
 
 def test_reload_and_drain_during_the_overlap(tmp_path: Path) -> None:
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start().ready()
         new = held.start().ready()
         for process in (old, new):
@@ -122,7 +122,7 @@
 
 
 def test_clients_in_the_backlog_are_the_next_process_s(tmp_path: Path) -> None:
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start().ready()
         os.kill(old.process.pid, signal.SIGSTOP)
         waiting = [held.client() for _ in range(20)]
@@ -139,7 +139,7 @@
 def test_without_a_link_connections_close_and_the_next_process_serves(tmp_path: Path) -> None:
     deep = tmp_path / ("d" * 100)
     deep.mkdir()
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start(TMPDIR=str(deep)).ready()
         client = held.client()
         assert client.ask(get("a1")) == b"a1"
@@ -151,7 +151,7 @@
 
 @pytest.mark.parametrize("what", ["absent", "no socket", "no listener", "no number"])
 def test_descriptor_that_is_no_listening_socket_is_a_plain_error(tmp_path: Path, what: str) -> None:
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         with socket.socket() as plain, open(os.devnull) as file:
             told = {"absent": "97", "no socket": str(file.fileno()), "no listener": str(plain.fileno())}
             process = start_router(
@@ -160,14 +160,14 @@
                 environ={"LB_SOCKET_FD": told.get(what, "four")},
                 inherits=[file.fileno(), plain.fileno()],
             )
-            _, log = process.communicate(timeout=PATIENCE_S)
+            _, log = process.communicate(timeout=TIMEOUT_S)
         assert process.returncode in (1, 2)
         assert log.splitlines()[-1].startswith("saltport: LB_SOCKET_FD"), log
         assert "Traceback" not in log
 
 
 def test_second_address_that_is_taken_is_a_plain_error_and_the_old_one_serves_on(tmp_path: Path) -> None:
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start().ready()
         second = held.start(LB_ADMIN_ADDR="{}:{}".format(*old.admin))
         log = second.end()
@@ -177,7 +177,7 @@
 
 
 def test_both_processes_together_stay_within_the_descriptors_and_the_memory(tmp_path: Path) -> None:
-    with platform(tmp_path, {f"s{i}": serving() for i in range(4)}) as held:
+    with platform(tmp_path, {f"s{i}": echo_cache() for i in range(4)}) as held:
         old = held.start().ready()
         load = Load(held, 16)
         load.more(100)
@@ -195,7 +195,7 @@
 
 
 def test_list_is_told_to_both_and_a_drain_holds_in_both(tmp_path: Path) -> None:
-    caches = {f"s{i}": serving() for i in range(2)}
+    caches = {f"s{i}": echo_cache() for i in range(2)}
     with platform(tmp_path, caches) as held:
         old = held.start().ready()
         new = held.start().ready()
@@ -227,7 +227,7 @@
 
     The next process began to count anew: half a command that was 2 s old as it moved stayed for 4.4 s.
     """
-    with platform(tmp_path, {"s1": serving()}) as held:
+    with platform(tmp_path, {"s1": echo_cache()}) as held:
         old = held.start().ready()
         half, whole = held.client(), held.client()
         assert half.ask(get("a1")) == b"a1"
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -10,7 +10,7 @@
 from saltport.membership.listing import Listing
 from saltport.membership.registry import ASKED_SPREAD, CALL_SLACK_S, Discovery
 from saltport.membership.start_times import StartTimes
-from tests.sockets import PATIENCE_S, Peer, http_answer
+from tests.sockets import TIMEOUT_S, Peer, http_answer
 
 ASK_WITHIN_S = 2.0
 NEWS = b'{"generation":2,"reset":true,"instances":[]}'
@@ -33,7 +33,7 @@
     discovery = Discovery(address, True, StartTimes(), take, lambda: discovery.subscribe(), ask_within, rng)
     discovery.subscribe()
     try:
-        return await asyncio.wait_for(told, PATIENCE_S)
+        return await asyncio.wait_for(told, TIMEOUT_S)
     finally:
         discovery.close()
 
@@ -43,7 +43,7 @@
 
     def answer(_: socket.socket, message: list[bytes]) -> bytes:
         if len(peer.seen) == 1:
-            over.wait(2 * PATIENCE_S)  # taken, and never answered
+            over.wait(2 * TIMEOUT_S)  # taken, and never answered
         return http_answer(200, NEWS)
 
     peer = Peer(answer, is_http=True)
--- a/tests/owners/test_failing_disk.py
+++ b/tests/owners/test_failing_disk.py
@@ -18,7 +18,7 @@
 from saltport.owners.settings import OwnerSettings
 from saltport.peers.agent import MemberState
 from saltport.peers.link import PeerLink
-from tests.sockets import PATIENCE_S
+from tests.sockets import TIMEOUT_S
 
 VOTERS = ("a", "b", "c")
 FAILS_S = 0.5
@@ -54,7 +54,7 @@
 
 async def until(what: str, holds: Any) -> None:
     try:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             while not holds():
                 await asyncio.sleep(0.01)
     except TimeoutError:
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -24,7 +24,7 @@
 from saltport.router.config import ConfigError, load_config
 from saltport.standins.profile import Profile
 from saltport.transport.loop import on_router_loop
-from tests.sockets import ROOT, Peer, hit, routed
+from tests.sockets import ROOT, Peer, hit, run_router
 
 KEY = b"k" * 32
 PATIENCE_S = 30.0
@@ -191,7 +191,7 @@
 
 
 def test_a_router_without_peers_says_so(tmp_path: Path) -> None:
-    with routed(tmp_path, {"s1": Peer(lambda _, words: hit(words[1]))}) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda _, words: hit(words[1]))}) as router:
         assert call(router.admin, "GET", "/peers") == (200, {"on": False})
         assert call(router.admin, "PUT", "/peers/settle")[0] == 404
         assert call(router.admin, "PUT", "/owners/step-down") == (500, {"error": "owners are off"})
--- a/tests/router/test_descriptors.py
+++ b/tests/router/test_descriptors.py
@@ -20,16 +20,16 @@
 from saltport.upstream.pool import PER_SERVER, Pool
 from saltport.upstream.resp import CacheConnection
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     DiscoveryPeer,
-    Routed,
+    RunningRouter,
     configuration,
+    echo_cache,
     entry,
     eventually,
     free_port,
     get,
     is_ready,
-    serving,
     start_router,
 )
 
@@ -91,14 +91,14 @@
 
 def run(scene: Coroutine[Any, Any, None]) -> None:
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await scene
 
     on_router_loop(bounded())
 
 
 def pool_without_sweep(limit: int) -> Pool:
-    pool = Pool(asyncio.get_running_loop(), limit, PATIENCE_S, 2 * PATIENCE_S)
+    pool = Pool(asyncio.get_running_loop(), limit, TIMEOUT_S, 2 * TIMEOUT_S)
     pool._sweep_timer.cancel()
     return pool
 
@@ -150,7 +150,7 @@
         while not slow.asked:
             await asyncio.sleep(0.001)
         pool.submit("well", wanted)
-        late.leave(Outcome.TIMEOUT, 10 * PATIENCE_S)
+        late.leave(Outcome.TIMEOUT, 10 * TIMEOUT_S)
         assert await wanted.outcome is Outcome.OK
         pool.close()
         slow.close()
@@ -169,13 +169,13 @@
 def test_router_with_few_descriptors_serves_from_all_servers_of_a_long_list(
     tmp_path: Path, servers: int
 ) -> None:
-    peer = serving()
+    peer = echo_cache()
     discovery, port = DiscoveryPeer([entry(peer, f"s{n:04d}") for n in range(servers)]), free_port()
     told = configuration(port, discovery, sockets=128) | {"admin_addr": f"127.0.0.1:{free_port()}"}
     process = start_router(tmp_path, told)
     try:
         eventually(lambda: is_ready(port), "the router is ready")
-        router = Routed(process, port, discovery, tmp_path)
+        router = RunningRouter(process, port, discovery, tmp_path)
         client = router.client()
         for turn in range(4):
             names = [f"r{turn}x{n}" for n in range(200)]
@@ -184,7 +184,7 @@
         assert router.descriptors() <= 128
     finally:
         process.terminate()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        _, log = process.communicate(timeout=TIMEOUT_S)
         for held in (peer, discovery.peer):
             held.close()
     assert process.returncode == 0, log
--- a/tests/router/test_features.py
+++ b/tests/router/test_features.py
@@ -12,7 +12,7 @@
 from saltport.router.config import ConfigError, load_config
 from saltport.router.features import FeatureError, Features, TableFeatures, read_features
 from saltport.standins.profile import Profile
-from tests.sockets import ROOT, Peer, get, hit, routed
+from tests.sockets import ROOT, Peer, get, hit, run_router
 
 
 def written(folder: Path, text: str, name: str = "features.toml") -> Path:
@@ -70,14 +70,14 @@
 def test_a_router_serves_with_them(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     large = ["--with", str(ROOT / "deploy/large-fleet.toml")]
-    with routed(tmp_path, {"s1": cache}, more=large) as router:
+    with run_router(tmp_path, {"s1": cache}, more=large) as router:
         assert router.client().ask(get("r1", "a")) == b"a"
 
 
 def test_a_router_logs_what_it_answered(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
     told = written(tmp_path, f'[access_log]\nfolder = "{tmp_path}"\n')
-    with routed(tmp_path, {"s1": cache}, more=["--with", str(told)]) as router:
+    with run_router(tmp_path, {"s1": cache}, more=["--with", str(told)]) as router:
         assert router.client().ask(get("r1", "a")) == b"a"
         (path,) = tmp_path.glob("access-*.jsonl")
     assert b'"event":"stopped"' in path.read_bytes()
--- a/tests/router/test_hot_keys.py
+++ b/tests/router/test_hot_keys.py
@@ -22,7 +22,7 @@
 from saltport.router.config import ConfigError, load_config
 from saltport.router.features import FeatureError, read_features
 from saltport.standins.profile import ClassProfile, Profile, quick
-from tests.sockets import ROOT, Peer, bulk, eventually, get, hit, http_answer, routed
+from tests.sockets import ROOT, Peer, bulk, eventually, get, hit, http_answer, run_router
 
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
 FEATURES = '[hot_keys]\nfill = "FILL"\n'
@@ -119,7 +119,7 @@
     nodes = {f"s{i}": Node() for i in range(4)}
     origin = Peer(lambda _, words: http_answer(200, b"receipt"), is_http=True)
     peers = {name: node.peer for name, node in nodes.items()}
-    with routed(tmp_path, peers, origin, more=hot_features(tmp_path)) as router:
+    with run_router(tmp_path, peers, origin, more=hot_features(tmp_path)) as router:
         slow = nodes["s2"]
         slow.let_go.clear()
         client = router.client()
@@ -139,7 +139,7 @@
 def test_write_is_answered_in_its_time_though_a_node_never_says_anything(tmp_path: Path) -> None:
     nodes = {f"s{i}": Node() for i in range(3)}
     origin = Peer(lambda _, words: http_answer(200, b"receipt"), is_http=True)
-    with routed(
+    with run_router(
         tmp_path, {name: node.peer for name, node in nodes.items()}, origin, more=hot_features(tmp_path)
     ) as router:
         nodes["s1"].let_go.clear()
@@ -163,7 +163,7 @@
 def test_failed_write_has_its_answer_at_once(tmp_path: Path) -> None:
     node = Node()
     origin = Peer(lambda _, words: http_answer(500), is_http=True)
-    with routed(tmp_path, {"s0": node.peer}, origin, more=hot_features(tmp_path)) as router:
+    with run_router(tmp_path, {"s0": node.peer}, origin, more=hot_features(tmp_path)) as router:
         client = router.client()
         assert client.ask(bulk(b"KV.SET", b"k", b"w1", b"c=once,t=acme,d=1500", b"v")).startswith(b"-ERR")
         eventually(lambda: any(words[0] == b"DEL" for words in node.words), "it may have run: it is voided")
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -32,7 +32,7 @@
 from saltport.router.host import RouterHost
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.pool import Pool
-from tests.sockets import MISS, PATIENCE_S, Peer, hit
+from tests.sockets import MISS, TIMEOUT_S, Peer, hit
 
 MS = 1_000_000
 PATIENCE_NS = 30 * MS
@@ -81,7 +81,7 @@
     async def run() -> list[AttemptEnded]:
         loop = asyncio.get_running_loop()
         settings = Settings(classes=(RequestClass("get", aim=NS_PER_S, deadline=20 * NS_PER_S),))
-        pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, settings, 1, pool, 100)
         pool.touched = host.touched
         decisions = Decisions()
@@ -89,7 +89,7 @@
         servers = tuple(Server(name) for name in peers)
         addresses = {name: ("127.0.0.1", peer.port) for name, peer in peers.items()}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, servers), addresses))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await scene(host, decisions)
         pool.close()
         return decisions.ends
@@ -117,13 +117,13 @@
 
     def _handle(self, connection: Any, _: list[bytes]) -> None:
         if self._after is not None:
-            assert self._after.wait(PATIENCE_S)
+            assert self._after.wait(TIMEOUT_S)
         connection.sendall(self._answer)
         self.written.set()
 
 
 def block(until: threading.Event) -> None:
-    assert until.wait(PATIENCE_S)
+    assert until.wait(TIMEOUT_S)
     time.sleep(BLOCK_S)  # far over the patience
 
 
--- a/tests/router/test_limits.py
+++ b/tests/router/test_limits.py
@@ -19,8 +19,8 @@
 from saltport.downstream.clients import COMMAND_PROGRESS_TIMEOUT_S, SWEEP_INTERVAL_S
 from tests.sockets import (
     FACTS,
-    PATIENCE_S,
     ROOT,
+    TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
@@ -32,7 +32,7 @@
     http_answer,
     put,
     reset,
-    routed,
+    run_router,
 )
 
 LONG = bytes(range(256)) * 4096 * 2  # 2 MiB
@@ -45,7 +45,7 @@
         return b""
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         with contextlib.suppress(ConnectionResetError):
             assert client.ask(get("l1")).startswith(b"cut off")
@@ -63,7 +63,7 @@
         return hit(LONG)
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("slow") + get("l1", "long"))
         assert client.answer() == b"slow"
@@ -72,7 +72,7 @@
 
 def test_many_long_values_for_clients_that_never_read_stay_within_memory(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(LONG * 2))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         before = router.memory_kb()
         clients = [router.client() for _ in range(15)]  # as many as may have an attempt at one server
         for i, client in enumerate(clients):
@@ -88,7 +88,7 @@
     origin = Peer(lambda _, message: http_answer(200, b"%d" % len(message[3])), True)
     limits = {"cores": 1.0, "memory_mb": 128, "sockets": 256}
     value = bytes(4 << 20)
-    with routed(tmp_path, {}, origin, limits=limits) as router:
+    with run_router(tmp_path, {}, origin, limits=limits) as router:
         stuck = [router.client() for _ in range(3)]
         for i, client in enumerate(stuck):
             client.send(put(f"stuck{i}", value)[:1_000_000])
@@ -103,7 +103,7 @@
         for writer in writers:
             writer.start()
         for writer in writers:
-            writer.join(PATIENCE_S)
+            writer.join(TIMEOUT_S)
         assert answers == [b"%d" % len(value)] * 12
         assert router.memory_kb() < 128 * 1024
 
@@ -111,7 +111,7 @@
 def test_clients_that_only_connect_leave_room_for_others_and_for_servers(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
     limits = {"cores": 1.0, "memory_mb": 192, "sockets": 96}
-    with routed(tmp_path, {"s1": cache}, limits=limits) as router:
+    with run_router(tmp_path, {"s1": cache}, limits=limits) as router:
         crowd = [router.client() for _ in range(150)]
         client = router.client()
         assert client.ask(get("r1")) == b"r1"
@@ -126,7 +126,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         begun = time.monotonic()
         silent, once, slow = router.client(), router.client(), router.client()
         slow.send(get("slow", d=15_000))
@@ -139,7 +139,7 @@
 
 
 def test_command_that_is_never_finished_gets_an_error_in_time(tmp_path: Path) -> None:
-    with routed(tmp_path, {}) as router:
+    with run_router(tmp_path, {}) as router:
         begun = time.monotonic()
         halves = [router.client() for _ in range(3)]
         for client, cut in zip(halves, (3, 30, -2), strict=True):
@@ -157,7 +157,7 @@
 
 def test_deep_pipeline_is_answered_in_order(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(b"".join(get(f"r{i}", f"k{i}", 15_000) for i in range(600)))
         assert [client.answer() for _ in range(600)] == [b"r%d" % i for i in range(600)]
@@ -170,7 +170,7 @@
         return None
 
     first, second = Peer(answer), Peer(answer)
-    with routed(tmp_path, {"s1": first, "s2": second}) as router:
+    with run_router(tmp_path, {"s1": first, "s2": second}) as router:
         client = router.client()
         for i in range(20):
             assert client.ask(get(f"r{i}", f"k{i}")) in (b"r%d" % i, b"-BUSY")
@@ -200,7 +200,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         slow = router.client()
         stop, lost, served = threading.Event(), list[str](), list[str]()
         threads = [
@@ -215,10 +215,10 @@
         late = router.client()  # it still accepts for a while
         assert late.ask(get("late")) == b"late"
         assert slow.answer() == b"taken"
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
         stop.set()
         for thread in threads:
-            thread.join(PATIENCE_S)
+            thread.join(TIMEOUT_S)
         assert not lost
         assert slow.at_end()
 
@@ -227,16 +227,18 @@
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
-        release.wait(PATIENCE_S)
+        release.wait(TIMEOUT_S)
         return hit(b"old")
 
     old, new = Peer(answer), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with run_router(tmp_path, {"s1": old}) as router:
         busy = router.client()
         busy.send(get("r0", d=15_000))
         eventually(lambda: old.seen, "the attempt")
         moved = DiscoveryPeer([entry(new, "s2")])
-        router.reload(json.dumps({**router.told(), "discovery": f"127.0.0.1:{moved.peer.port}"}))
+        router.reload(
+            json.dumps({**router.read_configuration(), "discovery": f"127.0.0.1:{moved.peer.port}"})
+        )
         eventually(lambda: len(moved.peer.seen) >= 2, "the list, and a watch at the new address")
         assert router.client().ask(get("r1")) == b"new"
         moved.change(entry(new, "s2", lifecycle="draining"), entry(old, "s3"))
@@ -251,7 +253,7 @@
 @pytest.mark.parametrize("text", ["{nonsense", "{}", '{"listen":"127.0.0.1:1","discovery":"nowhere"}'])
 def test_reload_of_what_cannot_be_read_leaves_the_old_configuration(tmp_path: Path, text: str) -> None:
     first, second = Peer(lambda _, words: hit(b"first")), Peer(lambda _, words: hit(b"second"))
-    with routed(tmp_path, {"s1": first}) as router:
+    with run_router(tmp_path, {"s1": first}) as router:
         router.reload(text)
         assert router.client().ask(get("r0")) == b"first"
         router.discovery.change(entry(first, "s1", lifecycle="draining"), entry(second, "s2"))
@@ -283,7 +285,7 @@
         env=environ,
         capture_output=True,
         text=True,
-        timeout=PATIENCE_S,
+        timeout=TIMEOUT_S,
         check=False,
     )
     assert result.returncode != 0
--- a/tests/router/test_memcached.py
+++ b/tests/router/test_memcached.py
@@ -15,23 +15,23 @@
     Packet,
     Status,
 )
-from tests.binary import FRONT, Binary, Store, front
+from tests.binary import MEMCACHED_FEATURE, MemcachedClient, OriginStore, run_memcached_router
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Peer,
     eventually,
     get,
     hit,
-    routed,
+    run_router,
     start_router,
 )
 
 
 @pytest.mark.parametrize("shared", [True, False])
 def test_a_real_library_reads_writes_and_deletes(tmp_path: Path, shared: bool) -> None:
-    store = Store()
+    store = OriginStore()
     store.values = {b"a": b"one", b"long": b"x" * 200_000}
-    with front(tmp_path, store) as (router, port):
+    with run_memcached_router(tmp_path, store) as (router, port):
         client = bmemcached.Client([f"127.0.0.1:{router.port if shared else port}"])
         assert client.get("a") == "one"
         assert client.get("cold") == "fresh cold"
@@ -51,14 +51,14 @@
 
 
 def test_both_protocols_on_one_listener_see_the_same(tmp_path: Path) -> None:
-    store = Store()
+    store = OriginStore()
     store.values = {b"k": b"value"}
-    with front(tmp_path, store) as (router, port):
-        binary = Binary(router.port)
+    with run_memcached_router(tmp_path, store) as (router, port):
+        binary = MemcachedClient(router.port)
         binary.send(Packet(Opcode.GET, b"k", opaque=1))
         assert binary.answers(1) == [Packet(Opcode.GET, extras=bytes(4), value=b"value", opaque=1)]
         assert router.client().ask(get("r1", "k")) == b"value"
-        alone = Binary(port)
+        alone = MemcachedClient(port)
         alone.socket.sendall(b"*1\r\n$4\r\nPING\r\n")
         (answer,) = alone.answers(1)
         assert answer.status == Status.INVALID_ARGUMENTS
@@ -66,10 +66,10 @@
 
 
 def test_quiet_reads_are_answered_in_order_and_failures_are_never_silent(tmp_path: Path) -> None:
-    store = Store()
+    store = OriginStore()
     store.values = {b"k%d" % i: b"v%d" % i for i in range(1000)}
-    with front(tmp_path, store) as (_, port):
-        client = Binary(port)
+    with run_memcached_router(tmp_path, store) as (_, port):
+        client = MemcachedClient(port)
         reads = [Packet(Opcode.GETKQ, b"k%d" % i, opaque=i) for i in range(1000)]
         client.send(*reads, Packet(Opcode.GETQ, b"broken", opaque=5000), Packet(Opcode.NOOP, opaque=6000))
         told = client.answers(1002)
@@ -84,19 +84,19 @@
 
 
 def test_quit_and_a_client_gone_in_the_middle_of_a_batch(tmp_path: Path) -> None:
-    store = Store()
+    store = OriginStore()
     store.values = {b"k": b"v"}
-    with front(tmp_path, store) as (router, port):
-        client = Binary(port)
+    with run_memcached_router(tmp_path, store) as (router, port):
+        client = MemcachedClient(port)
         client.send(Packet(Opcode.GET, b"k"), Packet(Opcode.QUIT, opaque=8))
         assert [packet.opcode for packet in client.answers(2)] == [Opcode.GET, Opcode.QUIT]
         assert client.at_end()
         held = router.descriptors()
-        leaver = Binary(port)
+        leaver = MemcachedClient(port)
         leaver.send(*[Packet(Opcode.GETQ, b"cold%d" % i) for i in range(200)])
         leaver.socket.close()
         eventually(lambda: router.descriptors() <= held + 20, "the client's connection is closed")
-        again = Binary(port)
+        again = MemcachedClient(port)
         again.send(Packet(Opcode.GET, b"k"))
         assert again.answers(1)[0].value == b"v"
 
@@ -113,10 +113,10 @@
 def test_what_cannot_be_followed_gets_an_error_and_a_close_and_harms_nobody(
     tmp_path: Path, junk: bytes
 ) -> None:
-    store = Store()
+    store = OriginStore()
     store.values = {b"k": b"v"}
-    with front(tmp_path, store) as (_, port):
-        good, bad = Binary(port), Binary(port)
+    with run_memcached_router(tmp_path, store) as (_, port):
+        good, bad = MemcachedClient(port), MemcachedClient(port)
         bad.send(Packet(Opcode.GET, b"k", opaque=1))
         bad.socket.sendall(junk)
         first, last = bad.answers(2)
@@ -142,17 +142,17 @@
 )
 def test_slips_are_told_with_their_place(tmp_path: Path, line: str, words: str) -> None:
     name = line.split(" ", maxsplit=1)[0]
-    kept = [old for old in FRONT.format(port=1).splitlines() if not old.startswith(name + " ")]
+    kept = [old for old in MEMCACHED_FEATURE.format(port=1).splitlines() if not old.startswith(name + " ")]
     path = tmp_path / "memcached.toml"
     path.write_text("\n".join([*kept, line]))
-    with routed(tmp_path, {"s1": Peer(lambda _, words: hit(words[2]))}) as router:
-        told = router.told()
+    with run_router(tmp_path, {"s1": Peer(lambda _, words: hit(words[2]))}) as router:
+        told = router.read_configuration()
     config = tmp_path / "config.json"
     with pytest.raises((ConfigError, FeatureError)) as raised:
         load_config({"LB_CONFIG": str(config)}, [path])
     assert words in str(raised.value)
     process = start_router(tmp_path, told, ["--with", str(path)])
-    _, log = process.communicate(timeout=PATIENCE_S)
+    _, log = process.communicate(timeout=TIMEOUT_S)
     assert (process.returncode, words in log) == (2, True)
 
 
--- a/tests/router/test_order.py
+++ b/tests/router/test_order.py
@@ -11,11 +11,11 @@
 import pytest
 
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, Status, encode
-from tests.binary import Binary, Store, front
-from tests.sockets import PATIENCE_S, Client, Routed, bulk, eventually, get
+from tests.binary import MemcachedClient, OriginStore, run_memcached_router
+from tests.sockets import TIMEOUT_S, Client, RunningRouter, bulk, eventually, get
 
 
-class Origin(Store):
+class Origin(OriginStore):
     """One whose writes may be held up, or break."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self.pause: Callable[[], float] = lambda: 0.0
 
     def _origin(self, connection: socket.socket, message: list[bytes]) -> bytes:
-        assert self.let_go.wait(PATIENCE_S)
+        assert self.let_go.wait(TIMEOUT_S)
         if pause := self.pause():
             threading.Event().wait(pause)
         if message[0] == b"PUT" and self.fails(message[3]):
@@ -52,8 +52,8 @@
 class Wire:
     """One way of saying the same, and of reading what was said."""
 
-    def __init__(self, router: Routed, binary: bool) -> None:
-        self.packets = Binary(router.port) if binary else None
+    def __init__(self, router: RunningRouter, binary: bool) -> None:
+        self.packets = MemcachedClient(router.port) if binary else None
         self.client = router.client()
         self._count = 0
         self._prefix = random.Random(router.port).randbytes(4).hex()
@@ -96,13 +96,13 @@
         return told[Status(packet.status)] if packet.status else packet.value or b"stored"
 
 
-Played = tuple[Origin, Wire, Routed]
+Played = tuple[Origin, Wire, RunningRouter]
 
 
 @pytest.fixture(params=["resp", "memcached"])
 def played(request: pytest.FixtureRequest, tmp_path: Path) -> Iterator[Played]:
     origin = Origin()
-    with front(tmp_path, origin) as (router, _):
+    with run_memcached_router(tmp_path, origin) as (router, _):
         yield origin, Wire(router, request.param == "memcached"), router
         origin.let_go.set()
 
@@ -129,7 +129,7 @@
     wire.send(wire.write("other", b"x"))
     eventually(lambda: origin.asked(b"other"), "another key's is too")
     assert origin.asked(b"k") == {b"0"}, "and no second one of k"
-    assert router.shows("current") == 201
+    assert router.status_value("current") == 201
     origin.let_go.set()
     assert wire.answers(201) == [b"stored"] * 201
     # On a busy machine a keyed write whose answer is late is sent once more, and takes no second effect.
--- a/tests/router/test_outliers.py
+++ b/tests/router/test_outliers.py
@@ -12,15 +12,15 @@
 
 from saltport.admin.client import ask
 from saltport.cli import cli
-from tests.sockets import Peer, Routed, eventually, get, hit, reset, routed
+from tests.sockets import Peer, RunningRouter, eventually, get, hit, reset, run_router
 
 
-def outliers(router: Routed) -> dict[str, Any]:
+def outliers(router: RunningRouter) -> dict[str, Any]:
     told: Any = ask(router.admin, "/state")["outliers"]
     return dict(told)
 
 
-def read_all(router: Routed, name: str, count: int = 40) -> None:
+def read_all(router: RunningRouter, name: str, count: int = 40) -> None:
     client = router.client()
     for i in range(count):
         assert client.ask(get(f"{name}{i}", f"k{i}", d=15_000)) == f"{name}{i}".encode()
@@ -30,7 +30,7 @@
 def test_dead_server_is_ejected_with_its_reason_and_comes_back_by_a_trial(tmp_path: Path) -> None:
     dying, good = Peer(lambda _, words: hit(words[2])), Peer(lambda _, words: hit(words[2]))
     other = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": dying, "s2": good, "s3": other}) as router:
+    with run_router(tmp_path, {"s1": dying, "s2": good, "s3": other}) as router:
         read_all(router, "a", 5)
         assert outliers(router)["ejected"] == 0
         dying.close()  # idle connections stay and are served; new ones are refused
@@ -71,7 +71,7 @@
         return hit(words[2]) if seen % 4 else reset(connection)
 
     bad, good = Peer(flaky), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": bad, "s2": good}) as router:
+    with run_router(tmp_path, {"s1": bad, "s2": good}) as router:
         read_all(router, "a", 120)
         assert outliers(router)["ejected"] == 0
         assert len(bad.seen) > 30
@@ -80,7 +80,7 @@
 def test_routers_own_network_out_leaves_all_servers_in_use(tmp_path: Path) -> None:
     peers = {f"s{i}": Peer(lambda _, words: hit(words[2])) for i in range(4)}
     origin = Peer(lambda *_: b"HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\n", is_http=True)
-    with routed(tmp_path, peers, origin) as router:
+    with run_router(tmp_path, peers, origin) as router:
         read_all(router, "a")
         for peer in peers.values():
             peer.handler = lambda connection, _: reset(connection)
--- a/tests/router/test_overload.py
+++ b/tests/router/test_overload.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from saltport.admin.client import ask
-from tests.sockets import Peer, eventually, get, hit, routed
+from tests.sockets import Peer, eventually, get, hit, run_router
 
 
 def features(folder: Path) -> list[str]:
@@ -45,7 +45,7 @@
 
 def test_starved_router_sheds_and_recovers(tmp_path: Path) -> None:
     caches = {f"s{i}": Peer(lambda _, words: hit(words[2])) for i in range(3)}
-    with routed(tmp_path, caches, more=features(tmp_path)) as router:
+    with run_router(tmp_path, caches, more=features(tmp_path)) as router:
         client = router.client()
 
         def state() -> dict[str, Any]:
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -26,7 +26,7 @@
 from tests.sockets import (
     FACTS,
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Peer,
     bulk,
     entry,
@@ -36,7 +36,7 @@
     http_answer,
     put,
     reset,
-    routed,
+    run_router,
 )
 
 
@@ -47,7 +47,7 @@
 def test_read_that_misses_goes_to_the_origin(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: MISS)
     origin = Peer(lambda _, words: http_answer(200, b"fetched", "Server-Load: latency_ms=2,queue=1"), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(get("id1", "p kg".replace(" ", "/"), 4321)) == b"fetched"
         (message,) = origin.seen
         assert message[:2] == [b"GET", b"/p/kg"]
@@ -60,7 +60,7 @@
 def test_write_goes_to_the_origin_with_its_value(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"wrong"))
     origin = Peer(lambda _, message: http_answer(200, b"receipt " + message[3]), True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(put("w1", b"\r\n$bytes\x00")) == b"receipt \r\n$bytes\x00"
         assert origin.seen[0][0] == b"PUT"
         assert b"k=5c" in origin.seen[0][2]
@@ -74,11 +74,11 @@
         if message[1].startswith(b"/bad"):
             return http_answer(500)
         if message[1].startswith(b"/held"):
-            held.wait(PATIENCE_S)
+            held.wait(TIMEOUT_S)
         return http_answer(200, message[1][1:])
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         for i in range(60):
             assert client.ask(get(f"r{i}", f"k{i}")) == b"k%d" % i
@@ -103,7 +103,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("slow") + get("fast") + bulk(b"PING"))
         assert [client.answer() for _ in range(3)] == [b"slow", b"fast", b"+PONG"]
@@ -123,7 +123,7 @@
 ) -> None:
     answers = [http_answer(status, b"", header), http_answer(200, b"done")]
     origin = Peer(lambda _, message: answers[min(len(origin.seen), 2) - 1], True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         answer = router.client().ask(put("w1", cls="once"))
         assert answer == (b"done" if tries_again else b"-ERR failed")
         assert len(origin.seen) == (2 if tries_again else 1)
@@ -131,7 +131,7 @@
 
 def test_unsafe_write_whose_connection_breaks_may_have_run(tmp_path: Path) -> None:
     origin = Peer(lambda connection, _: reset(connection), True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         assert router.client().ask(put("w1", cls="once")) == b"-ERR failed"
         assert len(origin.seen) == 1
 
@@ -145,7 +145,7 @@
         )
 
     bad, good = Peer(break_off), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": bad, "s2": good}) as router:
+    with run_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for name in ("error", "junk", "reset"):
             for i in range(30):  # keys enough that each cache is asked first for some
@@ -157,7 +157,7 @@
 
 def test_silent_server_costs_an_attempt_its_time_and_nothing_more(tmp_path: Path) -> None:
     silent = Peer(lambda _, words: None)
-    with routed(tmp_path, {"s1": silent}) as router:
+    with run_router(tmp_path, {"s1": silent}) as router:
         client = router.client()
         begun = time.monotonic()
         assert client.ask(get("r1", d=300)).startswith(b"-BUSY ")
@@ -168,7 +168,7 @@
 def test_read_whose_server_refuses_the_dial_goes_to_another_at_once(tmp_path: Path) -> None:
     dead, good = Peer(lambda _, words: None), Peer(lambda _, words: hit(words[2]))
     dead.close()
-    with routed(tmp_path, {"s1": dead, "s2": good}) as router:
+    with run_router(tmp_path, {"s1": dead, "s2": good}) as router:
         client = router.client()
         for i in range(20):  # keys enough that each cache is asked first for some
             assert client.ask(get(f"r{i}", f"k{i}", d=15_000)) == b"r%d" % i
@@ -176,7 +176,7 @@
 
 def test_server_that_breaks_its_connections_is_left_alone(tmp_path: Path) -> None:
     bad, good = Peer(lambda connection, _: reset(connection)), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": bad, "s2": good}) as router:
+    with run_router(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for i in range(60):
             assert client.ask(get(f"r{i}", f"k{i}", d=15_000)) == b"r%d" % i
@@ -185,7 +185,7 @@
 
 def test_server_that_turns_reads_away_is_asked_less(tmp_path: Path) -> None:
     full, good = Peer(lambda _, words: b"-BUSY\r\n"), Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": full, "s2": good}) as router:
+    with run_router(tmp_path, {"s1": full, "s2": good}) as router:
         client = router.client()
         answers = [client.ask(get(f"r{i}", f"k{i}", d=15_000)) for i in range(100)]
         assert all(a == b"r%d" % i or a.startswith(b"-BUSY ") for i, a in enumerate(answers))
@@ -203,7 +203,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("first", d=200)).startswith(b"-BUSY")
         release.set()
@@ -215,7 +215,7 @@
 
 def test_answer_that_nobody_asked_for_is_dropped_with_its_connection(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (hit(b"stray") if words[2] == b"r0" else b""))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert [client.ask(get(f"r{i}")) for i in range(3)] == [b"r0", b"r1", b"r2"]
         assert cache.accepted >= 2
@@ -223,7 +223,7 @@
 
 def test_client_that_takes_its_answers_late_is_not_idle(tmp_path: Path) -> None:
     value = b"v" * (60 << 10)
-    with routed(tmp_path, {"s1": Peer(lambda _, words: hit(value))}) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda _, words: hit(value))}) as router:
         client = router.client()
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         client.send(b"".join(get(f"a{i}") for i in range(4)))
@@ -242,28 +242,28 @@
     def answer(connection: socket.socket, words: list[bytes]) -> bytes | None:
         connection.sendall(hit(words[2]))
         if words[2] == b"last":
-            connection.settimeout(PATIENCE_S)
+            connection.settimeout(TIMEOUT_S)
             if not connection.recv(1, socket.MSG_PEEK):
                 ended.set()
         return None
 
     cache = Peer(answer)
     ceilings = {**FACTS["ceilings"], "idleCloseNs": 10**9}
-    with routed(tmp_path, {"s1": cache}, facts={"ceilings": ceilings}) as router:
+    with run_router(tmp_path, {"s1": cache}, facts={"ceilings": ceilings}) as router:
         client = router.client()
         for i in range(30):
             assert client.ask(get(f"r{i}", f"k{i}")) == b"r%d" % i
         assert cache.accepted <= 10  # one, and one more whenever this machine holds the test up
         begun = time.monotonic()
         assert client.ask(get("last")) == b"last"
-        assert ended.wait(PATIENCE_S)
+        assert ended.wait(TIMEOUT_S)
         assert time.monotonic() - begun > 0.3  # not with the answer either
 
 
 @pytest.mark.parametrize("more", [b"\x00noise\r\n", b"x", hit(b"stray"), b"$3\r\nab", b"*999999999\r\n"])
 def test_good_answer_counts_whatever_stands_behind_it(tmp_path: Path, more: bytes) -> None:
     cache = Peer(lambda _, words: hit(words[2]) + (more if words[2] == b"r0" else b""))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert [client.ask(get(f"r{i}")) for i in range(3)] == [b"r0", b"r1", b"r2"]
         assert len(cache.seen) == 3
@@ -287,7 +287,7 @@
         return ahead + answer + behind if message[1] == b"/k0" else answer
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert [client.ask(get(f"r{i}", f"k{i}")) for i in range(3)] == [b"k0", b"k1", b"k2"]
         assert len(origin.seen) == 3
@@ -297,7 +297,7 @@
 def test_origin_that_changes_the_protocol_is_not_followed(tmp_path: Path) -> None:
     switch = b"HTTP/1.1 101 Switching\r\nConnection: Upgrade\r\nUpgrade: x\r\n\r\n"
     cache, origin = Peer(lambda _, words: MISS), Peer(lambda _, message: switch, True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(get("r1", d=15_000)).startswith(b"-BUSY ")
 
 
@@ -310,11 +310,11 @@
             reset(connection)
         used.add(connection)
         if words[2].startswith(b"open"):
-            together.wait(PATIENCE_S)
+            together.wait(TIMEOUT_S)
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("open1", "k1") + get("open2", "k2"))
         assert [client.answer() for _ in range(2)] == [b"open1", b"open2"]
@@ -337,7 +337,7 @@
         return http_answer(200, message[1][1:])
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         for i in range(20):
             assert client.ask(get(f"r{i}", f"k{i}", d=15_000)) == b"k%d" % i
@@ -380,7 +380,7 @@
         return http_answer(200, value) if is_origin else hit(value)
 
     async def play() -> None:
-        pool = Pool(asyncio.get_running_loop(), 8, PATIENCE_S, PATIENCE_S)
+        pool = Pool(asyncio.get_running_loop(), 8, TIMEOUT_S, TIMEOUT_S)
         connect = OriginConnection if is_origin else CacheConnection
         pool.list_server("s1", ("127.0.0.1", peer.port), connect)
         first, second = Full(), Ask()
@@ -393,7 +393,7 @@
 
     answered: list[list[bytes]] = []
     peer = Peer(answer, is_http=is_origin)
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    on_router_loop(asyncio.wait_for(play(), TIMEOUT_S))
     peer.close()
 
 
@@ -402,13 +402,13 @@
     async def play() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as listener:
-            listener.settimeout(PATIENCE_S)
-            pool = Pool(loop, 8, PATIENCE_S, PATIENCE_S)
+            listener.settimeout(TIMEOUT_S)
+            pool = Pool(loop, 8, TIMEOUT_S, TIMEOUT_S)
             pool.list_server("s1", ("127.0.0.1", listener.getsockname()[1]), CacheConnection)
             first, second = Ask(), Ask()
             pool.submit("s1", first)
             server, _ = await loop.run_in_executor(None, listener.accept)
-            server.settimeout(PATIENCE_S)
+            server.settimeout(TIMEOUT_S)
             assert await loop.run_in_executor(None, server.recv, 4096) == get("r")
             server.sendall(hit(b"first"))
             assert await first.came == (Outcome.OK, b"first")
@@ -420,10 +420,10 @@
             else:
                 server.sendall(hit(b"stray"))
             handle = connection.transport.get_extra_info("socket").fileno()
-            assert select.select([handle], [], [], PATIENCE_S)[0]
+            assert select.select([handle], [], [], TIMEOUT_S)[0]
             pool.submit("s1", second)
             other, _ = await loop.run_in_executor(None, listener.accept)
-            other.settimeout(PATIENCE_S)
+            other.settimeout(TIMEOUT_S)
             assert await loop.run_in_executor(None, other.recv, 4096) == get("r")
             other.sendall(hit(b"second"))
             assert await second.came == (Outcome.OK, b"second")
@@ -431,7 +431,7 @@
             server.close()
             other.close()
 
-    on_router_loop(asyncio.wait_for(play(), 3 * PATIENCE_S))
+    on_router_loop(asyncio.wait_for(play(), 3 * TIMEOUT_S))
 
 
 def test_gone_client_leaves_nothing_behind(tmp_path: Path) -> None:
@@ -442,7 +442,7 @@
         return hit(words[2])
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("left"))
         eventually(lambda: cache.seen, "the attempt")
@@ -453,7 +453,7 @@
 
 def test_drained_server_gets_nothing_new(tmp_path: Path) -> None:
     old, new = Peer(lambda _, words: hit(b"old")), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with run_router(tmp_path, {"s1": old}) as router:
         client = router.client()
         assert client.ask(get("r0")) == b"old"
         router.discovery.change(entry(old, "s1", lifecycle="draining"), entry(new, "s2"))
@@ -469,11 +469,11 @@
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
-        release.wait(PATIENCE_S)
+        release.wait(TIMEOUT_S)
         return hit(b"old")
 
     old, new = Peer(answer), Peer(lambda _, words: hit(b"new"))
-    with routed(tmp_path, {"s1": old}) as router:
+    with run_router(tmp_path, {"s1": old}) as router:
         client = router.client()
         client.send(b"".join(get(f"r{i}", f"k{i}", 15_000) for i in range(40)))
         eventually(lambda: len(old.seen) >= PER_SERVER, "as many attempts as a server may have at a time")
@@ -489,7 +489,7 @@
 
 def test_server_is_found_at_its_new_address(tmp_path: Path) -> None:
     first, second = Peer(lambda _, words: hit(b"first")), Peer(lambda _, words: hit(b"second"))
-    with routed(tmp_path, {"s1": first}) as router:
+    with run_router(tmp_path, {"s1": first}) as router:
         client = router.client()
         assert client.ask(get("r0")) == b"first"
         router.discovery.change(entry(second, "s1"))
@@ -508,7 +508,7 @@
         return hit(b"first")
 
     first, second = Peer(answer), Peer(lambda _, words: hit(b"second"))
-    with routed(tmp_path, {"s1": first}) as router:
+    with run_router(tmp_path, {"s1": first}) as router:
         busy = router.client()
         busy.send(get("r0", d=15_000))
         eventually(lambda: first.seen, "the attempt")
@@ -533,8 +533,8 @@
 )
 def test_bad_answers_of_discovery_change_nothing(tmp_path: Path, junk: bytes) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
-        router.discovery.junk = junk
+    with run_router(tmp_path, {"s1": cache}) as router:
+        router.discovery.raw_answer = junk
         asked = len(router.discovery.peer.seen)
         router.discovery.change(entry(cache, "s1"))
         eventually(lambda: len(router.discovery.peer.seen) > asked + 2, "more calls of discovery")
@@ -543,7 +543,7 @@
 
 def test_known_list_serves_while_discovery_is_silent(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {}, known=[entry(cache, "s1")], discovery_says=b"") as router:
+    with run_router(tmp_path, {}, known=[entry(cache, "s1")], discovery_says=b"") as router:
         assert router.client().ask(get("r1")) == b"r1"
 
 
@@ -570,7 +570,7 @@
     tmp_path: Path, data: bytes, words: bytes, closes: bool
 ) -> None:
     cache = Peer(lambda _, message: hit(b"reached"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         answer = client.ask(data)
         assert answer.startswith(b"-ERR")
@@ -584,7 +584,7 @@
 
 def test_unknown_tenant_is_served_as_of_none(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         assert router.client().ask(bulk(b"KV.GET", b"k", b"id", b"c=get,t=nobody,d=5000")) == b"served"
 
 
@@ -596,7 +596,7 @@
         return hit(b"served")
 
     cache = Peer(answer)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         first, second = router.client(), router.client()
         first.send(get("same"))
         eventually(lambda: cache.seen, "the attempt")
@@ -608,7 +608,7 @@
 
 def test_command_cut_off_midway_reaches_no_server(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(b"served"))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.send(get("r1")[:-5])
         client.close()
@@ -618,7 +618,7 @@
 
 def test_command_in_single_bytes_is_read_whole(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[1]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         for byte in get("r1", "slowly"):
@@ -632,7 +632,7 @@
 
     slow = Peer(told(b"$23\r\nlatency_ms=9500,queue=2"))
     good, noisy = Peer(told(b"$20\r\nqueue=2,latency_ms=7")), Peer(told(b"$7\r\nlatency"))
-    with routed(tmp_path, {"slow": slow, "good": good, "noisy": noisy}) as router:
+    with run_router(tmp_path, {"slow": slow, "good": good, "noisy": noisy}) as router:
         client = router.client()
         keys = [f"k{i}" for i in range(60)]
         for key in keys:
@@ -654,11 +654,11 @@
 
     def serve(_: socket.socket, words: list[bytes]) -> bytes:
         if words[1] == b"slow":
-            late.wait(PATIENCE_S)
+            late.wait(TIMEOUT_S)
         return hit(words[2])
 
     cache = Peer(serve)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("a1")) == b"a1"
         assert client.ask(get("a2", "slow", 60)).startswith(b"-BUSY"), "final at once, though it still runs"
@@ -672,14 +672,14 @@
 def test_late_answers_keep_nobody_from_a_silent_server() -> None:
     async def play() -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         pool.list_server("s1", ("127.0.0.1", peer.port), CacheConnection)
         for _ in range(2 * PER_SERVER):
             exchange = Ask()
             pool.submit("s1", exchange)
             while exchange.connection is None:
                 await asyncio.sleep(0.001)
-            exchange.leave(Outcome.TIMEOUT, PATIENCE_S)
+            exchange.leave(Outcome.TIMEOUT, TIMEOUT_S)
             assert await exchange.came == (Outcome.TIMEOUT, None)
             server = pool._servers["s1"]
             assert server.held <= PER_SERVER
@@ -692,15 +692,15 @@
         assert pool._held == 0
 
     never = threading.Event()
-    peer = Peer(lambda *_: (never.wait(PATIENCE_S) and b"") or b"")
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    peer = Peer(lambda *_: (never.wait(TIMEOUT_S) and b"") or b"")
+    on_router_loop(asyncio.wait_for(play(), TIMEOUT_S))
     never.set()
     peer.close()
 
 
 def test_late_answer_that_never_comes_ends_with_its_connection() -> None:
     async def play() -> None:
-        pool = Pool(asyncio.get_running_loop(), 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(asyncio.get_running_loop(), 64, TIMEOUT_S, TIMEOUT_S)
         pool.list_server("s1", ("127.0.0.1", peer.port), CacheConnection)
         exchange = Ask()
         pool.submit("s1", exchange)
@@ -714,7 +714,7 @@
         pool.close()
 
     never = threading.Event()
-    peer = Peer(lambda *_: (never.wait(PATIENCE_S) and b"") or b"")
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    peer = Peer(lambda *_: (never.wait(TIMEOUT_S) and b"") or b"")
+    on_router_loop(asyncio.wait_for(play(), TIMEOUT_S))
     never.set()
     peer.close()
--- a/tests/router/test_second_connection.py
+++ b/tests/router/test_second_connection.py
@@ -11,7 +11,7 @@
 from saltport.decisions import Outcome
 from saltport.upstream.second_connection import LONGEST_WAIT_S, MEETINGS, SecondConnection
 from tests.router.test_descriptors import Read, Servers, pool_without_sweep, run
-from tests.sockets import PATIENCE_S, Peer, eventually, get, hit, routed
+from tests.sockets import TIMEOUT_S, Peer, eventually, get, hit, run_router
 
 IDLE_S, ANSWER_S = 6.0, 0.02
 
@@ -25,7 +25,7 @@
     assert second.wait_s(3 * IDLE_S) == 2 * ANSWER_S, "they don't any more"
 
 
-@pytest.mark.parametrize(("waits_s", "connections"), [(PATIENCE_S, 1), (0.0, 2)])
+@pytest.mark.parametrize(("waits_s", "connections"), [(TIMEOUT_S, 1), (0.0, 2)])
 def test_read_that_meets_another_waits_for_the_only_connection_as_long_as_it_pays(
     monkeypatch: pytest.MonkeyPatch, waits_s: float, connections: int
 ) -> None:
@@ -52,11 +52,11 @@
 
     def serve(_: object, words: list[bytes]) -> bytes:
         if words[1] == b"silent":
-            let_go.wait(PATIENCE_S)
+            let_go.wait(TIMEOUT_S)
         return hit(words[2])
 
     cache = Peer(serve)
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         held, client = router.client(), router.client()
         assert client.ask(get("a0")) == b"a0"
         held.send(get("a1", "silent"))
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -15,7 +15,7 @@
 from benchmarks.scale.data_path import busiest, fit, measure, share_over, skew, zipf_shares
 from saltport.upstream.pool import PER_SERVER
 from saltport.wire.resp import MAX_VALUE
-from tests.sockets import MISS, Peer, bulk, get, hit, http_answer, routed
+from tests.sockets import MISS, Peer, bulk, get, hit, http_answer, run_router
 
 TOO_LONG = b"v" * (MAX_VALUE + 1)
 
@@ -31,7 +31,7 @@
 
     cache = Peer(serve)
     origin = Peer(lambda _, message: http_answer(200, TOO_LONG), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin=origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin=origin) as router:
         client = router.client()
         for key in ("long", "missing"):  # too long at the cache, and at the origin
             answer = client.ask(get(f"id-{key}", key))
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Scripted peers on loopback sockets, and the real router started as the deploy file says."""
+"""Scripted servers on loopback sockets, and the real router as a process started as by the deploy file."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 from saltport.harness import reserve_port
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE_S = 20.0  # a busy machine's; nothing is expected to take long
+TIMEOUT_S = 20.0  # generous for a busy machine; no single step is expected to take long
 
 FACTS: dict[str, Any] = {
     "balancers": 1,
@@ -50,23 +50,24 @@
 
 
 def free_port() -> int:
-    """A port for a process that is started next; nobody else on this machine is given it meanwhile."""
-    held = reserve_port()
-    _reserved.append(held)
-    return int(held.getsockname()[1])
+    """Return a free port for a process to be started; it stays reserved, so no other process is given it."""
+    reserved = reserve_port()
+    _reserved.append(reserved)
+    return int(reserved.getsockname()[1])
 
 
 def eventually(check: Callable[[], Any], what: str) -> Any:
-    """Wait until `check` gives something true."""
-    end = time.monotonic() + PATIENCE_S
+    """Wait until `check` returns a true value, and return it; `what` describes it in the failure message."""
+    end = time.monotonic() + TIMEOUT_S
     while time.monotonic() < end:
-        if found := check():
-            return found
+        if result := check():
+            return result
         time.sleep(0.01)
-    raise AssertionError(f"never came: {what}")
+    raise AssertionError(f"timed out waiting: {what}")
 
 
 def bulk(*words: bytes) -> bytes:
+    """Encode a RESP command: an array of bulk strings."""
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
 
 
@@ -79,20 +80,21 @@
 
 
 def hit(value: bytes) -> bytes:
+    """Encode a cache server's answer with this value."""
     return b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$22\r\nlatency_ms=1.5,queue=2\r\n" % (len(value), value)
 
 
-def serving() -> Peer:
-    """A cache that answers each read with its id."""
+def echo_cache() -> Peer:
+    """Return a cache server that answers each read with the request id as value."""
     return Peer(lambda _, words: hit(words[2]))
 
 
-def slow_until(let_go: threading.Event) -> Peer:
-    """The same, but reads of the key `slow` wait until they are let go."""
+def echo_cache_with_slow_key(release: threading.Event) -> Peer:
+    """Return an `echo_cache` that answers reads of the key `slow` only once `release` is set."""
 
     def serve(_: socket.socket, words: list[bytes]) -> bytes:
         if words[1] == b"slow":
-            let_go.wait(PATIENCE_S)
+            release.wait(TIMEOUT_S)
         return hit(words[2])
 
     return Peer(serve)
@@ -102,6 +104,7 @@
 
 
 def http_answer(status: int, body: bytes = b"", *headers: str) -> bytes:
+    """Encode an HTTP response of the origin or of discovery."""
     lines = "".join(f"{line}\r\n" for line in headers)
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{lines}\r\n".encode() + body
 
@@ -110,10 +113,10 @@
 
 
 class Peer:
-    """A server on loopback: a thread for each connection, and a handler that answers each message.
+    """A server on loopback with a thread for each connection and a handler that answers each message.
 
-    The handler gets the connection and the message's words (of a command, or of an HTTP request: method,
-    target, head, body) and returns the answer; None: it has dealt with it itself.
+    The handler gets the connection and the words of the message (of a RESP command, or of an HTTP request:
+    method, target, head, body). It returns the answer, or None if it has answered by itself.
     """
 
     def __init__(self, handler: Handler, is_http: bool = False, port: int = 0) -> None:
@@ -170,18 +173,20 @@
 
     def close(self) -> None:
         with suppress(OSError):  # closed before
-            self._listener.shutdown(socket.SHUT_RDWR)  # else the thread in accept would take one more
+            # Otherwise the thread blocked in accept would take one more connection.
+            self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
 
 
 def reset(connection: socket.socket) -> bytes:
-    """Break a connection as a process that dies does."""
+    """Reset a connection with RST, as the kernel does for a process that dies with unread data."""
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
     connection.shutdown(socket.SHUT_RD)
     raise OSError("reset")
 
 
 def entry(peer: Peer, name: str, kind: str = "std", lifecycle: str = "up") -> dict[str, Any]:
+    """Return the discovery entry of an instance at this server's address."""
     return {
         "instanceId": name,
         "hostPort": f"127.0.0.1:{peer.port}",
@@ -195,15 +200,16 @@
 
 
 class DiscoveryPeer:
-    """Discovery's agent: the list that it is given, and each later change to whoever watches."""
+    """The discovery agent: serves the given list of instances, and each later change to watching requests."""
 
     def __init__(self, instances: list[dict[str, Any]]) -> None:
         self.generation, self.instances = 1, instances
         self.changed = threading.Condition()
-        self.junk: bytes | None = None
+        self.raw_answer: bytes | None = None
         self.peer = Peer(self._answer, is_http=True)
 
     def change(self, *entries: dict[str, Any]) -> None:
+        """Replace the list of instances and notify watching requests."""
         with self.changed:
             self.generation += 1
             self.instances = list(entries)
@@ -211,34 +217,34 @@
 
     def _answer(self, _: socket.socket, message: list[bytes]) -> bytes:
         target = message[1].decode()
-        if self.junk is not None:
-            return self.junk
+        if self.raw_answer is not None:
+            return self.raw_answer
         with self.changed:
-            whole = "index=" not in target
-            if not whole:
+            is_full = "index=" not in target
+            if not is_full:
                 index = int(target.split("index=")[1].split("&")[0])
                 self.changed.wait_for(lambda: self.generation != index, timeout=2)
                 entries = self.instances if self.generation != index else []
             body = {
                 "generation": self.generation,
-                "reset": whole,
-                "instances": self.instances if whole else entries,
+                "reset": is_full,
+                "instances": self.instances if is_full else entries,
             }
         return http_answer(200, json.dumps(body).encode())
 
 
 class Client:
-    """A client's connection, read with a time limit far over what anything takes."""
+    """A client connection whose reads time out after TIMEOUT_S."""
 
     def __init__(self, port: int) -> None:
-        self.socket = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE_S)
+        self.socket = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_S)
         self.stream = self.socket.makefile("rb")
 
     def send(self, data: bytes) -> None:
         self.socket.sendall(data)
 
     def answer(self) -> bytes:
-        """One answer: a bulk string's bytes, or the line as it stands; b"" at the end."""
+        """Read one answer: the bytes of a bulk string, or any other line as received; b"" at the end."""
         line: bytes = self.stream.readline()
         if line.startswith(b"$"):
             size = int(line[1:])
@@ -247,11 +253,12 @@
         return line.strip()
 
     def ask(self, data: bytes) -> bytes:
+        """Send bytes and read one answer."""
         self.send(data)
         return self.answer()
 
     def at_end(self) -> bool:
-        """Whether the router closes the connection with nothing more."""
+        """Whether the router closes the connection without sending any more bytes."""
         try:
             return self.stream.read(1) == b""
         except ConnectionResetError:
@@ -262,31 +269,33 @@
         self.socket.close()
 
     def leave(self) -> None:
-        """Close, whatever state it is in; a thread that still reads gets the end of the stream."""
+        """Close in any state; a thread that is still reading gets the end of the stream."""
         with suppress(OSError):  # closed before
             self.socket.shutdown(socket.SHUT_RDWR)
         self.close()
 
 
-class Operated:
-    """A running process of a router, as its operators see it."""
+class RouterHandle:
+    """A running router process with the operations that its operators use."""
 
     def __init__(self, process: subprocess.Popen[str], admin: Address) -> None:
         self.process, self.admin = process, admin
 
     def put(self, path: str) -> int:
-        """The status of a call."""
+        """Make an admin call and return its HTTP status."""
         return call(self.admin, "PUT", path)[0]
 
     def ban(self, server: str, state: str = "maint") -> int:
+        """Set the administrative state of a cache server and return the HTTP status of the call."""
         return self.put(server_path(server, state))
 
-    def shows(self, name: str) -> Any:
-        """One of the figures, or a part of the state."""
+    def status_value(self, name: str) -> Any:
+        """Return one entry of the router's state or statistics."""
         return {**ask(self.admin, "/state"), **ask(self.admin, "/stats")}[name]
 
     def until(self, name: str, value: Any) -> None:
-        eventually(lambda: self.shows(name) == value, f"{name} is {value}")
+        """Wait until an entry of the router's state or statistics has this value."""
+        eventually(lambda: self.status_value(name) == value, f"{name} is {value}")
 
     def terminate(self) -> None:
         self.process.send_signal(signal.SIGTERM)
@@ -299,44 +308,46 @@
         return int(status.split("VmRSS:")[1].split()[0])
 
 
-class Routed(Operated):
-    """A running router and its peers."""
+class RunningRouter(RouterHandle):
+    """A running router with its cache servers, discovery agent and clients."""
 
     def __init__(
         self, process: subprocess.Popen[str], port: int, discovery: DiscoveryPeer, folder: Path
     ) -> None:
         self.port, self.discovery, self.folder = port, discovery, folder
         self.caches: dict[str, Peer] = {}
-        """Those that a test looks at."""
+        """The cache servers that a test inspects, by name."""
         self._clients: WeakSet[Client] = WeakSet()
-        super().__init__(process, parse_address("admin_addr", self.told()["admin_addr"]))
+        super().__init__(process, parse_address("admin_addr", self.read_configuration()["admin_addr"]))
 
     def client(self) -> Client:
         client = Client(self.port)
         self._clients.add(client)
         return client
 
-    def end(self) -> None:
-        """Terminate the router, and let the clients leave: a drain lingers on each that stays."""
+    def stop(self) -> None:
+        """Terminate the router and close the clients, as the drain waits for each connected client."""
         if self.process.poll() is None:
             self.process.terminate()
         for client in list(self._clients):
             client.leave()
 
     def reload(self, text: str) -> None:
-        """Replace the file of the configuration and tell the router."""
+        """Replace the configuration file and signal the router to reload it."""
         (self.folder / "new.json").write_text(text)
         (self.folder / "new.json").rename(self.folder / "config.json")
         self.process.send_signal(signal.SIGHUP)
 
-    def told(self) -> dict[str, Any]:
-        told: dict[str, Any] = json.loads((self.folder / "config.json").read_text())
-        return told
+    def read_configuration(self) -> dict[str, Any]:
+        """Return the contents of the configuration file."""
+        config: dict[str, Any] = json.loads((self.folder / "config.json").read_text())
+        return config
 
 
 def configuration(
     port: int, discovery: DiscoveryPeer, sockets: int = 1024, facts: dict[str, Any] | None = None
 ) -> dict[str, Any]:
+    """Return the configuration of a router; `facts` replaces entries of FACTS in its settings."""
     return {
         "name": "n1",
         "listen": f"127.0.0.1:{port}",
@@ -349,20 +360,21 @@
 
 def start_router(
     folder: Path,
-    told: dict[str, Any],
+    config: dict[str, Any],
     more: Sequence[str] = (),
     environ: dict[str, str] | None = None,
     inherits: Sequence[int] = (),
 ) -> subprocess.Popen[str]:
-    config = folder / "config.json"
-    config.write_text(json.dumps(told))
+    """Write the configuration file and start a router process with it."""
+    path = folder / "config.json"
+    path.write_text(json.dumps(config))
     return subprocess.Popen(
         [sys.executable, "-m", "saltport.router", *more],
         cwd=ROOT,
         env={
             **os.environ,
-            "LB_CONFIG": str(config),
-            "LB_DISCOVERY": told["discovery"],
+            "LB_CONFIG": str(path),
+            "LB_DISCOVERY": config["discovery"],
             "TMPDIR": str(folder),
             **(environ or {}),
         },
@@ -373,6 +385,7 @@
 
 
 def is_ready(port: int) -> bool:
+    """Whether the router at this port answers a PING with PONG."""
     try:
         client = Client(port)
     except OSError:
@@ -386,7 +399,7 @@
 
 
 @contextmanager
-def routed(
+def run_router(
     folder: Path,
     caches: dict[str, Peer],
     origin: Peer | None = None,
@@ -397,30 +410,30 @@
     more: Sequence[str] = (),
     environ: dict[str, str] | None = None,
     started_ms: dict[str, int] | None = None,
-) -> Iterator[Routed]:
-    """Start a router over these peers, and check at the end that it lived and logged no exception."""
+) -> Iterator[RunningRouter]:
+    """Start a router with these servers; check at the end that it ran until then and logged no exception."""
     starts = started_ms or {}
     entries = [{**entry(peer, name), "startedAtMs": starts.get(name, 0)} for name, peer in caches.items()]
     if origin is not None:
         entries.append(entry(origin, "origin", "origin"))
     discovery = DiscoveryPeer(entries)
-    discovery.junk = discovery_says
+    discovery.raw_answer = discovery_says
     port = free_port()
-    told = configuration(port, discovery, facts=facts) | {
+    config = configuration(port, discovery, facts=facts) | {
         "admin_addr": f"127.0.0.1:{free_port()}",
         "known": {"generation": 0, "reset": True, "instances": known or []},
     }
     if limits:
-        told["limits"] = limits
-    process = start_router(folder, told, more, environ)
-    router = Routed(process, port, discovery, folder)
+        config["limits"] = limits
+    process = start_router(folder, config, more, environ)
+    router = RunningRouter(process, port, discovery, folder)
     try:
         eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
         assert process.poll() is None, f"the router ended at its start: {process.communicate()[1]}"
         yield router
     finally:
-        router.end()
-        _, log = process.communicate(timeout=PATIENCE_S)
+        router.stop()
+        _, log = process.communicate(timeout=TIMEOUT_S)
         for peer in [*caches.values(), discovery.peer, *([origin] if origin else [])]:
             peer.close()
     assert process.returncode == 0, log
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -16,7 +16,7 @@
 from click.testing import CliRunner, Result
 
 from saltport.cli import cli
-from tests.sockets import PATIENCE_S, ROOT, eventually, free_port, is_ready
+from tests.sockets import ROOT, TIMEOUT_S, eventually, free_port, is_ready
 
 LONG_S = 60.0
 
@@ -107,15 +107,15 @@
         image = Path(f"/proc/{router.pid}/cmdline").read_bytes().split(b"\0")
         assert b"saltport.router" in image  # the command line has left the process
         second = spawn("run", str(path), "--listen", f"127.0.0.1:{port}")
-        _, errors = second.communicate(timeout=PATIENCE_S)
+        _, errors = second.communicate(timeout=TIMEOUT_S)
         assert second.returncode == 1
         assert "saltport:" in errors
     finally:
         router.terminate()
-        router.communicate(timeout=PATIENCE_S)
+        router.communicate(timeout=TIMEOUT_S)
     assert router.returncode == 0
     path.write_text("{}")
-    assert spawn("run", str(path)).wait(PATIENCE_S) == 2
+    assert spawn("run", str(path)).wait(TIMEOUT_S) == 2
 
 
 def test_a_router_imports_nothing_that_it_does_not_need() -> None:
@@ -194,7 +194,7 @@
         assert call("fault", "strike", "--control", control, "slow", "n001", "--figure", "x").exit_code == 2
     finally:
         fleet.terminate()
-        fleet.communicate(timeout=PATIENCE_S)
+        fleet.communicate(timeout=TIMEOUT_S)
     audited = call("audit", str(ledger), "--json")
     assert audited.exit_code == 0
     assert json.loads(audited.output)["clean"]
