--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -73,7 +73,7 @@
     def failed(self) -> None:
         self.answer.set_result("failed")
 
-    def forgotten(self) -> None:
+    def release_memory(self) -> None:
         pass
 
     def client_has_left(self) -> bool:
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -65,7 +65,7 @@
     def served(self, value: bytes) -> None:
         pass
 
-    def forgotten(self) -> None:
+    def release_memory(self) -> None:
         pass
 
     def client_has_left(self) -> bool:
