--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -106,10 +106,12 @@
         self.has_carried_request = False
         """Whether a request ever arrived; health checks use connections of their own."""
         self.number = server.next_number()
+        """Number of the connection in the access log."""
         self.transport: TcpStream | None = None
         self._hangup_poll: Readiness | None = None
         self.replies: deque[Reply] = deque()
         self.writing_paused = self.closed = False
+        """Whether the write buffer is full; whether the connection has ended."""
         self.last_active_at = self.connected_at = server.loop.time()
         self._dialect = dialect()
         self._reading = True
@@ -119,6 +121,7 @@
         self._awaiting_memory = False  # queued in the memory budget
         self._close_when_answered = False
         self.refusing = False
+        """Whether its requests are refused because there are too many clients."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and register with the server; restore the state of a hand-over."""
@@ -195,8 +198,8 @@
 
     def _log_close(self, access_log: AccessLog, reason: CloseReason) -> None:
         unsent = 0
-        # After NOTHING_OWED, the lingering close still sends the unsent bytes.
-        if self.transport is not None and reason is not CloseReason.NOTHING_OWED:
+        # After ALL_ANSWERED, the lingering close still sends the unsent bytes.
+        if self.transport is not None and reason is not CloseReason.ALL_ANSWERED:
             unsent = self.transport.get_write_buffer_size()
         unanswered = [reply.logged_id for reply in self.replies if reply.logged_id is not None]
         access_log.closed(self.number, reason, unanswered, unsent, bool(self._dialect.need))
@@ -324,7 +327,7 @@
     def _end(self) -> None:
         """Close a connection without outstanding replies so that all written bytes reach the client."""
         if self.transport is not None and not self.closed and not self.transport.is_closing():
-            self._mark_closed(CloseReason.NOTHING_OWED)
+            self._mark_closed(CloseReason.ALL_ANSWERED)
             self.server.lingering.add(self.transport)
 
     def read_held_up(self) -> None:
--- a/saltport/downstream/outcomes.py
+++ b/saltport/downstream/outcomes.py
@@ -19,7 +19,7 @@
 
     CLIENT_ENDED = "the client ended it"
     CLIENT_RESET = "the client reset it"
-    NOTHING_OWED = "the router, nothing was owed"
+    ALL_ANSWERED = "the router, nothing was owed"
     STALLED = "the router, the client took nothing of its answer"
     VALUE_CUT = "the router, a value that had begun can't be finished"
     FAULT = "the router, a fault in reading a command"
