--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -14,15 +14,15 @@
 
 import pytest
 
-from saltport.downstream.clients import FRESH_S, MAX_PIPELINE, ClientConnection, ClientServer
-from saltport.downstream.lingering import LINGER_BYTES, LINGER_S
+from saltport.downstream.clients import FIRST_REQUEST_GRACE_S, MAX_PIPELINE, ClientConnection, ClientServer
+from saltport.downstream.lingering_close import LINGER_TIMEOUT_S, MAX_LINGER_BYTES
+from saltport.downstream.paused_reads import POLL_INTERVAL_S
 from saltport.downstream.replies import Reply
 from saltport.downstream.resp import RespDialect
-from saltport.downstream.taking import STALL_S
-from saltport.downstream.unread import LOOK_S
+from saltport.downstream.unacknowledged import STALL_TIMEOUT_S
 from saltport.messages import Request
 from saltport.transport.loop import on_router_loop
-from tests.sockets import PATIENCE_S, bulk, get
+from tests.sockets import TIMEOUT_S, bulk, get
 
 LIMIT = 3
 LONG = b"v" * (1 << 20)
@@ -52,7 +52,7 @@
     def client_gone(self, reply: Reply) -> None:
         self.gone.append(reply)
 
-    def go_on(self, *_: Any) -> Any:
+    def resume_value(self, *_: Any) -> Any:
         raise NotImplementedError
 
     @property
@@ -71,7 +71,7 @@
         """Return a client and the router's end of its connection; `small`: with a small receive buffer."""
         known = set(self.server._connections)
         end = socket.socket()
-        end.settimeout(PATIENCE_S)
+        end.settimeout(TIMEOUT_S)
         if small:
             end.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         await self._loop.run_in_executor(None, end.connect, ("127.0.0.1", self._port))
@@ -102,7 +102,7 @@
     """Block the loop until bytes of the client are in the kernel."""
     assert connection.transport is not None
     handle = connection.transport.get_extra_info("socket").fileno()
-    assert select.select([handle], [], [], PATIENCE_S)[0]
+    assert select.select([handle], [], [], TIMEOUT_S)[0]
 
 
 def run_scenario(scenario: Callable[[ClientSide], Coroutine[Any, Any, None]]) -> None:
@@ -110,7 +110,7 @@
         host = RecordingHost()
         server = ClientServer(asyncio.get_running_loop(), host, RespDialect, LIMIT, 1 << 20)
         port = server.listen(("127.0.0.1", 0))
-        async with asyncio.timeout(2 * PATIENCE_S):
+        async with asyncio.timeout(2 * TIMEOUT_S):
             await scenario(ClientSide(server, host, port))
         server.close()
         await asyncio.sleep(0)
@@ -123,7 +123,7 @@
         end, connection = await clients.client()
         end.sendall(get("a1"))
         wait_for_unread_bytes(connection)
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await clients.all_of(end) == b""
         assert clients.host.ids == []
         end.close()
@@ -137,7 +137,7 @@
         end, connection = await clients.client(small=True)
         end.sendall(get("a1"))
         await clients.until(lambda: clients.host.requests)
-        clients.server.emptying = True
+        clients.server.closing_when_answered = True
         end.sendall(get("a2"))
         wait_for_unread_bytes(connection)
         clients.host.requests[0][1].served(LONG)
@@ -172,15 +172,15 @@
         end, connection = await clients.client()
         end.sendall(get("a1"))
         await clients.until(lambda: clients.host.requests)
-        clients.server.emptying = True
+        clients.server.closing_when_answered = True
         clients.host.requests[0][1].served(b"one")
         other, other_connection = await clients.client()
         half = get("b1")[:20]
         other.sendall(half)
         await clients.until(lambda: other_connection._dialect.need)
-        other_connection.carried = True  # used before, and within a command when the drain begins
-        connection.finish(even_midway=False)
-        other_connection.finish(even_midway=False)
+        other_connection.has_carried_request = True  # used before, and within a command when the drain begins
+        connection.finish(even_mid_command=False)
+        other_connection.finish(even_mid_command=False)
         # Of the commands in one read, the invalid one is answered at once; the one after it is executed too.
         other.sendall(get("b1")[20:] + bulk(b"NO", b"SUCH") + get("b2"))
         await clients.until(lambda: len(clients.host.requests) == 3)
@@ -198,7 +198,7 @@
 def test_rejected_command_does_not_close_the_connection_before_the_next_of_its_read() -> None:
     async def scenario(clients: ClientSide) -> None:
         end, connection = await clients.client()
-        connection.carried = clients.server.emptying = True
+        connection.has_carried_request = clients.server.closing_when_answered = True
         end.sendall(bulk(b"NO", b"SUCH") + get("a1"))
         await clients.until(lambda: clients.host.requests)
         assert not connection.closed
@@ -213,12 +213,12 @@
 def test_client_that_never_closes_is_closed_after_a_time_limit() -> None:
     async def scenario(clients: ClientSide) -> None:
         end, connection = await clients.client()
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await clients.all_of(end) == b""
         now = asyncio.get_running_loop().time()
-        clients.server.lingering.check(now + LINGER_S / 2)
+        clients.server.lingering.check(now + LINGER_TIMEOUT_S / 2)
         assert clients.server.connected == 1
-        clients.server.lingering.check(now + LINGER_S)
+        clients.server.lingering.check(now + LINGER_TIMEOUT_S)
         await clients.until(lambda: not clients.server.connected)
         end.close()
 
@@ -228,19 +228,19 @@
 def test_client_that_sends_endlessly_is_read_up_to_a_limit() -> None:
     async def scenario(clients: ClientSide) -> None:
         end, connection = await clients.client()
-        connection.finish(even_midway=False)
+        connection.finish(even_mid_command=False)
         assert await clients.all_of(end) == b""
 
         def flood() -> int:
             sent = 0
             try:
-                while sent < 64 * LINGER_BYTES:
+                while sent < 64 * MAX_LINGER_BYTES:
                     sent += end.send(b"x" * 65536)
             except OSError:
                 pass
             return sent
 
-        assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * LINGER_BYTES
+        assert await asyncio.get_running_loop().run_in_executor(None, flood) < 64 * MAX_LINGER_BYTES
         await clients.until(lambda: not clients.server.connected)
 
     run_scenario(scenario)
@@ -251,10 +251,10 @@
         end, _ = await clients.client(small=True)
         end.sendall(get("a1"))
         await clients.until(lambda: clients.host.requests)
-        clients.server.emptying = True
+        clients.server.closing_when_answered = True
         clients.host.requests[0][1].served(LONG)
         now = asyncio.get_running_loop().time()
-        for later in (LINGER_S, STALL_S / 2):
+        for later in (LINGER_TIMEOUT_S, STALL_TIMEOUT_S / 2):
             clients.server.lingering.check(now + later)
         assert await clients.all_of(end) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
@@ -271,12 +271,12 @@
         clients.host.requests[0][1].served(LONG)  # more than the client receives now
         await clients.until(lambda: busy_connection.idle)
         now = asyncio.get_running_loop().time()
-        busy_connection.used_at, asking_connection.used_at, idle_connection.used_at = (
+        busy_connection.last_active_at, asking_connection.last_active_at, idle_connection.last_active_at = (
             now - 0.03,
             now - 0.02,
             now - 0.01,
         )
-        idle_connection.came_at = asking_connection.came_at = now - FRESH_S
+        idle_connection.connected_at = asking_connection.connected_at = now - FIRST_REQUEST_GRACE_S
         # A new client connects in the loop iteration in which a request of another client is unread.
         asking.sendall(get("a2"))
         wait_for_unread_bytes(asking_connection)
@@ -289,8 +289,8 @@
             reply.served(b"v")
         assert await asyncio.get_running_loop().run_in_executor(None, asking.recv, 99) == b"$1\r\nv\r\n"
         assert await asyncio.get_running_loop().run_in_executor(None, new.recv, 99) == b"$1\r\nv\r\n"
-        clients.server.emptying = True
-        busy_connection.finish(even_midway=False)
+        clients.server.closing_when_answered = True
+        busy_connection.finish(even_mid_command=False)
         assert await clients.all_of(slow) == b"$%d\r\n%b\r\n" % (len(LONG), LONG)
 
     run_scenario(scenario)
@@ -299,16 +299,16 @@
 def test_new_connection_is_not_closed_before_its_first_request_can_arrive() -> None:
     async def scenario(clients: ClientSide) -> None:
         end, connection = await clients.client()
-        clients.server.finish(even_midway=False)
+        clients.server.finish(even_mid_command=False)
         assert not connection.evictable
         end.sendall(get("r1"))
         await clients.until(lambda: clients.host.requests)
         clients.host.requests[0][1].served(b"v")
         assert await clients.read(end, 8) == b"$1\r\nv\r\n"
         late, connection = await clients.client()
-        await asyncio.sleep(FRESH_S)
+        await asyncio.sleep(FIRST_REQUEST_GRACE_S)
         assert connection.evictable
-        clients.server.finish(even_midway=False)
+        clients.server.finish(even_mid_command=False)
         assert await clients.all_of(late) == b""
         end.close()
         late.close()
@@ -319,7 +319,7 @@
 def test_connection_limit_closes_lingering_connections_first() -> None:
     async def scenario(clients: ClientSide) -> None:
         ends = [await clients.client() for _ in range(LIMIT)]
-        ends[0][1].finish(even_midway=False)
+        ends[0][1].finish(even_mid_command=False)
         assert len(clients.server.lingering) == 1
         await clients.client()
         assert len(clients.server.lingering) == 0
@@ -342,8 +342,8 @@
             end.shutdown(socket.SHUT_WR)
         await clients.until(lambda: connection.closed)
         assert len(clients.host.gone) == len(clients.host.requests)
-        assert 2 * LOOK_S < 0.1
-        assert not clients.server.unread._held
+        assert 2 * POLL_INTERVAL_S < 0.1
+        assert not clients.server.paused_reads._connections
 
     run_scenario(scenario)
 
--- a/tests/crossings/test_disconnected_clients.py
+++ b/tests/crossings/test_disconnected_clients.py
@@ -16,16 +16,16 @@
 from saltport.upstream.pool import PER_SERVER
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
-    Routed,
+    RunningRouter,
     bulk,
     eventually,
     get,
     hit,
     http_answer,
-    routed,
+    run_router,
 )
 
 LONG_MS = 60_000  # longer than any wait in these tests
@@ -40,7 +40,7 @@
         self.peer = Peer(self._answer)
 
     def _answer(self, _: socket.socket, words: list[bytes]) -> bytes:
-        assert self.let_go.wait(PATIENCE_S)
+        assert self.let_go.wait(TIMEOUT_S)
         return hit(words[2])
 
     def received_from(self, client: str) -> list[bytes]:
@@ -52,7 +52,7 @@
     """Return an origin that answers each read with its key once `let_go` is set."""
 
     def fetch(_: socket.socket, message: list[bytes]) -> bytes:
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, message[1][1:])
 
     return Peer(fetch, is_http=True)
@@ -66,7 +66,7 @@
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def fill(router: Routed, cache: DelayedCache) -> Client:
+def fill(router: RunningRouter, cache: DelayedCache) -> Client:
     """Occupy all connections to the only server with requests; return their client."""
     busy = router.client()
     busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
@@ -79,7 +79,7 @@
     tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
     cache = DelayedCache()
-    with routed(tmp_path, {"s1": cache.peer}) as router:
+    with run_router(tmp_path, {"s1": cache.peer}) as router:
         busy, disconnecting, staying = fill(router, cache), router.client(), router.client()
         disconnecting.send(get("gone1", "g", LONG_MS))
         router.until("current", PER_SERVER + 1)
@@ -98,7 +98,7 @@
     tmp_path: Path, disconnect: Callable[[Client], None]
 ) -> None:
     cache = DelayedCache()
-    with routed(tmp_path, {"s1": cache.peer}) as router:
+    with run_router(tmp_path, {"s1": cache.peer}) as router:
         disconnecting = router.client()
         many = MAX_PIPELINE + 10  # beyond this limit the router stops reading until it has answered
         disconnecting.send(b"".join(get(f"gone{i}", f"g{i}", LONG_MS) for i in range(many)))
@@ -114,7 +114,7 @@
 def test_fetch_continues_for_waiting_clients_after_its_first_client_disconnects(tmp_path: Path) -> None:
     let_go = threading.Event()
     cache, origin = Peer(lambda _, words: MISS), delayed_origin(let_go)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         leader, waiter = router.client(), router.client()
         leader.send(get("leader", "k", LONG_MS))
         eventually(lambda: origin.seen, "the fetch")
@@ -135,7 +135,7 @@
 def test_queued_fetch_passes_to_the_next_client_when_its_client_disconnects(tmp_path: Path) -> None:
     let_go = threading.Event()
     cache, origin = Peer(lambda _, words: MISS), delayed_origin(let_go)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         busy, leader, waiter = router.client(), router.client(), router.client()
         busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
         eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are in use")
@@ -155,14 +155,14 @@
     let_go = threading.Event()
 
     def write(_: socket.socket, message: list[bytes]) -> bytes:
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, b"receipt")
 
     def put(name: bytes) -> bytes:
         return bulk(b"KV.SET", b"k", name, b"c=put,t=acme,d=60000,k=5c", b"v")
 
     origin = Peer(write, is_http=True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         disconnecting = router.client()
         disconnecting.send(put(b"gone1") + put(b"gone2"))
         eventually(lambda: origin.seen, "the first write")
@@ -184,7 +184,7 @@
     def write(_: socket.socket, message: list[bytes]) -> bytes:
         if failing.is_set():
             return http_answer(500)
-        assert let_go.wait(PATIENCE_S)
+        assert let_go.wait(TIMEOUT_S)
         return http_answer(200, b"receipt")
 
     def put(name: str, d: int = LONG_MS) -> bytes:
@@ -194,7 +194,7 @@
         return any(message[1] == b"/" + name.encode() for message in origin.seen)
 
     origin = Peer(write, is_http=True)
-    with routed(tmp_path, {}, origin) as router:
+    with run_router(tmp_path, {}, origin) as router:
         failed = router.client()
         for n in range(FAILING_WRITES):  # one after another, until the router sends only one at a time
             assert failed.ask(put(f"failed{n}", d=300)).startswith(b"-")
--- a/tests/crossings/test_forwarded_deadline.py
+++ b/tests/crossings/test_forwarded_deadline.py
@@ -21,7 +21,7 @@
 from saltport.router.host import RouterHost
 from saltport.upstream.connection import Exchange
 from tests.crossings.test_moment_of_sending import DelayedDials, ask, run_scenario, until
-from tests.sockets import MISS, PATIENCE_S, Peer, get, hit, http_answer, put, reset, routed
+from tests.sockets import MISS, TIMEOUT_S, Peer, get, hit, http_answer, put, reset, run_router
 
 TOTAL_MS = 10_000
 HELD_S = 0.25
@@ -60,7 +60,7 @@
         DelayingPeer(MISS, MISS),
         Peer(lambda _, words: http_answer(200, b"fetched"), is_http=True),
     )
-    with routed(tmp_path, {"s1": cache.peer}, origin) as router:
+    with run_router(tmp_path, {"s1": cache.peer}, origin) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"fetched"
     assert remaining_ms(b"," + cache.peer.seen[0][3]) <= TOTAL_MS
     assert is_at_most_left(remaining_ms(origin.seen[0][2]), cache.held_ns)
@@ -68,7 +68,7 @@
 
 def test_info_is_otherwise_forwarded_unchanged_to_the_origin(tmp_path: Path) -> None:
     cache, origin = Peer(lambda _, words: MISS), Peer(lambda _, words: http_answer(200, b"v"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS, more=",r=1,h=250,ad=7")) == b"v"
         assert router.client().ask(put("w1", d=TOTAL_MS)) == b"v"
     infos = [re.findall(rb"Request-Info: (.*)\r\n", message[2])[0] for message in origin.seen]
@@ -80,7 +80,7 @@
 
 def test_retry_of_a_write_states_the_remaining_time_to_the_origin(tmp_path: Path) -> None:
     delaying_peer = DelayingPeer(None, http_answer(200, b"receipt"), is_http=True)
-    with routed(tmp_path, {"s1": Peer(lambda _, words: MISS)}, delaying_peer.peer) as router:
+    with run_router(tmp_path, {"s1": Peer(lambda _, words: MISS)}, delaying_peer.peer) as router:
         assert router.client().ask(put("w1", d=TOTAL_MS)) == b"receipt"
     first, second = delaying_peer.peer.seen
     assert is_at_most_left(remaining_ms(first[2]), 0)
@@ -89,7 +89,7 @@
 
 def test_retry_states_the_remaining_time_to_the_next_cache_server(tmp_path: Path) -> None:
     delaying_peer = DelayingPeer(None, hit(b"v"))
-    with routed(tmp_path, {"s1": delaying_peer.peer}) as router:
+    with run_router(tmp_path, {"s1": delaying_peer.peer}) as router:
         assert router.client().ask(get("r1", d=TOTAL_MS)) == b"v"
     first, second = delaying_peer.peer.seen
     assert is_at_most_left(remaining_ms(b"," + first[3]), 0)
@@ -116,7 +116,7 @@
 def test_request_without_remaining_time_is_refused_and_not_sent(tmp_path: Path, ask_for: Any) -> None:
     """Part of a one-millisecond limit passes at once, and less than a millisecond cannot be stated."""
     cache, origin = Peer(lambda _, words: MISS), Peer(lambda _, words: http_answer(200, b"v"), is_http=True)
-    with routed(tmp_path, {"s1": cache}, origin) as router:
+    with run_router(tmp_path, {"s1": cache}, origin) as router:
         client = router.client()
         assert client.ask(ask_for("r0", d=0)).startswith(b"-BUSY")
         assert client.ask(ask_for("r1", d=1)).startswith(b"-BUSY")
@@ -128,7 +128,7 @@
 
 def test_info_with_two_time_limits_is_rejected(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         answer = router.client().ask(get("r1", d=TOTAL_MS, more=",d=99999"))
     assert answer.startswith(b"-ERR")
     assert b"twice" in answer
@@ -165,7 +165,7 @@
 def test_copy_that_waited_for_a_connection_expires_with_its_lease() -> None:
     def copy(host: RouterHost, ended: Callable[[Outcome], Event]) -> ReplicationWrite:
         lease = Deadline(time.monotonic_ns() + TOTAL_MS * NS_PER_MS)
-        return ReplicationWrite(host, b"k", b"v", lease, to_ns(PATIENCE_S), ended)
+        return ReplicationWrite(host, b"k", b"v", lease, to_ns(TIMEOUT_S), ended)
 
     exchange = DelayedExchange(copy)
     exchange.run()
@@ -181,7 +181,7 @@
         span = to_ns(HELD_S / 2)
         if is_copy:  # its lease has expired, but its time limit has not
             lease = Deadline(time.monotonic_ns() + span)
-            return ReplicationWrite(host, b"k", b"v", lease, to_ns(PATIENCE_S), ended)
+            return ReplicationWrite(host, b"k", b"v", lease, to_ns(TIMEOUT_S), ended)
         return Invalidation(host, b"k", span, ended)
 
     exchange = DelayedExchange(command)
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -31,7 +31,7 @@
 from saltport.transport.loop import on_router_loop
 from saltport.transport.stream import TcpStream
 from saltport.upstream.pool import Pool
-from tests.sockets import PATIENCE_S, Peer, hit, http_answer, reset
+from tests.sockets import TIMEOUT_S, Peer, hit, http_answer, reset
 
 MS = NS_PER_S // 1000
 WINDOW = 100 * MS
@@ -73,7 +73,7 @@
     def failed(self) -> None:
         self.answer.set_result("failed")
 
-    def forgotten(self) -> None:
+    def release_memory(self) -> None:
         pass
 
     def client_has_left(self) -> bool:
@@ -96,13 +96,13 @@
 ) -> None:
     async def run() -> None:
         dials = DelayedDials()
-        pool = Pool(asyncio.get_running_loop(), 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(asyncio.get_running_loop(), 64, TIMEOUT_S, TIMEOUT_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
         pool.touched = host.touched
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(TIMEOUT_S):
                 await scenario(host, dials)
         pool.close()
         await asyncio.sleep(0)
@@ -181,7 +181,7 @@
         host.servers_changed(listing({"s1": old}, ServerState.DRAINING))
         host.servers_changed(listing({"s2": new}))
         dials.let_go.set()
-        await asyncio.wait([reply.answer], timeout=PATIENCE_S)
+        await asyncio.wait([reply.answer], timeout=TIMEOUT_S)
         assert await ask(host, b"r2", "get", 15_000).answer == "new"
         assert not old.seen
 
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -20,7 +20,7 @@
 from saltport.admin.client import ask
 from saltport.handover.exchange import ACCEPTED, RECORD_LAST, RECORD_PART, REJECTED
 from saltport.handover.record import ConnectionRecord, PartialValue, ReadPosition, Segment, decode, encode
-from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit
+from tests.sockets import TIMEOUT_S, Client, Peer, eventually, get, hit
 
 VALUE = bytes(range(256)) * (4 << 10)
 ANSWER = hit(VALUE)
@@ -40,7 +40,7 @@
 
     def _serve(self, connection: socket.socket, words: list[bytes]) -> bytes | None:
         if words[1] == b"held":
-            assert self.released.wait(PATIENCE_S)
+            assert self.released.wait(TIMEOUT_S)
         if words[1] != b"long":
             return hit(words[2])
         sent = FIRST
@@ -58,7 +58,7 @@
         if not self.released.is_set():
             self.closed.set()
             raise OSError("the connection has ended")
-        connection.settimeout(PATIENCE_S)
+        connection.settimeout(TIMEOUT_S)
         return ANSWER[sent:]
 
 
@@ -67,7 +67,7 @@
 
     def __init__(self, folder: Path) -> None:
         self.socket = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        self.socket.settimeout(PATIENCE_S)
+        self.socket.settimeout(TIMEOUT_S)
         self.socket.connect(str(folder / "saltport.takeover"))
         self.socket.send(b"H1")
         assert self.socket.recv(1 << 20)[:1] == b"L"
@@ -139,7 +139,7 @@
             link.socket.send(acknowledgement)
         else:
             link.socket.close()
-        assert node.closed.wait(PATIENCE_S), "the connection of the value is closed, and the rest is not read"
+        assert node.closed.wait(TIMEOUT_S), "the connection of the value is closed, and the rest is not read"
         eventually(lambda: old.gone, "the old process exits")
         assert old.process.returncode == 0
 
@@ -152,14 +152,14 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
+    listener.settimeout(TIMEOUT_S)
     with (
         platform(tmp_path, {"s1": node.peer}) as cluster,
         socket.create_server(("127.0.0.1", 0)) as listening,
     ):
         process = cluster.start()
         link, _ = listener.accept()
-        link.settimeout(PATIENCE_S)
+        link.settimeout(TIMEOUT_S)
         process.ready()
         assert link.recv(64) == b"H1"
         client = Client(listening.getsockname()[1])
@@ -178,7 +178,7 @@
         assert link.recv(256) == ACCEPTED
         client_connection.close()
         upstream.close()
-        assert node.closed.wait(PATIENCE_S)
+        assert node.closed.wait(TIMEOUT_S)
         eventually(lambda: ask(process.admin, "/stats")["current"] == 0, "the request has ended")
         assert ask(process.admin, "/stats")["errored"]["get"] == 0
         assert cluster.client().ask(get("c2")) == b"c2"
@@ -217,7 +217,7 @@
         # `connected` falls in the step that sends the record; the request ends earlier.
         eventually(lambda: ask(old.admin, "/state")["connected"] == 1, "the record is sent")
         os.kill(receiver.process.pid, signal.SIGKILL)
-        receiver.process.communicate(timeout=PATIENCE_S)
+        receiver.process.communicate(timeout=TIMEOUT_S)
         node.released.set()
         answer = staying.answer()
         assert answer == b"c2" or answer.startswith(b"-"), (
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -18,20 +18,20 @@
 from saltport.lifecycle.service import LAST_ANSWERS_S, STEP_S
 from saltport.upstream.pool import PER_SERVER
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
-from tests.binary import FRONT
+from tests.binary import MEMCACHED_FEATURE
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
-    Routed,
+    RunningRouter,
     eventually,
     free_port,
     get,
     hit,
     http_answer,
     put,
-    routed,
+    run_router,
 )
 
 MS = 10**6
@@ -46,7 +46,7 @@
 LONG_MS = 60_000  # client time limit, far beyond the limits of the settings
 
 
-def refuses_connections(router: Routed) -> bool:
+def refuses_connections(router: RunningRouter) -> bool:
     """Whether the router no longer accepts connections."""
     try:
         Client(router.port).close()
@@ -74,11 +74,11 @@
     release = threading.Event()
 
     def wait_for_release(*_: object) -> bytes:
-        release.wait(2 * PATIENCE_S)
+        release.wait(2 * TIMEOUT_S)
         return hit(b"late")
 
     cache = Peer(wait_for_release)
-    with routed(tmp_path, {"s1": cache}, facts=SHORT) as router:
+    with run_router(tmp_path, {"s1": cache}, facts=SHORT) as router:
         unsafe, reads = router.client(), router.client()
         unsafe.send(put("once1", cls="once", d=LONG_MS))
         reads.send(b"".join(get(f"r{i}", f"k{i}", LONG_MS) for i in range(PER_SERVER)))
@@ -93,8 +93,8 @@
         assert all(answers[i].startswith(b"-BUSY") for i in queued), "the request was never sent"
         assert unsafe.at_end()
         assert reads.at_end()
-        assert time.monotonic() - begun < PATIENCE_S
-        assert router.process.wait(PATIENCE_S) == 0
+        assert time.monotonic() - begun < TIMEOUT_S
+        assert router.process.wait(TIMEOUT_S) == 0
         release.set()
 
 
@@ -102,10 +102,10 @@
     release = threading.Event()
 
     def wait_for_release(*_: object) -> bytes:
-        release.wait(2 * PATIENCE_S)
+        release.wait(2 * TIMEOUT_S)
         return hit(b"late")
 
-    with routed(tmp_path, {"s1": Peer(wait_for_release)}, facts=SHORT) as router:
+    with run_router(tmp_path, {"s1": Peer(wait_for_release)}, facts=SHORT) as router:
         client = router.client()
         client.send(get("a1", "k1", LONG_MS))
         router.until("current", 1)
@@ -146,7 +146,7 @@
 
     def _serve(self, connection: socket.socket, message: list[bytes]) -> bytes | None:
         if b"held" in message[1]:
-            self.ended.wait(2 * PATIENCE_S)
+            self.ended.wait(2 * TIMEOUT_S)
             return None
         connection.sendall(self._answer[:HALF])
         assert connection.recv(1) == b""
@@ -167,7 +167,7 @@
 @pytest.mark.parametrize("reads", [True, False], ids=["reads at once", "reads after the end"])
 def test_partly_sent_value_is_cut_off_at_exit(tmp_path: Path, kind: str, reads: bool) -> None:
     caches, origin, server = servers_with_partial_value(kind)
-    with routed(tmp_path, caches, origin, facts=ASIDE) as router:
+    with run_router(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
         client.send(get("a1", "k1", LONG_MS))
         if reads:
@@ -175,8 +175,8 @@
         else:
             router.until("current", 1)
         router.terminate()
-        assert router.process.wait(PATIENCE_S) == 0
-        assert server.ended.wait(PATIENCE_S)
+        assert router.process.wait(TIMEOUT_S) == 0
+        assert server.ended.wait(TIMEOUT_S)
         received = client.stream.read()
         complete = b"$%d\r\n%b\r\n" % (len(VALUE), VALUE)
         assert len(received) < HALF + 100
@@ -187,7 +187,7 @@
 
 def test_value_after_an_unanswered_request_is_cut_off_after_that_reply_at_exit(tmp_path: Path) -> None:
     caches, origin, server = servers_with_partial_value("cache")
-    with routed(tmp_path, caches, origin, facts=ASIDE) as router:
+    with run_router(tmp_path, caches, origin, facts=ASIDE) as router:
         client = router.client()
         client.send(get("a1", "held", LONG_MS) + get("a2", "k2", LONG_MS))
         router.until("current", 2)
@@ -195,19 +195,19 @@
         assert client.answer().startswith(b"-")
         assert client.answer().startswith(b"cut off after")
         assert client.at_end()
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
         server.ended.set()
 
 
 def test_partly_sent_memcached_value_is_cut_off_at_exit(tmp_path: Path) -> None:
     caches, origin, _ = servers_with_partial_value("cache")
     port, features = free_port(), tmp_path / "memcached.toml"
-    features.write_text(FRONT.format(port=port))
-    with routed(tmp_path, caches, origin, facts=ASIDE, more=["--with", str(features)]) as router:
+    features.write_text(MEMCACHED_FEATURE.format(port=port))
+    with run_router(tmp_path, caches, origin, facts=ASIDE, more=["--with", str(features)]) as router:
         client = Client(port)
         client.send(encode(Packet(Opcode.GET, b"k1"), REQUEST_MAGIC))
         head = client.stream.read(24)
         router.terminate()
         assert int.from_bytes(head[8:12], "big") > len(VALUE)
         assert len(client.stream.read()) < len(VALUE)
-        assert router.process.wait(PATIENCE_S) == 0
+        assert router.process.wait(TIMEOUT_S) == 0
--- a/tests/crossings/test_start.py
+++ b/tests/crossings/test_start.py
@@ -10,19 +10,19 @@
 import pytest
 
 from tests.sockets import (
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     DiscoveryPeer,
     Peer,
     bulk,
     configuration,
+    echo_cache,
     entry,
     eventually,
     free_port,
     get,
     is_ready,
-    routed,
-    serving,
+    run_router,
     start_router,
 )
 
@@ -39,7 +39,7 @@
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
 @pytest.mark.parametrize("known", [None, *BROKEN], ids=json.dumps)
 def test_invalid_known_list_does_not_prevent_the_start(tmp_path: Path, known: Any, mode: str) -> None:
-    cache = serving()
+    cache = echo_cache()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     port = free_port()
     settings = configuration(port, discovery, facts={"membershipMode": mode}) | {"known": known}
@@ -50,7 +50,7 @@
         assert Client(port).ask(get("r1")) == b"r1"
     finally:
         process.terminate()
-        log = process.communicate(timeout=PATIENCE_S)[1]
+        log = process.communicate(timeout=TIMEOUT_S)[1]
         cache.close()
         discovery.peer.close()
     assert log.count("known:") == (known is not None), "logged once, in one line"
@@ -58,12 +58,12 @@
 
 def test_idle_clients_at_their_limit_do_not_block_discovery_or_servers(tmp_path: Path) -> None:
     """Discovery does not answer at first, and more idle clients connect than there are descriptors."""
-    cache, answering = serving(), threading.Event()
+    cache, answering = echo_cache(), threading.Event()
     discovery = DiscoveryPeer([entry(cache, "s1")])
     answer = discovery.peer.handler
 
     def silent(connection: Any, message: list[bytes]) -> bytes | None:
-        answering.wait(2 * PATIENCE_S)
+        answering.wait(2 * TIMEOUT_S)
         return answer(connection, message)
 
     discovery.peer.handler = silent
@@ -88,7 +88,7 @@
     finally:
         answering.set()
         process.terminate()
-        log = process.communicate(timeout=PATIENCE_S)[1]
+        log = process.communicate(timeout=TIMEOUT_S)[1]
         for peer in (cache, old, discovery.peer):
             peer.close()
         for client in idle:
@@ -100,10 +100,10 @@
 
 def test_a_router_runs_in_one_thread(tmp_path: Path) -> None:
     """Threads cost memory in each of hundreds of processes on one machine."""
-    cache = serving()
-    with routed(tmp_path, {"s1": cache}) as router:
+    cache = echo_cache()
+    with run_router(tmp_path, {"s1": cache}) as router:
         assert router.client().ask(get("r1")) == b"r1"
-        assert router.shows("pid") == router.process.pid
+        assert router.status_value("pid") == router.process.pid
         tasks = Path(f"/proc/{router.process.pid}/task")
         threads = [task.joinpath("comm").read_text().strip() for task in tasks.iterdir()]
     assert len(threads) == 1, threads
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -23,18 +23,18 @@
 from saltport.decisions import ListKind, RequestClass, Server, ServersChanged, Settings
 from saltport.decisions.interface import NS_PER_S
 from saltport.downstream.clients import MAX_PIPELINE, ClientConnection, ClientServer
-from saltport.downstream.received import HELD_UP_NS, TICK_NS, KernelClock, ReceiveTimes
+from saltport.downstream.receive_times import KERNEL_TICK_NS, MAX_UNCERTAINTY_NS, KernelClock, ReceiveTimes
 from saltport.downstream.resp import RespDialect
 from saltport.membership.listing import Listing
 from saltport.router.host import RouterHost
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.pool import Pool
-from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit, routed
+from tests.sockets import TIMEOUT_S, Client, Peer, eventually, get, hit, run_router
 
 TOTAL_MS = 10_000
 HELD_S = 0.3
 SHORT_MS = 150  # shorter than HELD_S
-ROUNDING_NS = 2 * TICK_NS + NS_PER_MS  # of the kernel's clock, and of the milliseconds that are sent
+ROUNDING_NS = 2 * KERNEL_TICK_NS + NS_PER_MS  # of the kernel's clock, and of the milliseconds that are sent
 
 CLASSES = (RequestClass("get", aim=NS_PER_S, deadline=20 * NS_PER_S),)
 
@@ -77,19 +77,19 @@
 
     def serve(_: socket.socket, words: list[bytes]) -> bytes:
         if gate is not None and words[1] == b"slow":
-            assert gate.wait(PATIENCE_S)
+            assert gate.wait(TIMEOUT_S)
         return hit(words[2])
 
     async def run() -> None:
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
+        pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, Settings(classes=CLASSES), 1, pool, 1000)
         pool.touched, host.ready = host.touched, True
         addresses = {"s1": ("127.0.0.1", cache.port)}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, (Server("s1"),)), addresses))
         clients = ClientServer(loop, host, RespDialect, 64, 1 << 20)
         listener = socket.create_server(("127.0.0.1", 0))
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TIMEOUT_S):
             await scenario(World(host, clients, listener, cache))
         clients.close()
         pool.close()
@@ -215,7 +215,7 @@
 
 def test_time_unread_while_the_process_was_stopped_is_deducted(tmp_path: Path) -> None:
     cache = Peer(lambda _, words: hit(words[2]))
-    with routed(tmp_path, {"s1": cache}) as router:
+    with run_router(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("first", d=TOTAL_MS)) == b"first"
         router.process.send_signal(signal.SIGSTOP)
@@ -253,21 +253,21 @@
 @pytest.mark.parametrize("told", [None, b"", b"\x01" + bytes(55)], ids=["gone", "short", "zeros"])
 def test_bounds_of_the_loop_apply_if_the_kernel_states_no_receive_time(told: bytes | None) -> None:
     end, now = FakeSocket(told), 100 * NS_PER_S
-    times = ReceiveTimes(end, KernelClock(), lambda at: at - 2 * HELD_UP_NS, now)
-    first = times.read(now + NS_PER_MS, emptied=True, is_last=True)
-    assert first == Received(now - 2 * HELD_UP_NS, now + NS_PER_MS)
-    second = times.read(now + NS_PER_S, emptied=True, is_last=True)
-    assert second == Received(now + NS_PER_S - 2 * HELD_UP_NS, now + NS_PER_S)
+    times = ReceiveTimes(end, KernelClock(), lambda at: at - 2 * MAX_UNCERTAINTY_NS, now)
+    first = times.record_read(now + NS_PER_MS, emptied=True, is_last=True)
+    assert first == Received(now - 2 * MAX_UNCERTAINTY_NS, now + NS_PER_MS)
+    second = times.record_read(now + NS_PER_S, emptied=True, is_last=True)
+    assert second == Received(now + NS_PER_S - 2 * MAX_UNCERTAINTY_NS, now + NS_PER_S)
     assert end.queries == (2 if told is None else 1)
 
 
 def test_pause_of_reading_bounds_receive_times_until_the_kernel_buffer_is_empty() -> None:
     now = 100 * NS_PER_S
     times = ReceiveTimes(FakeSocket(None), KernelClock(), lambda at: at, now)
-    times.read(now, emptied=True, is_last=True)
-    times.stopped(now + 1)
-    times.stopped(now + 2)
-    results = [times.read(now + at, emptied=at > 3, is_last=True) for at in (3, 4, 5)]
+    times.record_read(now, emptied=True, is_last=True)
+    times.reading_stopped(now + 1)
+    times.reading_stopped(now + 2)
+    results = [times.record_read(now + at, emptied=at > 3, is_last=True) for at in (3, 4, 5)]
     assert [received.earliest_ns - now for received in results] == [1, 1, 5]
     assert [received.latest_ns - now for received in results] == [3, 4, 5]
 
--- a/tests/handover/test_learnt.py
+++ b/tests/handover/test_learnt.py
@@ -20,7 +20,7 @@
     TransferSender,
 )
 from saltport.lifecycle.takeover import MAX_MESSAGE
-from tests.sockets import PATIENCE_S, entry, eventually, get, serving
+from tests.sockets import TIMEOUT_S, echo_cache, entry, eventually, get
 
 SERVERS = 1_600
 
@@ -86,13 +86,13 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
-    learned, peer = learned_state(SERVERS), serving()
+    listener.settimeout(TIMEOUT_S)
+    learned, peer = learned_state(SERVERS), echo_cache()
     with platform(tmp_path, {"s1": peer}) as cluster:
         cluster.discovery.change(*(entry(peer, name) for name in learned["servers"]))
         process = cluster.start()
         before, _ = listener.accept()
-        before.settimeout(PATIENCE_S)
+        before.settimeout(TIMEOUT_S)
         assert before.recv(64) == b"H1"
         sender = TransferSender(lambda _: None)
         sender.send_learned(json.dumps(learned).encode())
@@ -102,7 +102,7 @@
         process.ready()
         # The process now listens where its successor connects.
         after = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-        after.settimeout(PATIENCE_S)
+        after.settimeout(TIMEOUT_S)
         eventually(lambda: after.connect_ex(str(tmp_path / "saltport.takeover")) == 0, "the process listens")
         receiver, received = TransferReceiver(), b""
         while not received:
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -21,10 +21,10 @@
 from saltport.admin.client import ask
 from saltport.router.requests import STALL_S
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
-from tests.binary import FRONT, Binary
+from tests.binary import MEMCACHED_FEATURE, MemcachedClient
 from tests.sockets import (
     MISS,
-    PATIENCE_S,
+    TIMEOUT_S,
     Client,
     Peer,
     bulk,
@@ -59,7 +59,7 @@
         # process takes longer than that to start. So the node sends byte by byte, except in tests of the last
         # bytes.
         step = int(len(answer) - sent > len(LONG) // 2)
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while not self.released.wait(STALL_S / 8):
             assert time.monotonic() < end
             connection.sendall(answer[sent : sent + step])
@@ -138,7 +138,7 @@
             return http_answer(200, b"short")
         answer = http_answer(200, LONG)
         connection.sendall(answer[: 200 << 10])
-        assert released.wait(PATIENCE_S)
+        assert released.wait(TIMEOUT_S)
         return answer[200 << 10 :]
 
     origin = Peer(serve, is_http=True)
@@ -159,10 +159,10 @@
 
 def test_memcached_value_and_an_incomplete_packet_continue(tmp_path: Path) -> None:
     node, file = PausingNode(), tmp_path / "memcached.toml"
-    file.write_text(FRONT.format(port=free_port()).replace("listen", "# listen"))
+    file.write_text(MEMCACHED_FEATURE.format(port=free_port()).replace("listen", "# listen"))
     with platform(tmp_path, {"s1": node.peer}, more=["--with", str(file)]) as cluster:
         old = cluster.start().ready()
-        client = Binary(cluster.port)
+        client = MemcachedClient(cluster.port)
         last = encode(Packet(Opcode.GETK, b"k3", opaque=3), REQUEST_MAGIC)
         client.send(Packet(Opcode.GET, b"long", opaque=1), Packet(Opcode.GETQ, b"k2", opaque=2))
         client.socket.sendall(last[:20])
@@ -245,7 +245,7 @@
     with value_in_progress(tmp_path) as (node, cluster, old, client):
         new = cluster.start().ready()
         os.kill(new.process.pid, signal.SIGKILL)
-        new.process.communicate(timeout=PATIENCE_S)
+        new.process.communicate(timeout=TIMEOUT_S)
         node.released.set()
         assert client.answer() == LONG
         assert old.healthy()
@@ -254,7 +254,7 @@
 def connect_as_successor(folder: Path, hello: bytes) -> socket.socket:
     """Connect to the running process as a successor of any program version would."""
     link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    link.settimeout(PATIENCE_S)
+    link.settimeout(TIMEOUT_S)
     link.connect(str(folder / "saltport.takeover"))
     if hello:
         link.send(hello)
@@ -330,12 +330,12 @@
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     listener.bind(str(tmp_path / "saltport.takeover"))
     listener.listen(1)
-    listener.settimeout(PATIENCE_S)
+    listener.settimeout(TIMEOUT_S)
     peer = Peer(lambda _, words: hit(words[2]))
     with platform(tmp_path, {"s1": peer}) as cluster:
         process = cluster.start()
         link, _ = listener.accept()
-        link.settimeout(PATIENCE_S)
+        link.settimeout(TIMEOUT_S)
         process.ready()
         assert link.recv(64) == b"H1"
         before = process.descriptors()
