--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -461,7 +461,9 @@
         age_s = self.server.loop.time() - self._progress_at if self._dialect.need else 0.0
         record = frozen.record(self._dialect, self.has_carried_request, transport.unsent, replies, age_s)
         self._mark_closed(CloseReason.MOVED)
-        successor.offer(ConnectionTransfer(record, frozen.descriptors, self.server.restorer(record, frozen.descriptors)))
+        successor.offer(
+            ConnectionTransfer(record, frozen.descriptors, self.server.restorer(record, frozen.descriptors))
+        )
 
     def _hand_over_idle(self) -> bool:
         """Pass an idle connection to a successor that takes no records; return False if not possible now."""
