--- a/benchmarks/hot_world.py
+++ b/benchmarks/hot_world.py
@@ -328,7 +328,7 @@
             if self.origin_drops:
                 for node in self.nodes.values():
                     node.kept.pop(read.key, None)
-            if send.hold:
+            if send.defer_answer:
                 end(Outcome.OK)
             else:
                 self._written(send.request)
@@ -359,7 +359,7 @@
             node.kept.pop(invalidate.key, None)
 
         def told(outcome: Outcome) -> Event:
-            return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.turn)
+            return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.sequence)
 
         self._plain(
             router,
--- a/saltport/decisions/effects.py
+++ b/saltport/decisions/effects.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from saltport.decisions.health import Node
-from saltport.decisions.interface import Effect, Group
+from saltport.decisions.interface import DedupScope, Effect
 from saltport.decisions.request import Request
 
 
@@ -21,13 +21,13 @@
     here, there = node.entry, request.ran.entry
     if request.cls.effect is Effect.UNSAFE or now >= request.not_after:
         return False
-    group, same_zone = request.cls.group, here.zone == there.zone
-    return group is Group.ALL or (same_zone and (group is Group.ZONE or here.cell == there.cell))
+    group, same_zone = request.cls.dedup_scope, here.zone == there.zone
+    return group is DedupScope.ALL or (same_zone and (group is DedupScope.ZONE or here.cell == there.cell))
 
 
 def may_repeat(request: Request) -> bool:
     """Whether it does no harm to try again, whatever became of the attempts before."""
-    keyed_anywhere = request.cls.effect is Effect.KEYED and request.cls.group is Group.ALL
+    keyed_anywhere = request.cls.effect is Effect.KEYED and request.cls.dedup_scope is DedupScope.ALL
     return request.cls.effect is Effect.SAFE or keyed_anywhere
 
 
--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -118,7 +118,7 @@
         self._weigh(now)
         own = min((node.weight for node in nodes.values()), default=1.0)
         self._meter.threshold = threshold(
-            own / (sum(node.weight for node in nodes.values()) or 1.0), self._limits.promise
+            own / (sum(node.weight for node in nodes.values()) or 1.0), self._limits.fair_shares
         )
         self._actions += self._invalidations.gone(nodes, now)
         for key in list(self._replicated):
@@ -155,7 +155,7 @@
                 self._weight(node, now) / total,
                 hot,
                 brought.get(node, 0.0) - own.get(node, 0.0),
-                self._limits.promise,
+                self._limits.fair_shares,
             )
             for node in order
         )
@@ -344,7 +344,7 @@
         if fetched:
             if event.outcome is Outcome.OK:
                 watched.failures = watched.fetch_after = 0
-            elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT) and not event.kept:
+            elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT) and not event.connection_reused:
                 # Danger: without a pause each read of a hot key that has no value is fetched in its turn.
                 pause = min(FETCH_PAUSE << min(watched.failures, 8), LONGEST_FETCH_PAUSE)
                 watched.failures += 1
--- a/saltport/decisions/hotkeys/invalidation.py
+++ b/saltport/decisions/hotkeys/invalidation.py
@@ -124,17 +124,17 @@
         self.invalidated += settled
         job = self._jobs.get(key)
         waited = job is not None and server in job.waiting and server not in job.behind
-        if waited and job is not None and event.turn < job.turn:
+        if waited and job is not None and event.sequence < job.turn:
             return []  # the answer to the later one counts
         doubt = self._doubts.get(key, {}).get(server)
         if doubt is not None:
             doubt.asked = False
         if not settled:
-            doubt = self._doubt(key, server, now, event.turn)
+            doubt = self._doubt(key, server, now, event.sequence)
             doubt.retry_at, doubt.pause = now + doubt.pause, min(2 * doubt.pause, LONGEST_RETRY)
         elif doubt is not None and now < doubt.sticky_until:
             doubt.retry_at = now + doubt.pause
-        elif doubt is not None and event.turn >= doubt.turn:
+        elif doubt is not None and event.sequence >= doubt.turn:
             self._clear(key, server)
         if job is None or not waited:
             return []
--- a/saltport/decisions/interface.py
+++ b/saltport/decisions/interface.py
@@ -1,6 +1,7 @@
-"""The public interface of saltport.decisions: settings, events and actions. No decisions are made here.
+"""The public interface of saltport.decisions: settings, events and actions.
 
-All times are whole nanoseconds on the caller's own monotonic clock.
+The module defines data types only. All times and durations are integer nanoseconds on the caller's monotonic
+clock.
 """
 
 from __future__ import annotations
@@ -17,15 +18,15 @@
 
 
 class Effect(Enum):
-    """What repeating a request does: nothing, dropped as a duplicate for a while, or harm."""
+    """Whether a request may be repeated: safely, within a deduplication window, or not at all."""
 
     SAFE = "safe"
     KEYED = "keyed"
     UNSAFE = "unsafe"
 
 
-class Group(Enum):
-    """The servers that drop repeats of a keyed request, seen from the one that may have run it."""
+class DedupScope(Enum):
+    """The servers that recognise repeats of a keyed request, relative to the server that may have run it."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,7 +34,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended."""
+    """How an attempt or a probe ended; MOOT means that it was abandoned before it was sent."""
 
     OK = "ok"
     MISS = "miss"
@@ -47,12 +48,12 @@
 
     @property
     def never_ran(self) -> bool:
-        """Whether this end proves that the request had no effect there."""
+        """Whether this outcome proves that the request had no effect at the server."""
         return self in (Outcome.MISS, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
 
 
 class ListKind(Enum):
-    """What a membership event holds."""
+    """The kind of a membership event: a change, the full list, a list from the cache, or a failed call."""
 
     DELTA = "delta"
     FULL = "full"
@@ -69,42 +70,42 @@
 
 
 class Reason(Enum):
-    """Why a request goes to no server now; figures, logs and refusals share these words."""
+    """Why a request is given up; metrics, logs and refusals use these values."""
 
     TRIES_SPENT = "tries spent"
     DEADLINE = "deadline"
     TOO_LATE = "too little time left"
-    """Less than a server's answers take."""
+    """The time left is shorter than a server's usual response time."""
     NO_SERVER = "no server"
-    """None that would hold the key is in use: it is a miss."""
+    """No server that may store the key is usable, so that the request counts as a miss."""
     SERVERS_FULL = "servers overrun"
     NO_ORIGIN = "no origin"
     ORIGIN_BUSY = "origin busy"
-    """A write waits until another call to the origin has ended."""
+    """The concurrency limit is reached: a write waits until another call to the origin has ended."""
     ORIGIN_FAILED = "origin failed"
     FETCH_SUPPRESSED = "fetch suppressed"
-    """By its tenant's rate limit."""
+    """The tenant's rate limit allows no fetch now."""
     FETCH_PAUSED = "its key's fetch failed just now"
     OUTSIDE_PLAN = "no room by plan"
-    """The plan of zones has no place for it."""
+    """The zone plan has no capacity for the request."""
     ROUTER_OVERLOADED = "router overloaded"
 
 
-class CacheNote(Enum):
-    """A cache's remark on an outcome; FETCH_OUT: a miss whose fetch another request was told to do."""
+class CacheStatus(Enum):
+    """How a cache server handled a read; FETCH_PENDING: a miss for which another request already fetches."""
 
     HIT = 1
     MISS = 2
-    FETCH_OUT = 3
+    FETCH_PENDING = 3
 
 
 class Fill(Enum):
-    """How a further node of a hot key comes to hold it."""
+    """How a value is copied to the additional nodes of a hot key."""
 
     READS = "reads"
-    """By a read that visits nodes that lack it, where the origin's answer is then stored: PROTOCOL's rule."""
+    """A read visits the nodes without the value, and the origin's answer is stored there."""
     WRITES = "writes"
-    """By a plain write of an answer that passes by, on nodes that take one."""
+    """The router writes the value of an answer that it forwards to nodes that accept such writes."""
 
 
 def _require(ok: bool, key: str, rule: str) -> None:
@@ -114,13 +115,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """A class of requests; an answer within `aim` is worth the most."""
+    """A class of requests with its target response time `aim`, deadline and rules for repeats.
+
+    Repeats of a keyed request are dropped for `dedup_window` by the servers in `dedup_scope`. Answers of a
+    `streamed` class occupy their server until the last byte.
+    """
 
     name: str
     aim: int
     deadline: int
     effect: Effect = Effect.SAFE
-    group: Group = Group.ALL
+    dedup_scope: DedupScope = DedupScope.ALL
     dedup_window: int = 0
     streamed: bool = False
 
@@ -133,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Tenant:
-    """A tenant, its portion of the service, and its requests a second over all routers together."""
+    """A tenant, its portion of the service, and its quota in requests per second over all routers."""
 
     name: str
     portion: float
@@ -146,23 +151,23 @@
 
 @dataclass(frozen=True, slots=True)
 class HotKeySettings:
-    """Hot keys on several nodes; times are nanoseconds, sizes bytes."""
+    """The settings of hot-key replication; times are in nanoseconds, sizes in bytes."""
 
     fill: Fill = Fill.READS
     max_keys: int = 64
-    """ReplicatedKey at a time; a tenant may have its portion of them, one at least."""
+    """Keys that are replicated at a time; a tenant may have its portion of them, and at least one."""
     max_copies: int = 16
-    """Of one key, its own node among them; with plain writes also the nodes where each write invalidates."""
+    """Copies of one key, including that on its own node; with `Fill.WRITES` each write invalidates them."""
     max_bytes: int = 64 << 20
-    """Of all further copies together, as far as sizes are known."""
+    """The total size of all additional copies whose sizes are known."""
     max_value: int = 64 << 10
-    """The longest value that is copied by a plain write."""
+    """The longest value that `Fill.WRITES` copies."""
     lease: int = 30 * NS_PER_S
-    """After which a copy that was set by a plain write expires."""
+    """The time after which a copy that the router wrote expires."""
     capacity: int = 1024
-    """Keys that are counted, of all tenants together."""
-    promise: float = 2.0
-    """Times its fair share of all reads that a node may get; what nodes can bear at their usual load."""
+    """Keys whose reads are counted, over all tenants."""
+    fair_shares: float = 2.0
+    """The greatest multiple of its fair share of all reads that a node may receive."""
 
     def __post_init__(self) -> None:
         _require(self.max_keys >= 1, "hot_keys.max_keys", "must be at least 1")
@@ -171,22 +176,22 @@
         _require(0 < self.max_value <= 64 << 10, "hot_keys.max_value", "must be from 1 to 65,536")
         _require(self.lease >= NS_PER_S, "hot_keys.lease", "must be at least a second")
         _require(16 <= self.capacity <= 1 << 16, "hot_keys.capacity", "must be from 16 to 65,536")
-        _require(1.05 <= self.promise <= 100, "hot_keys.fair_shares", "must be from 1.05 to 100")
+        _require(1.05 <= self.fair_shares <= 100, "hot_keys.fair_shares", "must be from 1.05 to 100")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What a router is told at its start."""
+    """The settings of a router's decisions."""
 
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     routers: int = 1
     origin_kind: str | None = None
-    """The machine kind of the origin's list entries; None: the caches fetch for themselves."""
+    """The machine kind of the origin's entries in the server list; None: the caches fetch by themselves."""
     weighted: bool = False
-    """Whether list weights state the servers' sizes."""
+    """Whether the weights in the server list state the servers' sizes."""
     must_subscribe: bool = False
-    """Whether the server list has to be asked for."""
+    """Whether the router must subscribe to the server list."""
     ask_within: int = 10 * NS_PER_S
     cold_share: float = 1.0
     cold_time: int = 0
@@ -195,17 +200,17 @@
     max_retry_after: int = NS_PER_S
     may_probe: bool = False
     load_fields: tuple[str, ...] = ()
-    """The names of the values in a load report, in order."""
+    """The names of the values in a load report, in their order."""
     slots: int = DEFAULT_SLOTS
-    """Far more than servers, so that a slot's load is small beside a server's; the same at every router."""
+    """The number of slots, equal at every router; far more than servers, so that a slot's load is small."""
     vectors: bool = False
-    """Whether large fleets are ranked with numpy, which takes some 17 MB."""
+    """Whether large fleets are ranked with numpy, which takes about 17 MB of memory."""
     overload_target: int = 0
-    """For so long, in nanoseconds, what comes may lie unread before the router sheds; 0: it never does."""
+    """The time that received data may lie unread before the router sheds load; 0: it never sheds."""
     hot_keys: HotKeySettings | None = None
-    """None: slots are replicated by their estimated load, keys are not told apart."""
+    """None: slots are replicated by their estimated load, without distinguishing keys."""
     topology: Topology | None = None
-    """None: all servers are equally near."""
+    """The zones and regions; None: all servers are equally near."""
 
     def __post_init__(self) -> None:
         _require(bool(self.classes), "classes", "must name at least one class")
@@ -222,7 +227,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
-    """One entry of the server list; `started` 0: long ago."""
+    """An entry of the server list; `started` is the start time, 0 where it lies long ago."""
 
     id: str
     kind: str = ""
@@ -235,36 +240,36 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersChanged:
-    """News of the server list. FAILED has no entries, and the list held stays valid."""
+    """A change of the server list; after FAILED, which has no entries, the previous list stays valid."""
 
     kind: ListKind
     servers: tuple[Server, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class ServerOut:
-    """An operator takes a server out: it gets nothing more, whatever the list says, until ServerBack."""
+class ServerExcluded:
+    """An operator excludes a server: no requests go to it, whatever the list says, until ServerReadmitted."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
-class ServerBack:
-    """An operator lets a server be used again."""
+class ServerReadmitted:
+    """An operator ends the exclusion of a server."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class SettingsChanged:
-    """New settings are in force; requests that are open keep the class and the attempts they came with."""
+    """New settings apply; open requests keep their class and their number of attempts."""
 
     settings: Settings
 
 
-@dataclass(slots=True)  # not frozen: four times as dear to make
+@dataclass(slots=True)  # not frozen: a frozen instance takes four times as long to create
 class RequestArrived:
-    """A client's request; one final answer is owed by `deadline` (clock time)."""
+    """A client's request, which needs one final answer by the clock time `deadline`."""
 
     request: str
     request_class: str
@@ -277,15 +282,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """A streamed answer has begun: the attempt belongs to the client from here on."""
+    """The first byte of an answer was forwarded; the rest of the attempt depends on the client's reading."""
 
     request: str
     attempt: int
 
 
-@dataclass(slots=True)  # not frozen: four times as dear to make
+@dataclass(slots=True)  # not frozen: a frozen instance takes four times as long to create
 class AttemptEnded:
-    """The end of one attempt. `closed`: the request has its final answer already."""
+    """The end of one attempt; `closed` says whether the request already has its final answer."""
 
     request: str
     attempt: int
@@ -293,33 +298,33 @@
     outcome: Outcome
     closed: bool
     latency: int
-    note: CacheNote | None = None
+    cache_status: CacheStatus | None = None
     load: tuple[float, ...] | None = None
     lag: int = 0
-    """The part of `latency` that this router took itself: waiting to send, sending late, reading late."""
-    kept: bool = False
-    """Whether its connection had carried others before: a break of such a one tells nothing of a server."""
+    """The part of `latency` that this router caused: waiting to send, sending late or reading late."""
+    connection_reused: bool = False
+    """Whether the connection had carried other requests: the reset of such a one is no sign of a failure."""
     size: int = 0
-    """Bytes of the value, as far as known."""
+    """The size of the value in bytes, 0 where unknown."""
     unsent: bool = False
-    """Whether nothing of it left: it never ran, whatever the outcome says of its server."""
+    """Whether no byte of the request was sent, so that it had no effect whatever the outcome."""
 
     @property
     def never_ran(self) -> bool:
-        """Whether it surely had no effect there."""
+        """Whether the attempt certainly had no effect at the server."""
         return self.unsent or self.outcome.never_ran
 
 
 @dataclass(frozen=True, slots=True)
 class ClientGone:
-    """The client has left; nothing is owed any more."""
+    """The client has disconnected or cancelled, so that its request needs no answer."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the router set is due."""
+    """A timer that was set with SetTimer has expired."""
 
     token: str
 
@@ -336,8 +341,8 @@
 
 @dataclass(frozen=True, slots=True)
 class LoopReport:
-    """How the host's loop fared lately: the share of the time that it was busy, for how long what comes lies
-    unread, and the time that this tells of; both in nanoseconds."""
+    """The event loop's recent load: the share of time it was `busy`, the `delay` before received data is read
+    and the `span` of time that the report covers."""
 
     busy: float
     delay: int
@@ -346,7 +351,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CopyEnded:
-    """The end of a copy that was asked for."""
+    """The result of a Copy action."""
 
     key: str
     server: str
@@ -355,34 +360,34 @@
 
 @dataclass(frozen=True, slots=True)
 class InvalidationEnded:
-    """The end of an invalidation that was asked for."""
+    """The result of the Invalidate action with the same `sequence` number."""
 
     key: str
     server: str
     outcome: Outcome
-    turn: int
+    sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class ZonePlan:
-    """Where the reads of this router's zone go from now on; zones and regions by their places."""
+    """The distribution of the reads of this router's zone; zones and regions are given by their indices."""
 
     shares: tuple[float, ...]
-    """Of the slots, by zone."""
+    """The share of the slots that each zone serves."""
     refused: float = 0.0
-    """The part of the reads that finds room nowhere."""
+    """The share of the reads for which no zone has capacity."""
     trials: tuple[int, ...] = ()
-    """Zones that are held bad, and asked now and then."""
+    """Zones that are considered unhealthy and receive trial reads only."""
     trial: float = 0.02
-    """By so many of the first tries of reads."""
+    """The share of the first attempts of reads that are sent to the zones in `trials`."""
     closed: tuple[int, ...] = ()
-    """Zones that were evacuated by hand: they get nothing."""
+    """Zones that an operator evacuated: they receive no requests."""
     origins: tuple[int, ...] = ()
-    """Regions by whose origins this one is served, the first that is listed; empty: the nearest."""
+    """The regions whose origins may serve this region, in order of preference; empty: nearest first."""
     lost: bool = False
-    """Whether the own region's origin is held silent, and asked now and then by reads."""
+    """Whether the origin of this region is considered unresponsive and receives trial reads only."""
     binding: bool = True
-    """Whether other zones are for failures only; False: nobody decides, and overflow is each router's own."""
+    """Whether reads leave their planned zone only after failures; False: routers may overflow to others."""
 
 
 Event = (
@@ -396,36 +401,36 @@
     | LoopReport
     | CopyEnded
     | InvalidationEnded
-    | ServerOut
-    | ServerBack
+    | ServerExcluded
+    | ServerReadmitted
     | SettingsChanged
     | ZonePlan
 )
 
 
-@dataclass(slots=True)  # not frozen: four times as dear to make
+@dataclass(slots=True)  # not frozen: a frozen instance takes four times as long to create
 class Send:
-    """Start an attempt at a server; `timeout` 0: until the client gives up."""
+    """Start an attempt at a server; with `timeout` 0 it lasts until the request's deadline."""
 
     request: str
     server: str
     timeout: int = 0
-    hold: bool = False
-    """Whether a good answer is not given yet, but only with Answer."""
+    defer_answer: bool = False
+    """Whether a successful answer is withheld from the client until an Answer action."""
     not_after: int = 0
-    """The clock time from which on it may not leave, whatever it waited for; 0: its deadline only."""
+    """The clock time from which the attempt may no longer be sent; 0: the request's deadline."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Give the answer that was held."""
+    """Forward the answer of an attempt that was sent with `defer_answer`."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """Write the value that has just been served to this request to one more node, for so long."""
+    """Write the value just returned for this request to another node, where it expires after `lease`."""
 
     request: str
     key: str
@@ -435,16 +440,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Invalidate:
-    """Drop a key at a node; `turn` tells the invalidations of one key apart."""
+    """Delete a key at a node; `sequence` distinguishes the invalidations of one key."""
 
     key: str
     server: str
-    turn: int
+    sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Final answer: not done, and trying again does no harm."""
+    """Final answer: the request was not served, and the client may safely retry it."""
 
     request: str
     retry_after: int = 0
@@ -453,7 +458,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Final answer: failed. It promises nothing about the effect."""
+    """Final answer: the request failed and may have had an effect."""
 
     request: str
     reason: Reason | None = field(default=None, compare=False)
@@ -461,7 +466,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Ask for a TimerFired after `delay`."""
+    """Request a TimerFired event with this `token` after `delay`."""
 
     delay: int
     token: str
@@ -469,19 +474,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Subscribe:
-    """Ask for the changes of the server list from now on."""
+    """Subscribe to the changes of the server list."""
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
-    """Examine a server."""
+    """Check whether a server answers; the result is a ProbeEnded event."""
 
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Log:
-    """A line for the operator; never more than a few for a server and ejection."""
+    """A log line for the operator; there are at most a few for each ejection of a server."""
 
     message: str
 
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -64,10 +64,10 @@
                 self._servers_changed(event)
             case api.SettingsChanged():
                 self._follow_settings(event.settings)
-            case api.ServerOut():
+            case api.ServerExcluded():
                 self.registry.take_out(event.server)
                 self._update([], [event.server])
-            case api.ServerBack():
+            case api.ServerReadmitted():
                 entry = self.registry.put_back(event.server, now)
                 self._update([entry] if entry else [], [])
             case api.TimerFired():
@@ -229,7 +229,7 @@
         took = max(event.latency - max(event.lag, self.overload.lag), 0)
         late = took > request.cls.aim
         # Danger: servers may close what they keep at any time; counted, that would eject healthy ones.
-        broke = event.kept and outcome is Outcome.RESET
+        broke = event.connection_reused and outcome is Outcome.RESET
         self.replication.ended(request, node, event, fetched, self._now)
         self._learn(request, node, event, fetched, took)
         if fetched:
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -83,7 +83,9 @@
             self._width += 1 / self._width
             for limiter in self.rate_limiters.values():
                 limiter.rise(now)
-        elif (late or event.outcome not in NO_FAULT) and not (event.kept and event.outcome is Outcome.RESET):
+        elif (late or event.outcome not in NO_FAULT) and not (
+            event.connection_reused and event.outcome is Outcome.RESET
+        ):
             self._bad += (1 - self._bad) / BAD_SAMPLES
             # A lone bad fetch is chance (a heavy tail), and one round-trip's bad fetches are one sign.
             if self._bad >= BAD_SHARE and now - self._last_cut >= self.response_time.mean:
--- a/saltport/decisions/settings.py
+++ b/saltport/decisions/settings.py
@@ -54,7 +54,7 @@
         aim=whole("classes.aimNs", facts["aimNs"], 1),
         deadline=whole("classes.giveUpNs", facts["giveUpNs"], 1),
         effect=choice("classes.semantics", _EFFECTS, facts["semantics"]),
-        group=api.Group(facts.get("group") or "all"),
+        dedup_scope=api.DedupScope(facts.get("group") or "all"),
         dedup_window=whole("classes.dedupWindowNs", facts.get("dedupWindowNs") or 0, 0),
         streamed=bool(facts.get("streamed")),
     )
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -214,7 +214,7 @@
         outcome = event.outcome
         if outcome in NO_EVIDENCE:
             return
-        silent = outcome in SILENT and not (event.kept and outcome is Outcome.RESET)
+        silent = outcome in SILENT and not (event.connection_reused and outcome is Outcome.RESET)
         if outcome is Outcome.TIMEOUT and event.latency < _usual_most(node):
             return  # its client had less time than answers take
         if fetched:
--- a/saltport/router/background_requests.py
+++ b/saltport/router/background_requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from saltport.deadline import Deadline
-from saltport.decisions import CacheNote, Event, Outcome, ProbeEnded
+from saltport.decisions import CacheStatus, Event, Outcome, ProbeEnded
 from saltport.router.event_host import EventHost
 from saltport.upstream.connection import Exchange
 
@@ -28,7 +28,7 @@
     def _timed_out(self) -> None:
         self.give_up(Outcome.TIMEOUT)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Tell the decisions."""
         self._timer.cancel()
         latency = time.monotonic_ns() - self._sent_at
@@ -52,7 +52,7 @@
         # One that waits for a free connection never ran.
         self.give_up(Outcome.MOOT if self.connection is None else Outcome.TIMEOUT)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Tell the decisions."""
         self._timer.cancel()
         self._host.tell(self._ended_event(outcome))
--- a/saltport/router/features.py
+++ b/saltport/router/features.py
@@ -54,7 +54,7 @@
     max_value: int = _HOT.max_value
     lease_ms: int = _HOT.lease // 1_000_000
     capacity: int = _HOT.capacity
-    fair_shares: float = _HOT.promise
+    fair_shares: float = _HOT.fair_shares
 
     def settings(self) -> HotKeySettings | None:
         """The module's settings, or nothing where it is off; raises ValueError."""
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -31,8 +31,8 @@
     RequestArrived,
     Router,
     Send,
-    ServerBack,
-    ServerOut,
+    ServerExcluded,
+    ServerReadmitted,
     ServersChanged,
     ServerState,
     SetTimer,
@@ -298,14 +298,14 @@
 
     def take_out(self, server_id: str) -> None:
         """Send nothing more to a server, whatever the list says, until it is put back."""
-        self.tell(ServerOut(server_id))
+        self.tell(ServerExcluded(server_id))
         self._pool.unlist_server(server_id)
 
     def put_back(self, server_id: str) -> None:
         """Use a server again, if it is listed as ready."""
         if server_id in self._places:
             self._pool.list_server(server_id, *self._places[server_id])
-        self.tell(ServerBack(server_id))
+        self.tell(ServerReadmitted(server_id))
 
     def trials_due(self) -> dict[str, int]:
         """The ejected servers, and when each may be tried."""
@@ -420,7 +420,7 @@
 
     def _invalidate(self, action: Invalidate) -> None:
         def told(outcome: Outcome) -> Event:
-            return InvalidationEnded(action.key, action.server, outcome, action.turn)
+            return InvalidationEnded(action.key, action.server, outcome, action.sequence)
 
         invalidation = Invalidation(self, action.key.encode(), self._probe_timeout, told)
         self._pool.submit(action.server, invalidation)
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -12,7 +12,7 @@
 from saltport.deadline import NS_PER_MS, Deadline, Received
 from saltport.decisions import (
     AttemptEnded,
-    CacheNote,
+    CacheStatus,
     ClientGone,
     Outcome,
     RequestArrived,
@@ -280,7 +280,7 @@
 
     def __init__(self, host: RequestHost, request: OpenRequest, told: Send) -> None:
         super().__init__(host, request.reply, request.asked.request_class)
-        self._request, self._server, self._hold = request, told.server, told.hold
+        self._request, self._server, self._hold = request, told.server, told.defer_answer
         self._not_after_ns = told.not_after or request.deadline.at_ns
         self.request = request.asked
         self._number = request.attempts
@@ -381,7 +381,7 @@
     def _moved(self) -> None:
         self._host.count(self._request, None)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """The first OK is the client's answer; the module is told of every end."""
         if self._timer is not None:
             self._timer.cancel()
@@ -454,7 +454,7 @@
             self._counted = True
             self._host.figures.ended(self._class, None)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """The first end is the request's."""
         if self._timer is not None:
             self._timer.cancel()
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -25,7 +25,7 @@
 }
 _LIST_KINDS = (api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED)
 _STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
-_NOTES = {1: api.CacheNote.HIT, 2: api.CacheNote.MISS, 3: api.CacheNote.FETCH_OUT}
+_NOTES = {1: api.CacheStatus.HIT, 2: api.CacheStatus.MISS, 3: api.CacheStatus.FETCH_PENDING}
 
 
 def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
@@ -75,7 +75,7 @@
         outcome=choice("reply.verdict", _OUTCOMES, fields["verdict"]),
         closed=fields["terminal"],
         latency=fields["timeTakenNs"],
-        note=_NOTES.get(fields.get("note") or 0),
+        cache_status=_NOTES.get(fields.get("note") or 0),
         load=_load(fields.get("feedback")),
     )
 
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -14,7 +14,7 @@
 from typing import Protocol, cast
 
 from saltport.address import Address
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.handover.record import Flow
 from saltport.messages import Request, ValueSource
 from saltport.transport.readiness import Readiness
@@ -93,7 +93,7 @@
         """Its request is written to a connection."""
 
     @abstractmethod
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Take the end."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
@@ -102,7 +102,7 @@
     def value_came(self, data: bytes) -> None:
         """Take a part of it."""
 
-    def end(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def end(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Take the first end; later ones are dropped."""
         if not self.over:
             self.over, self.connection = True, None
@@ -139,7 +139,7 @@
         """It is never sent: its request left long ago."""
         return 0
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Nobody waits for it."""
 
 
@@ -313,7 +313,7 @@
         if self.server.late.pop(self, self) is None and self._late_timer is not None:
             self._late_timer.cancel()
 
-    def finish(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def finish(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """End the exchange on this connection, which may take another."""
         exchange, self.exchange, self.kept = self.exchange, None, True
         self._no_longer_late()
--- a/saltport/upstream/resp.py
+++ b/saltport/upstream/resp.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.handover.record import Flow
 from saltport.upstream.connection import Connection, Exchange, Server
 from saltport.wire.resp import FramingError, command, info_with
@@ -18,9 +18,9 @@
 )
 
 _NOTES = {
-    b"hit": CacheNote.HIT,
-    b"miss": CacheNote.MISS,
-    b"pending": CacheNote.FETCH_OUT,
+    b"hit": CacheStatus.HIT,
+    b"miss": CacheStatus.MISS,
+    b"pending": CacheStatus.FETCH_PENDING,
 }
 
 
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.messages import Request, ValueSource
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.connection import Connection, Exchange
@@ -108,7 +108,7 @@
     def value_came(self, data: bytes) -> None:
         self.parts.append(data)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         self.end_of_it.set_result((outcome, value))
 
 
--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -8,9 +8,9 @@
 from saltport.decisions import (
     Action,
     AttemptEnded,
+    DedupScope,
     Effect,
     Fail,
-    Group,
     ListKind,
     Outcome,
     Refuse,
@@ -36,7 +36,12 @@
             RequestClass("edit", aim=500 * MS, deadline=S, effect=Effect.KEYED, dedup_window=2 * S),
             RequestClass("order", aim=500 * MS, deadline=S, effect=Effect.UNSAFE),
             RequestClass(
-                "zonal", aim=500 * MS, deadline=S, effect=Effect.KEYED, group=Group.ZONE, dedup_window=2 * S
+                "zonal",
+                aim=500 * MS,
+                deadline=S,
+                effect=Effect.KEYED,
+                dedup_scope=DedupScope.ZONE,
+                dedup_window=2 * S,
             ),
         ),
         "tenants": (Tenant("a", 0.6, 60.0), Tenant("b", 0.4, 40.0)),
--- a/tests/decisions/replay/codec.py
+++ b/tests/decisions/replay/codec.py
@@ -50,7 +50,7 @@
         latency=fields["timeTakenNs"],
         load=tuple(fields["feedback"]) if fields.get("feedback") else None,
         lag=fields.get("lag", 0),
-        kept=fields.get("kept", False),
+        connection_reused=fields.get("kept", False),
         size=fields.get("size", 0),
     )
 
@@ -65,8 +65,8 @@
 EVENTS = {
     "reply": _attempt_ended,
     "loop": lambda fields: api.LoopReport(**fields),
-    "takeOut": lambda fields: api.ServerOut(fields["server"]),
-    "putBack": lambda fields: api.ServerBack(fields["server"]),
+    "takeOut": lambda fields: api.ServerExcluded(fields["server"]),
+    "putBack": lambda fields: api.ServerReadmitted(fields["server"]),
     "settings": lambda fields: api.SettingsChanged(read_widened_settings(fields)),
     "copied": lambda fields: api.CopyEnded(fields["key"], fields["server"], _OUTCOMES[fields["verdict"]]),
     "dropped": lambda fields: api.InvalidationEnded(
@@ -78,7 +78,7 @@
 
 def _send(action: api.Send) -> Fields:
     fields: Fields = {"corr": action.request, "server": action.server, "patienceNs": action.timeout}
-    return {"transmit": {**fields, "hold": action.hold, "notAfterNs": action.not_after}}
+    return {"transmit": {**fields, "hold": action.defer_answer, "notAfterNs": action.not_after}}
 
 
 ACTIONS = {
@@ -93,7 +93,7 @@
         }
     },
     api.Invalidate: lambda action: {
-        "drop": {"key": action.key, "server": action.server, "turn": action.turn}
+        "drop": {"key": action.key, "server": action.server, "turn": action.sequence}
     },
 }
 
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -13,10 +13,10 @@
     Action,
     AttemptEnded,
     ClientGone,
+    DedupScope,
     Effect,
     Event,
     Fail,
-    Group,
     ListKind,
     Outcome,
     Refuse,
@@ -133,7 +133,7 @@
             cls = CLASSES[known.event.request_class]
             if isinstance(action, Refuse) and known.may_have_run and cls.effect is not Effect.SAFE:
                 assert cls.effect is Effect.KEYED
-                assert cls.group is Group.ALL
+                assert cls.dedup_scope is DedupScope.ALL
         elif isinstance(action, Send):
             self.check_send(action, now)
 
@@ -148,7 +148,7 @@
             first_at, first_server = known.may_have_run[0]
             assert cls.effect is Effect.KEYED
             assert now - first_at < cls.dedup_window
-            if cls.group is Group.ZONE:
+            if cls.dedup_scope is DedupScope.ZONE:
                 assert self.servers[first_server].zone == self.servers[action.server].zone
         known.out = True
         attempt = len(known.sends)
--- a/tests/decisions/test_server_registry.py
+++ b/tests/decisions/test_server_registry.py
@@ -15,8 +15,8 @@
     Router,
     Send,
     Server,
-    ServerBack,
-    ServerOut,
+    ServerExcluded,
+    ServerReadmitted,
     ServersChanged,
     ServerState,
     views,
@@ -55,7 +55,7 @@
     servers = fleet(4)
     router = started(settings(), servers)
     assert servers[0].id in asked(router, 60, S)
-    router.handle(ServerOut(servers[0].id), S)
+    router.handle(ServerExcluded(servers[0].id), S)
     assert servers[0].id not in asked(router, 60, 2 * S, "a")
     assert callable(news)
     router.handle(news(servers), 3 * S)
@@ -65,7 +65,7 @@
     router.handle(changed(ListKind.DELTA, servers[0]), 6 * S)
     assert servers[0].id not in asked(router, 60, 7 * S, "c")
     assert views.cluster(router) == (4, 1)
-    router.handle(ServerBack(servers[0].id), 8 * S)
+    router.handle(ServerReadmitted(servers[0].id), 8 * S)
     assert servers[0].id in asked(router, 60, 9 * S, "d")
     assert views.cluster(router) == (4, 0)
 
@@ -73,7 +73,7 @@
 def test_out_before_it_is_listed_is_out_when_it_comes() -> None:
     router = Router(settings(), 1)
     servers = fleet(3)
-    router.handle(ServerOut(servers[1].id), 0)
+    router.handle(ServerExcluded(servers[1].id), 0)
     router.handle(changed(ListKind.CACHED, *servers), 0)
     assert servers[1].id not in asked(router, 60, S)
 
@@ -82,11 +82,11 @@
     servers = fleet(3)
     router = started(settings(), servers)
     for _ in range(3):
-        router.handle(ServerOut(servers[0].id), S)
-    router.handle(ServerBack(servers[0].id), 2 * S)
+        router.handle(ServerExcluded(servers[0].id), S)
+    router.handle(ServerReadmitted(servers[0].id), 2 * S)
     assert servers[0].id in asked(router, 60, 3 * S)
     node = router.caches.nodes[servers[0].id]
-    router.handle(ServerBack(servers[0].id), 4 * S)
+    router.handle(ServerReadmitted(servers[0].id), 4 * S)
     assert router.caches.nodes[servers[0].id] is node, "one that is not out is left as it is"
 
 
@@ -94,7 +94,7 @@
     servers = fleet(3)
     router, empty = started(settings(), servers, origin=False), started(settings(), (), origin=False)
     for server in servers:
-        router.handle(ServerOut(server.id), S)
+        router.handle(ServerExcluded(server.id), S)
     told, as_empty = router.handle(request("r", S), S), empty.handle(request("r", S), S)
     assert sends(told) == []
     assert (
@@ -105,7 +105,7 @@
 def test_panic_sends_nothing_to_one_that_is_out() -> None:
     servers = fleet(4)
     router = started(settings(), servers)
-    router.handle(ServerOut(servers[0].id), S)
+    router.handle(ServerExcluded(servers[0].id), S)
     now = S
     for round_ in range(40):
         now += 100 * MS
@@ -126,8 +126,8 @@
         sent = S + i * MS
         router.outliers.judge(node, f"x{i}", Outcome.CONNECT_FAILED, sent, sent + 1)
     assert servers[0].id in router.outliers.ejected
-    router.handle(ServerOut(servers[0].id), 2 * S)
-    router.handle(ServerBack(servers[0].id), 3 * S)
+    router.handle(ServerExcluded(servers[0].id), 2 * S)
+    router.handle(ServerReadmitted(servers[0].id), 3 * S)
     assert servers[0].id not in router.outliers.ejected
     node = router.caches.nodes[servers[0].id]
     assert router.caches.warmth(node, 3 * S) == pytest.approx(0.25)
@@ -143,9 +143,9 @@
     servers = fleet(8)
     router = started(COLD, servers)
     for server in servers[:4]:
-        router.handle(ServerOut(server.id), S)
+        router.handle(ServerExcluded(server.id), S)
     for server in servers[:4]:
-        router.handle(ServerBack(server.id), 2 * S)
+        router.handle(ServerReadmitted(server.id), 2 * S)
     went = asked(router, 4000, 2 * S)
     cold = sum(went.count(server.id) for server in servers[:4]) / 4
     warm = sum(went.count(server.id) for server in servers[4:]) / 4
@@ -156,7 +156,7 @@
     servers = fleet(3)
     router = started(settings(), servers)
     send = sends(router.handle(request("r", S), S))[0]
-    router.handle(ServerOut(send.server), S)
+    router.handle(ServerExcluded(send.server), S)
     again = sends(router.handle(ended(send, Outcome.CONNECT_FAILED), S + MS))
     assert [entry.server != send.server for entry in again] == [True]
 
@@ -200,10 +200,10 @@
                 router.handle(ServersChanged(ListKind.FULL, entries), now)
                 listed = {entry.id: entry.state for entry in entries}
             case 2:
-                router.handle(ServerOut(name), now)
+                router.handle(ServerExcluded(name), now)
                 out.add(name)
             case _:
-                router.handle(ServerBack(name), now)
+                router.handle(ServerReadmitted(name), now)
                 out.discard(name)
         usable = {server for server, state in listed.items() if state is ServerState.READY} - out
         assert set(router.caches.nodes) == usable
@@ -222,7 +222,7 @@
             if step == 200:
                 banned = {servers[0].id, servers[3].id}
                 for server in banned:
-                    router.handle(ServerOut(server), now)
+                    router.handle(ServerExcluded(server), now)
             if open_sends and rng.random() < 0.6:
                 send = open_sends.pop(rng.randrange(len(open_sends)))
                 outcome = rng.choice((Outcome.OK, Outcome.MISS, Outcome.TIMEOUT, Outcome.RESET, Outcome.FULL))
--- a/tests/hotkeys/test_invalidation.py
+++ b/tests/hotkeys/test_invalidation.py
@@ -15,7 +15,7 @@
 
 
 def said(invalidate: Invalidate, outcome: Outcome = Outcome.OK) -> InvalidationEnded:
-    return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.turn)
+    return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.sequence)
 
 
 def begun(
--- a/tests/router/test_descriptors.py
+++ b/tests/router/test_descriptors.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.messages import Request
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.connection import Exchange
@@ -48,7 +48,7 @@
     def remaining_ms(self) -> int:
         return 60_000
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         self.outcome.set_result(outcome)
 
 
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -15,7 +15,7 @@
 import pytest
 
 from saltport.admin.client import ask
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.downstream.clients import IDLE_S, SWEEP_S
 from saltport.messages import Request, ValueSource
 from saltport.transport.loop import on_router_loop
@@ -354,7 +354,7 @@
     def remaining_ms(self) -> int:
         return 5000
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         self.came.set_result((outcome, value))
 
 
--- a/tests/wire/mutations.py
+++ b/tests/wire/mutations.py
@@ -10,7 +10,7 @@
 
 from hypothesis import strategies as st
 
-from saltport.decisions import CacheNote, Outcome
+from saltport.decisions import CacheStatus, Outcome
 from saltport.messages import Request, ValueSource
 from saltport.upstream import http as upstream_http
 from saltport.upstream.connection import Connection, Exchange, Server
@@ -19,7 +19,7 @@
 from saltport.wire import resp_answers
 from tests.wire.reference import Read, cache_answer, origin_answer
 
-NOTES = {b"hit": CacheNote.HIT, b"miss": CacheNote.MISS, b"pending": CacheNote.FETCH_OUT}
+NOTES = {b"hit": CacheStatus.HIT, b"miss": CacheStatus.MISS, b"pending": CacheStatus.FETCH_PENDING}
 ENDS = {"value": Outcome.OK, "miss": Outcome.MISS, "busy": Outcome.FULL, "error": Outcome.ERROR}
 TRICKY = [
     b"\r",
@@ -68,7 +68,7 @@
     def __init__(self) -> None:
         self.outcome: Outcome | None = None
         self.value: bytes | None = None
-        self.note: CacheNote | None = None
+        self.note: CacheStatus | None = None
         self.length: int | None = None
         self.parts = b""
 
@@ -82,7 +82,7 @@
     def value_came(self, data: bytes) -> None:
         self.parts += data
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         self.outcome, self.value, self.note = outcome, value, note
         if self.length is not None and outcome is Outcome.OK:
             assert value is None
