--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -58,7 +58,7 @@
         self._replicated: dict[str, ReplicatedKey] = {}
         self._writes = limits.fill is Fill.WRITES
         self._invalidations = Invalidations(limits.lease, 0)
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         self._held_writes: dict[str, str] = {}  # writes whose answers wait, with their keys
         self._filling: dict[str, dict[str, int]] = {}  # plain writes under way, by key and server
         self._withdrawn: dict[str, dict[str, int]] = {}  # copies of keys released, till when
@@ -79,7 +79,7 @@
 
     # Finding
 
-    def follow_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Take new deadlines; tenants' portions of the keys stay as they were at the start."""
         self._invalidations.longest = max(c.deadline for c in settings.classes) + min(
             c.aim for c in settings.classes
@@ -100,7 +100,7 @@
         watched = self._meter.add(tenant, key, request.slot, now)
         if watched is None:
             return
-        request.replication = watched
+        request.replication_state = watched
         if not self._ticking:
             self._tick_later()
         replicated = watched.replicated
@@ -256,7 +256,7 @@
 
     def candidates(self, request: Request, now: int) -> list[Node]:
         """Copies known to be there, the better of two first; then the others as the ranking has them."""
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         doubts = (
             self._invalidations.in_doubt(request.key) if self._writes and request.key is not None else None
         )
@@ -264,7 +264,7 @@
             ranking = self._caches.rank(request.slot, now, DEPTH)
             return [node for node in ranking if node.entry.id not in doubts] if doubts else ranking
         if replicated.version != self._caches.version:
-            self._look(request.replication, replicated, now)
+            self._look(request.replication_state, replicated, now)
         chosen: list[Node] = []
         if not self._writes and replicated.absent:
             chosen = self._visits(request, replicated, now)
@@ -307,7 +307,7 @@
 
     def missed(self, request: Request, node: Node, now: int) -> bool:
         """Ask a further copy before the origin: whoever fills visits the next, others one that holds it."""
-        watched = request.replication
+        watched = request.replication_state
         replicated = watched.replicated if watched is not None else None
         if replicated is None or not replicated.members:
             return False
@@ -320,14 +320,14 @@
         # One more, and not each in turn: what held it may have lost it everywhere.
         return not request.failed and any(held is not node for held in replicated.ready)
 
-    def fetches_itself(self, request: Request) -> bool:
+    def bypasses_coalescing(self, request: Request) -> bool:
         """Whether a read is to ask the origin though another one does: it fills other nodes."""
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         return replicated is not None and request.id in replicated.fillers
 
-    def turns_away(self, request: Request, now: int) -> api.Reason | None:
+    def refusal_reason(self, request: Request, now: int) -> api.Reason | None:
         """Why a read that found no node is not worth a fetch; None: it is."""
-        waits = request.replication is not None and request.replication.fetch_after > now
+        waits = request.replication_state is not None and request.replication_state.fetch_after > now
         return api.Reason.FETCH_PAUSED if waits else None
 
     # What attempts tell
@@ -338,7 +338,7 @@
             if fetched and self._writes and request.key is not None:
                 self._write_ended(request, event, now)
             return
-        watched = request.replication
+        watched = request.replication_state
         if watched is None:
             return
         if fetched:
@@ -397,7 +397,7 @@
                     self._invalidations.leave(request.key, request.id)
                 self._invalidations.write_ends(request.key, now)
             return
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         visited = replicated.fillers.pop(request.id, None) if replicated is not None else None
         if replicated is None or visited is None:
             return
@@ -445,7 +445,7 @@
 
     # Writes
 
-    def holds(self, request: Request) -> bool:
+    def defers_answer(self, request: Request) -> bool:
         """Whether a write's answer has to wait until its copies are invalidated."""
         return self._writes and request.key is not None
 
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -1,7 +1,7 @@
-"""Requests and their ends, without I/O; settings, events and actions are in interface.py.
+"""The life of requests from arrival to final answer, without I/O; events and actions are in interface.py.
 
-Ordinary path: key -> slot -> the ready cache server with the highest weighted hash of (slot, server id)
-(placement.py); a read that misses there, and every write -> the origin (origin.py).
+A key is mapped to a slot, and a slot to the ready cache server with the highest weighted hash of slot and
+server id (placement.py). Reads that miss there and all writes go to the origin (origin.py).
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from zlib import crc32
 
 from saltport.decisions import interface as api
-from saltport.decisions.effects import may_have_run, may_refuse, may_repeat, may_send
+from saltport.decisions.effects import may_refuse, may_repeat, may_send, record_possible_effect
 from saltport.decisions.health import ANSWERED, UNANSWERED, Node
 from saltport.decisions.interface import NS_PER_S, ListKind, Outcome, Reason
 from saltport.decisions.limits import Limit
@@ -26,13 +26,13 @@
 from saltport.structures.recent import RecentCounts
 from saltport.structures.response_time import ResponseTimeEstimate
 
-DEVIATIONS = 6  # deviations beyond the usual that an answer may take before it counts as lost
-TELLING = (*ANSWERED, Outcome.TIMEOUT)
-PATIENCE_SHARE, SLOW_SHARE = 0.95, 0.8
+TIMEOUT_DEVIATIONS = 6  # deviations above the mean response time after which an answer counts as lost
+INFORMATIVE_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT)
+MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8
 
 
 class Router:
-    """One router's decisions: feed it events with the time, carry out the actions it returns."""
+    """The decisions of one router: it takes events with the time and returns actions to carry out."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self._rng = random.Random(seed)
@@ -45,15 +45,15 @@
         self.requests: dict[str, Request] = {}
         self.placement = Placement(self.replication, self.outliers)
         self.fetches = OriginFetches(settings, self._rng)
-        self._response_time = ResponseTimeEstimate(min(cls.aim for cls in settings.classes))  # of the caches
+        self._response_time = ResponseTimeEstimate(min(cls.aim for cls in settings.classes))  # of all caches
         self._weights = WeightAdjustment(settings)
-        self._asking, self._failed_calls = False, 0
-        self.given_up = RecentCounts()  # requests that got no answer of a server, by tenant and reason
+        self._subscription_scheduled, self._failed_subscriptions = False, 0
+        self.given_up = RecentCounts()  # requests without an answer from a server, by tenant and reason
         self._now = 0
         self._actions: list[api.Action] = []
 
     def handle(self, event: api.Event, now: int) -> list[api.Action]:
-        """Take one event at clock time `now` and return the actions to carry out, in order."""
+        """Process one event at clock time `now`; return the actions to carry out, in order."""
         self._now, self._actions = now, []
         match event:
             case api.AttemptEnded():
@@ -63,7 +63,7 @@
             case api.ServersChanged():
                 self._servers_changed(event)
             case api.SettingsChanged():
-                self._follow_settings(event.settings)
+                self._apply_settings(event.settings)
             case api.ServerExcluded():
                 self.registry.take_out(event.server)
                 self._update([], [event.server])
@@ -71,12 +71,12 @@
                 entry = self.registry.put_back(event.server, now)
                 self._update([entry] if entry else [], [])
             case api.TimerFired():
-                self._timer(event.token)
+                self._timer_fired(event.token)
             case api.StreamStarted() if event.request in self.requests:
                 self._stream_started(self.requests[event.request])
             case api.LoopReport():
-                if news := self.overload.report(event):
-                    self._actions.append(api.Log(news))
+                if message := self.overload.report(event):
+                    self._actions.append(api.Log(message))
             case api.ClientGone() if event.request in self.requests:
                 self._finish(self.requests[event.request])
             case api.CopyEnded() | api.InvalidationEnded() | api.ZonePlan():
@@ -89,37 +89,40 @@
             self._actions.append(action)
         return self._actions
 
-    def _follow_settings(self, settings: api.Settings) -> None:
-        """Take new settings; open requests keep what they came with."""
+    def _apply_settings(self, settings: api.Settings) -> None:
+        """Apply new settings; open requests keep their class and number of attempts."""
         self.settings, self._classes = settings, {cls.name: cls for cls in settings.classes}
         for part in (self.fetches, self.caches, self.origins, self.outliers, self.overload, self.replication):
-            part.follow_settings(settings)
+            part.apply_settings(settings)
 
     def _servers_changed(self, event: api.ServersChanged) -> None:
         if self.settings.must_subscribe:
-            self._keep_subscribed(event.kind)
+            self._schedule_subscription(event.kind)
         if event.kind is not ListKind.FAILED:
             self._update(*self.registry.follow(event))
 
     def _update(self, ready: list[api.Server], left: list[str]) -> None:
         for table, is_origin in ((self.caches, False), (self.origins, True)):
-            mine = [entry for entry in ready if (entry.kind == self.settings.origin_kind) == is_origin]
-            table.update(mine, left, self._now)
+            entries = [entry for entry in ready if (entry.kind == self.settings.origin_kind) == is_origin]
+            table.update(entries, left, self._now)
         self.outliers.follow(self.caches.nodes, self._now)
 
-    def _keep_subscribed(self, kind: ListKind) -> None:
-        """Subscribe at the start and after every failure; jitter and back-off spare discovery."""
+    def _schedule_subscription(self, kind: ListKind) -> None:
+        """Schedule a subscription at the start and after each failure, with jitter and exponential back-off.
+
+        The delays keep routers from overloading the discovery service.
+        """
         if kind not in (ListKind.CACHED, ListKind.FAILED):
-            self._failed_calls = 0
-        elif not self._asking:
-            self._asking = True
-            most = min(self.settings.ask_within // 2, NS_PER_S << min(self._failed_calls, 8))
-            self._failed_calls += kind is ListKind.FAILED
-            self._actions.append(api.SetTimer(self._rng.randint(most // 4, most), "subscribe"))
-
-    def _timer(self, token: str) -> None:
+            self._failed_subscriptions = 0
+        elif not self._subscription_scheduled:
+            self._subscription_scheduled = True
+            max_delay = min(self.settings.ask_within // 2, NS_PER_S << min(self._failed_subscriptions, 8))
+            self._failed_subscriptions += kind is ListKind.FAILED
+            self._actions.append(api.SetTimer(self._rng.randint(max_delay // 4, max_delay), "subscribe"))
+
+    def _timer_fired(self, token: str) -> None:
         if token == "subscribe":
-            self._asking = False
+            self._subscription_scheduled = False
             self._actions.append(api.Subscribe())
             return
         self.replication.on_timer(token, self._now)
@@ -146,23 +149,23 @@
         else:
             self._route(request)
 
-    def _send(self, request: Request, node: Node, patience: int | None = None) -> None:
+    def _send(self, request: Request, node: Node, fixed_timeout: int | None = None) -> None:
         request.sends += 1
-        request.node, request.sent_at, request.out, request.holds = node, self._now, True, True
+        request.node, request.sent_at, request.in_flight, request.counts_as_load = node, self._now, True, True
         node.load += 1
-        usual = self._patience(request, node)
-        held = request.write and request.fetching and self.replication.holds(request)
-        timeout = usual if patience is None else patience
-        self._actions.append(api.Send(request.id, node.entry.id, timeout, held, request.not_after))
+        usual_timeout = self._attempt_timeout(request, node)
+        defer_answer = request.write and request.fetching and self.replication.defers_answer(request)
+        timeout = usual_timeout if fixed_timeout is None else fixed_timeout
+        self._actions.append(api.Send(request.id, node.entry.id, timeout, defer_answer, request.not_after))
         if not request.fetching:
             self.replication.sent(request, node)
 
-    def _patience(self, request: Request, node: Node) -> int:
+    def _attempt_timeout(self, request: Request, node: Node) -> int:
         known, aim = self.fetches.response_time if request.fetching else self._response_time, request.cls.aim
         here = node.response_time
         mean, deviation = max(known.mean, here.mean), max(known.deviation, here.deviation)
-        request.lost_after = int(min(mean + deviation * DEVIATIONS, aim * PATIENCE_SHARE))
-        slow = mean + deviation * DEVIATIONS / 2 > aim * SLOW_SHARE
+        request.lost_after = int(min(mean + deviation * TIMEOUT_DEVIATIONS, aim * MAX_TIMEOUT_AIM_SHARE))
+        slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > aim * SLOW_AIM_SHARE
         first = not request.refetching if request.fetching else request.sends == 1
         return 0 if slow or not first or not may_repeat(request) else request.lost_after
 
@@ -173,22 +176,22 @@
         if not self._may_try(request):
             self._give_up(request, Reason.TRIES_SPENT)
             return
-        # One more server, none of the key's, would miss, with no attempt left for a fetch.
-        last = 0 < request.sends == request.attempts - 1 and self.origins.nodes
-        choice = Reason.NO_SERVER if last else self.placement.place(request, self._now)
+        # A further server, which does not own the key, would miss and leave no attempt for a fetch.
+        last_attempt = 0 < request.sends == request.attempts - 1 and self.origins.nodes
+        choice = Reason.NO_SERVER if last_attempt else self.placement.place(request, self._now)
         if isinstance(choice, Node):
             self._send(request, choice)
         elif isinstance(choice, Suspected):
-            self._send(request, choice.node, int(request.cls.aim * PATIENCE_SHARE))
+            self._send(request, choice.node, int(request.cls.aim * MAX_TIMEOUT_AIM_SHARE))
         elif choice is Reason.NO_SERVER:
             self._missed(request)
         else:
             self._give_up(request, choice)
 
     def _missed(self, request: Request) -> None:
-        if not request.write and (reason := self.replication.turns_away(request, self._now)):
+        if not request.write and (reason := self.replication.refusal_reason(request, self._now)):
             self._give_up(request, reason)
-        elif self.replication.fetches_itself(request) or not self.fetches.join(request):
+        elif self.replication.bypasses_coalescing(request) or not self.fetches.join(request):
             self._fetch(request)
         else:
             self._wait(request, request.deadline - self._now)
@@ -209,12 +212,12 @@
             self._give_up(request, reason)
 
     def _stream_started(self, request: Request) -> None:
-        """The server's work is done, and the rest is up to the client; but not where the class streams.
+        """Stop counting an attempt as server load once its answer has begun, except for streamed classes.
 
-        Danger: counted until its end, slow readers' long values would fill the limits of idle servers.
+        Danger: counted to the last byte, long values read by slow clients filled the limits of idle servers.
         """
-        if request.node is not None and request.holds and not request.cls.streamed:
-            request.holds = False
+        if request.node is not None and request.counts_as_load and not request.cls.streamed:
+            request.counts_as_load = False
             request.node.load -= 1
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -222,24 +225,24 @@
         if request is None or request.node is None:
             return
         node, fetched, outcome = request.node, request.fetching, event.outcome
-        request.out = request.fetching = False
-        node.load -= request.holds
-        request.holds = False
-        # Danger: with the router's own lag in it, every server is late whenever this router is.
+        request.in_flight = request.fetching = False
+        node.load -= request.counts_as_load
+        request.counts_as_load = False
+        # Danger: with the router's own delay included, all servers look late whenever this router is slow.
         took = max(event.latency - max(event.lag, self.overload.lag), 0)
         late = took > request.cls.aim
-        # Danger: servers may close what they keep at any time; counted, that would eject healthy ones.
-        broke = event.connection_reused and outcome is Outcome.RESET
+        # Danger: servers may close idle connections at any time; counted, this ejects healthy ones.
+        stale_connection = event.connection_reused and outcome is Outcome.RESET
         self.replication.ended(request, node, event, fetched, self._now)
         self._learn(request, node, event, fetched, took)
         if fetched:
             self.fetches.ended(node, event, late, self._now)
             for waiter in self.fetches.released(node):
                 self._fetch(waiter)
-        elif not broke:
-            self._judge(request, node, event, took)
-        if not event.never_ran and request.ran is None:
-            may_have_run(request, node)
+        elif not stale_connection:
+            self._record_outcome(request, node, event, took)
+        if not event.never_ran and request.possible_effect_node is None:
+            record_possible_effect(request, node)
         if event.closed or request.done:
             self._finish(request, stored=fetched and outcome is Outcome.OK)
         elif outcome is Outcome.MISS and not fetched and self.settings.origin_kind is not None:
@@ -249,18 +252,18 @@
             else:
                 self._missed(request)
         elif outcome is Outcome.OK:
-            pass  # a write whose answer is held until its copies are invalidated
+            pass  # a write whose answer is deferred until its copies are invalidated
         elif fetched:
-            self._fetch_failed(request, outcome, late, broke)
+            self._fetch_failed(request, outcome, late, stale_connection)
         else:
-            # One that did not answer, and was not late, is asked once more.
-            if outcome not in UNANSWERED or late or node.unheard > 1:
+            # A server whose only fault is one unanswered attempt that was not late is tried once more.
+            if outcome not in UNANSWERED or late or node.unanswered_in_a_row > 1:
                 request.failed = (*request.failed, node)
             self._route(request)
 
     def _learn(self, request: Request, node: Node, event: api.AttemptEnded, fetched: bool, took: int) -> None:
-        """Learn how timely answers are, and what a server reports of itself."""
-        if event.outcome in TELLING and not request.write:
+        """Update the response-time statistics and the server's weight from an attempt and its load report."""
+        if event.outcome in INFORMATIVE_OUTCOMES and not request.write:
             busy = request.rate_limiter.in_use(self._now) if fetched else node.limit.busy
             node.timeliness.learn(took, event.outcome in ANSWERED, busy, self._now)
             if not fetched:
@@ -268,29 +271,30 @@
         if event.load and not fetched:
             self._weights.learn(node, event.load, request.cls.aim, request.sent_at, self._now)
 
-    def _judge(self, request: Request, node: Node, event: api.AttemptEnded, took: int) -> None:
+    def _record_outcome(self, request: Request, node: Node, event: api.AttemptEnded, took: int) -> None:
         if event.outcome in ANSWERED:
             node.response_time.learn(event.latency)
             self._response_time.learn(event.latency)
-        # Danger: counted, clients with little time left would make every server look silent, and a router
-        # whose loop has no rest would take its own lateness for theirs.
+        # Danger: if short time-outs counted, clients with little time left would make every server look
+        # unresponsive, and an overloaded router would mistake its own delay for theirs.
         cut_short = event.outcome is Outcome.TIMEOUT and took < request.lost_after
         outcome = Outcome.CANCELLED if cut_short else event.outcome
-        node.judge(outcome, took, request.cls.aim, request.sent_at, self._now)
+        node.record_outcome(outcome, took, request.cls.aim, request.sent_at, self._now)
         if self.caches.nodes.get(node.entry.id) is not node:
             return
-        change = self.outliers.judge(node, request.id, outcome, request.sent_at, self._now)
+        change = self.outliers.record_outcome(node, request.id, outcome, request.sent_at, self._now)
         if change is not None:
             self._actions.append(api.Log(change.message))
-            if change.is_back:
+            if change.readmitted:
                 node.limit = Limit(self._now)
 
-    def _fetch_failed(self, request: Request, outcome: Outcome, late: bool, broke: bool) -> None:
-        """A write is tried again after a pause; a read is the client's to retry, to spare the origin.
+    def _fetch_failed(self, request: Request, outcome: Outcome, late: bool, stale_connection: bool) -> None:
+        """Retry a failed write after a pause; give up a failed read, which the client may retry.
 
-        An attempt that counts as lost is made once more at once: it was none of the origin's doing.
+        Not retrying reads limits the load on the origin. A lost attempt (a stale connection or an early
+        time-out) is repeated once without a pause, as it shows no fault of the origin.
         """
-        if (broke or (outcome is Outcome.TIMEOUT and not late)) and not request.refetching:
+        if (stale_connection or (outcome is Outcome.TIMEOUT and not late)) and not request.refetching:
             request.refetching = True
             self._fetch(request)
             return
@@ -301,7 +305,7 @@
             self._give_up(request, Reason.ORIGIN_FAILED)
 
     def _end_coalesced(self, request: Request, stored: bool) -> None:
-        """End a coalesced fetch: its waiters ask the cache again, or one of them becomes the leader."""
+        """End a coalesced fetch: its waiters are routed to the cache again, or one becomes the new leader."""
         for waiter in self.fetches.end_coalesced(request):
             if not waiter.done:
                 waiter.waiting = False
@@ -324,7 +328,7 @@
         if not request.done:
             self.replication.done(request, stored, self._now)
         request.done, request.waiting = True, False
-        if not request.out:
+        if not request.in_flight:
             del self.requests[request.id]
-        if request.leader and not request.out:  # a gone client's fetch goes on for those who wait for it
+        if request.leader and not request.in_flight:  # waiters still need a fetch whose client left
             self._end_coalesced(request, stored)
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -27,7 +27,7 @@
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
         self.rate_limiters: dict[str, Suppressor] = {}
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         aim = min(cls.aim for cls in settings.classes)
         self.response_time = ResponseTimeEstimate(aim / 2)  # of good fetches
         self._width, self._last_cut = math.inf, 0
@@ -35,7 +35,7 @@
         self._held: list[Request] = []  # writes waiting for one of them to end; the newest goes first
         self._coalesced: dict[str, list[Request]] = {}
 
-    def follow_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take the tenants, at the start or anew; what was learnt of those that stay is kept."""
         held, self.rate_limiters = self.rate_limiters, {}
         for tenant in (*settings.tenants, Tenant("", 1.0)):
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -45,7 +45,7 @@
     """What became of a server by an attempt's end."""
 
     message: str
-    is_back: bool = False
+    readmitted: bool = False
 
 
 @dataclass(slots=True)
@@ -99,14 +99,14 @@
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         self.records: dict[str, Record] = {}
         self.ejected: set[str] = set()
         self.suspects: set[str] = set()  # ejected but for the ceiling
         self.listed = 0
         self._all = WindowedCounter(INTERVAL)
 
-    def follow_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take new settings; the evidence stays."""
         # For so long a server that only times out has to be silent, nanoseconds.
         self._silence = max(cls.deadline for cls in settings.classes)
@@ -152,7 +152,9 @@
         """Let one request find out whether a server is back; nobody else is sent there until it has ended."""
         self.records[server].trial = request
 
-    def judge(self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int) -> StateChange | None:
+    def record_outcome(
+        self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int
+    ) -> StateChange | None:
         """Take one attempt's end; returns what became of the server by it, if its state changed."""
         server = node.entry.id
         record = self.records.get(server)
@@ -181,7 +183,7 @@
             del self.records[server]
         if server in self.suspects:
             self.suspects.discard(server)
-            return StateChange(f"{server}: answers again", is_back=True)
+            return StateChange(f"{server}: answers again", readmitted=True)
         return None
 
     def adopt(self, server: str, record: Record) -> None:
@@ -223,4 +225,4 @@
         record.until, record.returned_at, record.row, record.reason = 0, now, 0, ""
         record.broken = 0
         record.attempts = WindowedCounter(INTERVAL, now)
-        return StateChange(f"{server}: back; it was last ejected {out:.1f} s ago", is_back=True)
+        return StateChange(f"{server}: back; it was last ejected {out:.1f} s ago", readmitted=True)
--- a/saltport/decisions/overload.py
+++ b/saltport/decisions/overload.py
@@ -27,7 +27,7 @@
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         self._over = 0
         self.admitted = 1.0
         """The share of what arrives that there is room for."""
@@ -37,7 +37,7 @@
         self.shed: Counter[str] = Counter()
         self.last_report = LoopReport(0.0, 0)
 
-    def follow_settings(self, settings: Settings) -> None:
+    def apply_settings(self, settings: Settings) -> None:
         """Take new settings; what was shed stays counted."""
         self.target = settings.overload_target
         self._weights = {tenant.name: max(tenant.portion, LEAST_WEIGHT) for tenant in settings.tenants}
--- a/saltport/decisions/replication.py
+++ b/saltport/decisions/replication.py
@@ -1,6 +1,6 @@
-"""Hot-key replication: the interface through which reads of hot keys get further nodes.
+"""The interface of replication, which sends the reads of hot keys or slots to more than one node.
 
-replication_factory.py makes the form that the settings ask for. No decisions are made here.
+replication_factory.py creates the implementation that the settings select.
 """
 
 from __future__ import annotations
@@ -16,61 +16,61 @@
 
 
 class Replication:
-    """Which nodes a key's reads may go to, and what its writes have to reach. Defaults replicate nothing."""
+    """The nodes that serve a key's reads and that its writes invalidate; the defaults replicate nothing."""
 
     def arrived(self, request: Request, tenant: str, now: int) -> None:
-        """Count a request that was admitted."""
+        """Record an admitted request."""
 
     def candidates(self, request: Request, now: int) -> list[Node]:
-        """The nodes that a read may go to, the best first."""
+        """Return the nodes that may serve a request, best first."""
         raise NotImplementedError
 
     def sent(self, request: Request, node: Node) -> None:
-        """A read goes to a cache node."""
+        """Record that an attempt was sent to a cache node."""
 
     def missed(self, request: Request, node: Node, now: int) -> bool:
-        """A node lacks the key; whether another one is to be asked before the origin."""
+        """Record that a node lacks the key; return whether to try another node before the origin."""
         return False
 
-    def fetches_itself(self, request: Request) -> bool:
-        """Whether a read is to ask the origin though another one asks for its key already."""
+    def bypasses_coalescing(self, request: Request) -> bool:
+        """Whether a read fetches from the origin even while another fetch of its key is in flight."""
         return False
 
-    def turns_away(self, request: Request, now: int) -> api.Reason | None:
-        """Why a read that found no node is not worth a fetch; None: it is."""
+    def refusal_reason(self, request: Request, now: int) -> api.Reason | None:
+        """Return why a read without a usable node may not be fetched from the origin; None: it may."""
         return None
 
     def origins(self, ranked: list[Node], request: Request) -> list[Node]:
-        """The origins in the order in which this request may go to them."""
+        """Return the origins in the order in which this request tries them."""
         return ranked
 
     def ended(self, request: Request, node: Node, event: api.AttemptEnded, fetched: bool, now: int) -> None:
-        """An attempt has ended."""
+        """Record the end of an attempt; `fetched` says whether it went to the origin."""
 
     def done(self, request: Request, stored: bool, now: int) -> None:
-        """A request is over."""
+        """Record the final answer of a request; `stored` says whether its fetch has filled the cache."""
 
-    def holds(self, request: Request) -> bool:
-        """Whether a write's answer has to wait until its copies are invalidated."""
+    def defers_answer(self, request: Request) -> bool:
+        """Whether a write's answer is withheld until the copies of its key are invalidated."""
         return False
 
     def on_event(self, event: api.CopyEnded | api.InvalidationEnded | api.ZonePlan, now: int) -> None:
-        """A copy or an invalidation has ended, or a plan of zones is to be followed."""
+        """Process the end of a copy or an invalidation, or a new zone plan."""
 
     def on_timer(self, token: str, now: int) -> None:
-        """A timer that this set is due."""
+        """Process the expiry of a timer; tokens of other owners are ignored."""
 
     def take_actions(self) -> list[api.Action]:
-        """What there is to do since last asked."""
+        """Return the actions that have accumulated since the last call."""
         return []
 
-    def follow_settings(self, settings: api.Settings) -> None:
-        """Take new settings; what was counted stays."""
+    def apply_settings(self, settings: api.Settings) -> None:
+        """Apply new settings; counts are preserved."""
 
     def take_evidence(self) -> Evidence | None:
-        """What attempts showed of the zones since the last call; None: zones are not distinguished."""
+        """Return the evidence on zones since the last call; None where zones are not distinguished."""
         return None
 
     def view(self, now: int) -> dict[str, Any]:
-        """Its state, for people."""
+        """Return the state as shown to operators."""
         return {"on": False}
--- a/saltport/decisions/replication_factory.py
+++ b/saltport/decisions/replication_factory.py
@@ -1,4 +1,4 @@
-"""Makes the replication that the settings ask for: the platform runs slot_replication.py."""
+"""Creates the replication that the settings select; the default is slot_replication.py."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 def make_replication(
     settings: api.Settings, caches: SlotTable, outliers: OutlierDetector, rng: random.Random
 ) -> Replication:
-    """The form that the settings ask for."""
+    """Return the replication for these settings: by zones, by hot keys, or by slots."""
     if settings.topology is not None:
-        from saltport.decisions.zoned import Zoned  # only where it is on
+        from saltport.decisions.zoned import Zoned  # imported only where it is enabled
 
         return Zoned(settings, settings.topology, caches, outliers, rng)
     if settings.hot_keys is None:
         return SlotReplication(caches, rng, settings.origin_kind is None)
-    from saltport.decisions.hotkeys import HotKeys  # only where it is on
+    from saltport.decisions.hotkeys import HotKeys  # imported only where it is enabled
 
     def usable(server: str, now: int) -> bool:
         return outliers.state(server, now) in (EjectionState.HEALTHY, EjectionState.PANIC)
--- a/saltport/decisions/request.py
+++ b/saltport/decisions/request.py
@@ -1,4 +1,4 @@
-"""An open request: what is known of it and of its attempts. No decisions are made here."""
+"""The state of an open request and its attempts."""
 
 from __future__ import annotations
 
@@ -13,28 +13,29 @@
 
 
 class Request:
-    """An open request; it lives on after its final answer until its attempt has ended."""
+    """An open request; it exists until it has its final answer and its last attempt has ended."""
 
-    # What most requests never change costs nothing here.
+    # Class attributes serve as defaults, so that values that most requests never change take no memory.
     slot = sends = sent_at = 0
     lost_after = 0
-    """The time after which the answer under way counts as lost."""
-    share = 0.0
-    replication: Any = None
-    """What hot-key replication keeps of it."""
+    """The time after which the answer of the current attempt counts as lost."""
+    slot_share = 0.0
+    """The slot's share of the recent requests."""
+    replication_state: Any = None
+    """The replication's own state for this request."""
     failed: Sequence[Node] = ()
     node: Node | None = None
-    ran: Node | None = None
-    """Where the first attempt was sent that may have run."""
-    holds = False
-    """Whether its attempt counts as out at its server."""
-    # `leader`: of a coalesced fetch.
-    fetching = refetching = out = leader = waiting = done = False
+    possible_effect_node: Node | None = None
+    """The server of the first attempt that may have had an effect."""
+    counts_as_load = False
+    """Whether the current attempt is counted in its server's load."""
+    # `leader`: whether other requests wait for this one's fetch.
+    fetching = refetching = in_flight = leader = waiting = done = False
 
     def __init__(
         self, event: api.RequestArrived, cls: api.RequestClass, rate_limiter: Suppressor, attempts: int
     ) -> None:
-        """`attempts`: as many as it may have at the most."""
+        """Create a request that may have at most `attempts` attempts."""
         self.id, self.key, self.deadline, self.write = event.request, event.key, event.deadline, event.write
-        self.not_after = event.deadline  # no attempt leaves from then on
+        self.not_after = event.deadline  # no attempt may be sent from then on
         self.cls, self.rate_limiter, self.retry, self.attempts = cls, rate_limiter, event.retry, attempts
--- a/saltport/decisions/slot_replication.py
+++ b/saltport/decisions/slot_replication.py
@@ -29,7 +29,7 @@
         if request.write and not self._routes_writes:
             return
         count = self._counts.get(request.slot, 0.0)
-        request.share = count / max(self._total, 1.0)
+        request.slot_share = count / max(self._total, 1.0)
         self._counts[request.slot] = count + 1
         self._total += 1
         if self._total >= LOAD_MEMORY:
@@ -38,7 +38,7 @@
 
     def candidates(self, request: Request, now: int) -> list[Node]:
         """The slot's ranking, its owners in the order of their load."""
-        owners = math.ceil(request.share * len(self._caches.nodes) / LOAD_SHARE)
+        owners = math.ceil(request.slot_share * len(self._caches.nodes) / LOAD_SHARE)
         ranking = self._caches.rank(request.slot, now, max(owners, DEPTH))
         self._now = now
         return sorted(ranking[:owners], key=self._draw) + ranking[owners:] if owners > 1 else ranking
--- a/saltport/decisions/table.py
+++ b/saltport/decisions/table.py
@@ -26,7 +26,7 @@
         self._rankings = SlotRankings[Node](SHOWN, KEPT, numpy)
         self._cold_until = 0
 
-    def follow_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Take new settings; servers that are held keep theirs."""
         self._settings = settings
 
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -80,7 +80,7 @@
     ) -> None:
         super().__init__(caches, rng, settings.origin_kind is None)
         self.topology, self._outliers = topology, outliers
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         self._zones = [_Zone() for _ in topology.zones]
         self._strangers = _Zone()
         """Servers of no zone that the topology knows: the last resort."""
@@ -99,7 +99,7 @@
         if isinstance(event, api.ZonePlan):
             self._plan = event
 
-    def follow_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Take new portions."""
         self._portions = {tenant.name: tenant.portion for tenant in settings.tenants}
 
@@ -132,7 +132,7 @@
             self._asked_in_all = sum(self._asked.values())
         if self._plan.refused and self._rng.random() < self._chance(rank):
             self._found.refused += 1
-            request.replication = self
+            request.replication_state = self
 
     def _over(self, tenant: str) -> bool:
         """Whether a tenant asks for more than its portion of what comes."""
@@ -147,9 +147,9 @@
         before = sum(self._ranks[:rank]) / total
         return min(max(self._plan.refused - before, 0.0) / (self._ranks[rank] / total), 1.0)
 
-    def turns_away(self, request: Request, now: int) -> api.Reason | None:
+    def refusal_reason(self, request: Request, now: int) -> api.Reason | None:
         """Why a read gets no fetch either."""
-        return api.Reason.OUTSIDE_PLAN if request.replication is self else None
+        return api.Reason.OUTSIDE_PLAN if request.replication_state is self else None
 
     def candidates(self, request: Request, now: int) -> list[Node]:
         """The servers of the slot's zone; those of others after a failure, or where none of them is in use.
@@ -157,7 +157,7 @@
         Danger: a full zone's reads must not spill into others by each router's own choice while a plan
         holds: it knows what room they have.
         """
-        if request.replication is self:
+        if request.replication_state is self:
             return []
         self._follow()
         plan, lead = self._plan, self._lead(request)
@@ -172,7 +172,7 @@
         return found + self._ranked(self._strangers, request, now)
 
     def _ranked(self, zone: _Zone, request: Request, now: int) -> list[Node]:
-        owners = math.ceil(request.share * len(zone.hash.nodes) / LOAD_SHARE)
+        owners = math.ceil(request.slot_share * len(zone.hash.nodes) / LOAD_SHARE)
         ranking = zone.rank(request.slot, max(owners, DEPTH), self._caches, now)
         self._now = now
         return sorted(ranking[:owners], key=self._draw) + ranking[owners:] if owners > 1 else ranking
--- a/tests/crossings/test_other_customers.py
+++ b/tests/crossings/test_other_customers.py
@@ -138,7 +138,7 @@
             actions = router.handle(ended, now + (attempt + 1) * MS)
             finals[outcome.value] += 1
     assert finals["ok"] > 0
-    assert not [request for request in router.requests.values() if request.out]
+    assert not [request for request in router.requests.values() if request.in_flight]
 
 
 def profile(rng: random.Random) -> Profile:
--- a/tests/decisions/test_effects.py
+++ b/tests/decisions/test_effects.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from saltport.decisions.effects import may_have_run, may_refuse, may_repeat, may_send
+from saltport.decisions.effects import may_refuse, may_repeat, may_send, record_possible_effect
 from saltport.decisions.health import Node
 from saltport.decisions.interface import DedupScope, Effect, RequestArrived, RequestClass, Server, Tenant
 from saltport.decisions.request import Request
@@ -35,7 +35,7 @@
     limiter = Suppressor(Tenant("t", 1.0), 1, random.Random(1))
     made = Request(RequestArrived("r", "c", 4 * S), cls, limiter, 4)
     if ran:
-        may_have_run(made, Node(FIRST, False))
+        record_possible_effect(made, Node(FIRST, False))
     return made
 
 
@@ -43,7 +43,7 @@
 def test_repeats_are_dropped_from_the_first_send_on_and_never_past_the_deadline(sent_at: int) -> None:
     made = request(Effect.KEYED, DedupScope.ALL, ran=False)
     made.sent_at = sent_at
-    may_have_run(made, Node(FIRST, False))
+    record_possible_effect(made, Node(FIRST, False))
     assert made.not_after == min(sent_at + WINDOW_END, made.deadline)
     safe = request(Effect.SAFE, DedupScope.ALL, ran=True)
     assert safe.not_after == safe.deadline
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -72,7 +72,7 @@
         told: StateChange | None = None
         for outcome in outcomes:
             sent, self.now = self.now, self.now + (SILENCE // 3 if outcome is Outcome.TIMEOUT else MS)
-            told = self.detector.judge(self.node(number), request, outcome, sent, self.now)
+            told = self.detector.record_outcome(self.node(number), request, outcome, sent, self.now)
         return told.message if told else None
 
     def node(self, number: int) -> Node:
@@ -113,8 +113,13 @@
     judged = Judged()
     for at in range(29):
         sent = S + at * 10 * MS
-        assert judged.detector.judge(judged.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
-    assert judged.detector.judge(judged.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS) is not None
+        assert (
+            judged.detector.record_outcome(judged.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
+        )
+    assert (
+        judged.detector.record_outcome(judged.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS)
+        is not None
+    )
 
 
 @pytest.mark.parametrize("heard", [Outcome.OK, Outcome.MISS, Outcome.FULL, Outcome.ERROR])
@@ -138,7 +143,7 @@
     judged = Judged()
     sent = judged.now
     for at in range(50):
-        judged.detector.judge(judged.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
+        judged.detector.record_outcome(judged.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
     assert judged.state(1) is EjectionState.HEALTHY
     assert views.outliers(judged.detector, sent + S)["servers"]["10.0.0.1:80"]["failures_in_a_row"] == 50  # type: ignore[index]
 
@@ -210,7 +215,7 @@
     judged.detector.try_out("10.0.0.1:80", "trial")
     assert judged.state(1) is EjectionState.EJECTED
     # an answer to what was sent before it was ejected tells nothing of it now
-    assert judged.detector.judge(judged.node(1), "old", Outcome.OK, S, judged.now) is None
+    assert judged.detector.record_outcome(judged.node(1), "old", Outcome.OK, S, judged.now) is None
     assert judged.state(1) is EjectionState.EJECTED
     told = judged.tell(1, Outcome.FULL, request="trial")
     assert told is not None
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -55,7 +55,7 @@
     router = started(settings(origin_kind=None), servers, origin=False)
     wanted = asked(router, cls="zonal")
     first = ranking(router)[0]
-    wanted.ran, wanted.failed, wanted.not_after = first, (first,), S
+    wanted.possible_effect_node, wanted.failed, wanted.not_after = first, (first,), S
     chosen = router.placement.place(wanted, 0)
     assert isinstance(chosen, Node)
     assert chosen.entry.zone == first.entry.zone
@@ -76,7 +76,7 @@
 def eject(router: Router, server: str) -> None:
     node = router.caches.nodes[server]
     for n in range(3):
-        router.outliers.judge(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
+        router.outliers.record_outcome(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
     assert server in router.outliers.ejected
 
 
--- a/tests/decisions/test_server_registry.py
+++ b/tests/decisions/test_server_registry.py
@@ -124,7 +124,7 @@
     node = router.caches.nodes[servers[0].id]
     for i in range(3):
         sent = S + i * MS
-        router.outliers.judge(node, f"x{i}", Outcome.CONNECT_FAILED, sent, sent + 1)
+        router.outliers.record_outcome(node, f"x{i}", Outcome.CONNECT_FAILED, sent, sent + 1)
     assert servers[0].id in router.outliers.ejected
     router.handle(ServerExcluded(servers[0].id), 2 * S)
     router.handle(ServerReadmitted(servers[0].id), 3 * S)
