--- a/benchmarks/scale/allowance.py
+++ b/benchmarks/scale/allowance.py
@@ -78,7 +78,7 @@
         now = int(now_s * NS_PER_S)
         allowed = guard.admit(now)
         if allowed and world.outage and warm_s <= now_s < warm_s + OUTAGE_S:
-            guard.cut(now, guard.used(now))
+            guard.cut(now, guard.call_rate(now))
         elif allowed:
             guard.rise(now)
         if now_s >= warm_s:
--- a/saltport/decisions/health.py
+++ b/saltport/decisions/health.py
@@ -28,10 +28,7 @@
         self.response_time = ResponseTimeEstimate()
         self.limit = Limit(known_at)
         self.timeliness = Timeliness()
-        self.weight_factor, self.weight_factor_at = (
-            1.0,
-            0,
-        )  # adjusted in weight_adjustment.py
+        self.weight_factor, self.weight_factor_at = 1.0, 0  # set in weight_adjustment.py
         self._last_unanswered_at = 0
 
     def record_outcome(self, outcome: Outcome, took: int, aim: int, sent_at: int, now: int) -> None:
@@ -46,10 +43,10 @@
         elif repeated or not self.unanswered_in_a_row:
             self.unanswered_in_a_row, self._last_unanswered_at = self.unanswered_in_a_row + 1, now
         if took >= aim and outcome is Outcome.TIMEOUT:
-            self.limit.overdue(sent_at, now)
+            self.limit.timed_out(sent_at, now)
         if outcome in ANSWERED:
             self.limit.learn(took, self.load, sent_at, now, aim)
         elif outcome is Outcome.FULL:
-            self.limit.turned_away(sent_at, now, self.load)
+            self.limit.refused(sent_at, now, self.load)
         elif repeated and outcome is Outcome.TIMEOUT:
             self.limit.cut(sent_at, now, self.load)
--- a/saltport/decisions/inheritance.py
+++ b/saltport/decisions/inheritance.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from saltport.decisions.health import Node
-from saltport.decisions.outliers import INTERVAL, MAX_EJECTION, Record
+from saltport.decisions.outliers import FAILURE_WINDOW_NS, MAX_EJECTION_NS, Record
 from saltport.decisions.settings import WireError, number
 from saltport.structures.windowed_counter import WindowedCounter
 
@@ -27,9 +27,11 @@
     return {
         "form": FORM,
         "tenants": {name: _guard(limiter, now) for name, limiter in router.fetches.rate_limiters.items()},
-        "servers": {name: _node(node) for name, node in router.caches.nodes.items() if node.limit.took},
+        "servers": {
+            name: _node(node) for name, node in router.caches.nodes.items() if node.limit.response_time
+        },
         "ejected": {
-            name: [max(record.until - now, 0), record.ejections, record.reason]
+            name: [max(record.ejected_until - now, 0), record.ejections, record.reason]
             for name, record in router.outliers.records.items()
             if name in router.outliers.ejected
         },
@@ -47,7 +49,14 @@
 def _node(node: Node) -> list[float]:
     limit = -1.0 if math.isinf(node.limit.limit) else node.limit.limit
     times = node.response_time
-    return [limit, node.limit.took, node.limit.work, times.mean, times.deviation, node.weight_factor]
+    return [
+        limit,
+        node.limit.response_time,
+        node.limit.service_time,
+        times.mean,
+        times.deviation,
+        node.weight_factor,
+    ]
 
 
 def _number(value: Any, least: float = 0.0) -> Any:
@@ -75,16 +84,26 @@
         node = router.caches.nodes.get(name)
         if node is not None:
             times = node.response_time
-            limit, node.limit.took, node.limit.work, times.mean, times.deviation, node.weight_factor = figures
+            (
+                limit,
+                node.limit.response_time,
+                node.limit.service_time,
+                times.mean,
+                times.deviation,
+                node.weight_factor,
+            ) = figures
             node.limit.limit = math.inf if limit < 0 else max(limit, 1.0)
-            node.limit.heard(now)
+            node.limit.mark_current(now)
     for name, (left, ejections, reason) in ejected.items():
         node = router.caches.nodes.get(name)
         if node is not None:
             record = Record(
-                node.entry.started, WindowedCounter(INTERVAL, now), ejections=ejections, reason=reason
+                node.entry.started,
+                WindowedCounter(FAILURE_WINDOW_NS, now),
+                ejections=ejections,
+                reason=reason,
             )
-            record.ejected_at, record.until = now, now + min(left, 2 * MAX_EJECTION)
+            record.ejected_at, record.ejected_until = now, now + min(left, 2 * MAX_EJECTION_NS)
             router.outliers.adopt(name, record)
 
 
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -16,7 +16,7 @@
 from saltport.decisions.limits import Limit
 from saltport.decisions.origin import OriginFetches
 from saltport.decisions.outliers import OutlierDetector
-from saltport.decisions.overload import FIRST, HOPELESS, RETRY, OverloadControl
+from saltport.decisions.overload import FIRST, RETRY, TOO_LATE, OverloadControl
 from saltport.decisions.placement import Placement, Suspected
 from saltport.decisions.replication_factory import make_replication
 from saltport.decisions.request import Request
@@ -105,7 +105,7 @@
         for table, is_origin in ((self.caches, False), (self.origins, True)):
             entries = [entry for entry in ready if (entry.kind == self.settings.origin_kind) == is_origin]
             table.update(entries, left, self._now)
-        self.outliers.follow(self.caches.nodes, self._now)
+        self.outliers.update_nodes(self.caches.nodes, self._now)
 
     def _schedule_subscription(self, kind: ListKind) -> None:
         """Schedule a subscription at the start and after each failure, with jitter and exponential back-off.
@@ -139,7 +139,7 @@
         request.slot = self._rng.randrange(slots) if event.key is None else crc32(event.key.encode()) % slots
         self.requests[request.id] = request
         late = event.deadline - self._now < self._response_time.mean
-        rank = HOPELESS if late else RETRY if event.retry else FIRST
+        rank = TOO_LATE if late else RETRY if event.retry else FIRST
         if not self.overload.admit(event.tenant or "", request.write, rank):
             self._give_up(request, Reason.ROUTER_OVERLOADED)
             return
@@ -237,7 +237,7 @@
         self._learn(request, node, event, fetched, took)
         if fetched:
             self.fetches.ended(node, event, late, self._now)
-            for waiter in self.fetches.released(node):
+            for waiter in self.fetches.releasable_writes(node):
                 self._fetch(waiter)
         elif not stale_connection:
             self._record_outcome(request, node, event, took)
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -1,7 +1,8 @@
-"""Fetches from the origin: who may ask it now, who joins a fetch that is under way, and how many it bears.
+"""Admission of calls to the origin, coalescing of fetches, and the origin's concurrency limit.
 
-Each tenant has a rate limit (suppression.py). A concurrency limit with additive rise and multiplicative cut
-holds writes back until another call has ended. Reads of one key share their leader's fetch. Times in ns.
+Each tenant has a rate limit (suppression.py). A concurrency limit with additive increase and multiplicative
+decrease delays writes until another call has ended. Reads of one key share their leader's fetch. Times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -13,45 +14,48 @@
 from saltport.decisions.health import Node
 from saltport.decisions.interface import AttemptEnded, Outcome, Reason, Settings, Tenant
 from saltport.decisions.request import Request
-from saltport.decisions.suppression import CUT, Suppressor
+from saltport.decisions.suppression import CUT_FACTOR, Suppressor
 from saltport.structures.response_time import ResponseTimeEstimate
 
-BAD_SAMPLES, BAD_SHARE = 8, 0.2
-# Of the origin, unless they are late: a time-out that is not had too little time left.
-NO_FAULT = (Outcome.MOOT, Outcome.CANCELLED, Outcome.TIMEOUT)
+FAILURE_SAMPLES, MAX_FAILURE_SHARE = 8, 0.2
+# Outcomes that are no failure of the origin unless late: an early time-out had too little time left.
+NOT_ORIGIN_FAILURES = (Outcome.MOOT, Outcome.CANCELLED, Outcome.TIMEOUT)
 
 
 class OriginFetches:
-    """Admits calls to the origin, and learns from their ends."""
+    """Admits calls to the origin and adapts its limits to their results."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
         self.rate_limiters: dict[str, Suppressor] = {}
         self.apply_settings(settings)
         aim = min(cls.aim for cls in settings.classes)
-        self.response_time = ResponseTimeEstimate(aim / 2)  # of good fetches
-        self._width, self._last_cut = math.inf, 0
-        self._bad = 0.0  # smoothed share of bad fetches
-        self._held: list[Request] = []  # writes waiting for one of them to end; the newest goes first
+        self.response_time = ResponseTimeEstimate(aim / 2)  # of successful fetches
+        self._concurrency_limit, self._last_cut = math.inf, 0
+        self._failure_share = 0.0  # smoothed share of failed fetches
+        self._waiting_writes: list[Request] = []  # waiting for a call to end; the newest goes first
         self._coalesced: dict[str, list[Request]] = {}
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take the tenants, at the start or anew; what was learnt of those that stay is kept."""
-        held, self.rate_limiters = self.rate_limiters, {}
+        """Apply the tenants of new settings; the rate limiters of remaining tenants keep their state."""
+        previous, self.rate_limiters = self.rate_limiters, {}
         for tenant in (*settings.tenants, Tenant("", 1.0)):
-            if limiter := held.get(tenant.name):
+            if limiter := previous.get(tenant.name):
                 limiter.retune(tenant, settings.routers)
             self.rate_limiters[tenant.name] = limiter or Suppressor(tenant, settings.routers, self._rng)
 
     def admit(self, request: Request, origin: Node, now: int) -> Reason | None:
-        """Why a request may not be sent to the origin now, or None; ORIGIN_BUSY: it waits in `released`."""
+        """Return why a request may not be sent to the origin now, or None.
+
+        A write that gets ORIGIN_BUSY is queued, and `releasable_writes` yields it later.
+        """
         if request.write:
-            if origin.load >= self._width:
-                self._held.append(request)
+            if origin.load >= self._concurrency_limit:
+                self._waiting_writes.append(request)
                 return Reason.ORIGIN_BUSY
             request.rate_limiter.count(now)
             return None
-        if not origin.timeliness.worth(request.deadline - now, now):
+        if not origin.timeliness.worth_sending(request.deadline - now, now):
             return Reason.TOO_LATE
         if not request.rate_limiter.admit(now):
             return Reason.FETCH_SUPPRESSED
@@ -61,7 +65,7 @@
         return None
 
     def join(self, request: Request) -> bool:
-        """Let a read wait for the fetch of its key; False: none is under way."""
+        """Make a read wait for the fetch of its key; return False if no such fetch is in flight."""
         followers = None if request.key is None else self._coalesced.get(request.key)
         if followers is None or request.write:
             return False
@@ -69,41 +73,45 @@
         return True
 
     def end_coalesced(self, request: Request) -> list[Request]:
-        """End the fetch whose leader a request is; returns those that waited for it."""
+        """End the coalesced fetch that a request leads; return the requests that waited for it."""
         request.leader = False
         return self._coalesced.pop(request.key or "", [])
 
     def ended(self, node: Node, event: AttemptEnded, late: bool, now: int) -> None:
-        """Rise while the origin answers well; on failures cut the tenants over their portion first."""
+        """Raise the limits after a successful call; on repeated failures cut them.
+
+        Tenants above their portion are cut harder.
+        """
         if event.outcome is Outcome.TIMEOUT:
             self.response_time.learn(event.latency)
         if event.outcome is Outcome.OK and not late:
-            self._bad -= self._bad / BAD_SAMPLES
+            self._failure_share -= self._failure_share / FAILURE_SAMPLES
             self.response_time.learn(event.latency)
-            self._width += 1 / self._width
+            self._concurrency_limit += 1 / self._concurrency_limit
             for limiter in self.rate_limiters.values():
                 limiter.rise(now)
-        elif (late or event.outcome not in NO_FAULT) and not (
+        elif (late or event.outcome not in NOT_ORIGIN_FAILURES) and not (
             event.connection_reused and event.outcome is Outcome.RESET
         ):
-            self._bad += (1 - self._bad) / BAD_SAMPLES
-            # A lone bad fetch is chance (a heavy tail), and one round-trip's bad fetches are one sign.
-            if self._bad >= BAD_SHARE and now - self._last_cut >= self.response_time.mean:
+            self._failure_share += (1 - self._failure_share) / FAILURE_SAMPLES
+            # A single failed fetch may be chance, and all failures within one round trip count as one.
+            if self._failure_share >= MAX_FAILURE_SHARE and now - self._last_cut >= self.response_time.mean:
                 self._cut(node, now)
 
     def _cut(self, node: Node, now: int) -> None:
         self._last_cut = now
-        self._width = max(1.0, min(self._width, node.load + 1) * CUT)
-        all_used = sum(limiter.used(now) for limiter in self.rate_limiters.values())
-        for limiter in self.rate_limiters.values():  # the origin is shared: it speaks for all
-            limiter.cut(now, all_used)
-
-    def released(self, node: Node) -> Iterator[Request]:
-        """The writes that waited and may be sent now, each asked for once the one before was sent."""
-        while self._held and node.load < self._width:
-            waiter = self._held.pop()
+        self._concurrency_limit = max(1.0, min(self._concurrency_limit, node.load + 1) * CUT_FACTOR)
+        total_rate = sum(limiter.call_rate(now) for limiter in self.rate_limiters.values())
+        for limiter in self.rate_limiters.values():  # all tenants share the origin
+            limiter.cut(now, total_rate)
+
+    def releasable_writes(self, node: Node) -> Iterator[Request]:
+        """Yield the waiting writes that may be sent now; the caller sends each before it takes the next."""
+        while self._waiting_writes and node.load < self._concurrency_limit:
+            waiter = self._waiting_writes.pop()
             if waiter.waiting:
                 yield waiter
-            if self._held and self._held[-1] is waiter:
-                # Danger: after a change of the origin's entry its new node, not this one, is full for good.
+            if self._waiting_writes and self._waiting_writes[-1] is waiter:
+                # Danger: after a change of the origin's entry, `node` is the old one and stays below the
+                # limit while the new one is full; without this check the loop never ends.
                 break
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -1,7 +1,7 @@
-"""Passive outlier detection: the servers that look broken to this router, by the ends of its own attempts.
+"""Passive outlier detection: ejects servers that fail, by the outcomes of this router's own attempts.
 
-Terms and rules are Envoy's, except as docs/design/outliers.md says. A server that answers late or is full is
-overrun and not broken: its limit gives it less (limits.py). Times are nanoseconds on the caller's clock.
+Terms and rules follow Envoy, except as docs/design/outliers.md says. A server that answers late or is full is
+overloaded, not faulty, and is handled by its limit (limits.py). Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -15,34 +15,34 @@
 from saltport.decisions.interface import NS_PER_S, Outcome, Settings
 from saltport.structures.windowed_counter import WindowedCounter
 
-CONSECUTIVE = 3  # signs in a row: one failure in a hundred by chance makes a wrong ejection one in a million
-INTERVAL = 10 * NS_PER_S  # over which failures are counted
-MIN_ATTEMPTS, FAILURE_SHARE = 10, 0.5  # the share beyond what fails with all servers together
-BASE_EJECTION, MAX_EJECTION = NS_PER_S, 30 * NS_PER_S
-JITTER = 0.1  # added to each ejection, so that routers do not come back to a server together
-FORGIVEN = 60 * NS_PER_S  # without an ejection, after which one less counts
-MAX_EJECTED, PANIC_SHARE = 0.5, 0.5  # of the servers listed; a third is a zone of three
-REMEMBERED = 60 * NS_PER_S  # for which a server that left the list is known again
+CONSECUTIVE_FAILURES = 3  # at 1 % random failures a wrong ejection has a probability of one in a million
+FAILURE_WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
+MIN_ATTEMPTS, EXCESS_FAILURE_SHARE = 10, 0.5  # the share above the failure rate of all servers
+BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S
+EJECTION_JITTER = 0.1  # random share added to each ejection, so that routers do not return together
+EJECTION_MEMORY_NS = 60 * NS_PER_S  # without an ejection, after which one earlier ejection no longer counts
+MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5  # of the listed servers; more than a zone of three
+DEPARTED_MEMORY_NS = 60 * NS_PER_S  # for which the record of a server that left the list is retained
 
-BROKEN = (Outcome.CONNECT_FAILED, Outcome.RESET)
-SILENT = (*BROKEN, Outcome.TIMEOUT)
-FAILED = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR)
+CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
+NO_ANSWER = (*CONNECTION_FAILURES, Outcome.TIMEOUT)
+FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET, Outcome.ERROR)
 
 
 class EjectionState(Enum):
-    """What a server may get."""
+    """The state of a server, which decides what requests it may receive."""
 
     HEALTHY = "healthy"
     EJECTED = "ejected"
     TRIAL = "trial"
-    """Its time out is over: one request may find out whether it is back."""
+    """The ejection is over, and one request may test the server."""
     PANIC = "panic"
-    """It looks bad and is asked all the same, as nobody is believed bad."""
+    """The server looks faulty, but so many do that ejections are ignored."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateChange:
-    """What became of a server by an attempt's end."""
+    """A change of a server's state, with a log message."""
 
     message: str
     readmitted: bool = False
@@ -50,69 +50,77 @@
 
 @dataclass(slots=True)
 class Record:
-    """The evidence against one server. Servers without any have no record."""
+    """The evidence against one server; a server without any has no record."""
 
     started: int
     attempts: WindowedCounter
-    row: int = 0
-    """Failures in a row."""
-    broken: int = 0
-    """Those of them that were failed dials or resets, each sent after the one before was known."""
-    broken_at: int = 0
-    silent_since: int = 0
-    """When the first attempt of the row was sent."""
-    failed_at: int = 0
+    consecutive_failures: int = 0
+    """Unanswered attempts in a row."""
+    connection_failures: int = 0
+    """Failed dials and resets among them, each of an attempt sent after the previous one was known."""
+    last_connection_failure_at: int = 0
+    first_failure_sent_at: int = 0
+    """When the first of the consecutive failures was sent."""
+    last_failure_at: int = 0
     ejections: int = 0
     ejected_at: int = 0
-    until: int = 0
+    ejected_until: int = 0
     """The end of the ejection; 0: not ejected."""
-    returned_at: int = 0
+    readmitted_at: int = 0
     reason: str = ""
     trial: str | None = None
-    """The request that tries it."""
+    """The id of the request that currently tests the server."""
     left_at: int | None = None
 
     def reason_to_eject(self, usual: float, silence: int) -> str:
-        """Why the server should be ejected, or nothing; `usual`: the share of failures with all servers."""
-        if self.broken >= CONSECUTIVE:
-            return f"{self.broken} broken or refused connections in a row"
-        # Danger: an overrun server answers later than patience lasts; ejected, it would overrun the next one.
-        silent = self.failed_at - self.silent_since
-        if self.row >= CONSECUTIVE and silent >= silence:
-            return f"{self.row} failures in a row over {silent / NS_PER_S:.1f} s"
+        """Return why the server should be ejected, or an empty string.
+
+        `usual` is the failure rate of all servers, `silence` the least duration of consecutive time-outs.
+        """
+        if self.connection_failures >= CONSECUTIVE_FAILURES:
+            return f"{self.connection_failures} broken or refused connections in a row"
+        # Danger: an overloaded server may exceed the attempt time-out; ejecting it would overload the next.
+        silent = self.last_failure_at - self.first_failure_sent_at
+        if self.consecutive_failures >= CONSECUTIVE_FAILURES and silent >= silence:
+            return f"{self.consecutive_failures} failures in a row over {silent / NS_PER_S:.1f} s"
         attempts, failures = self.attempts.totals()
-        if attempts >= MIN_ATTEMPTS and failures >= attempts * (usual + FAILURE_SHARE):
+        if attempts >= MIN_ATTEMPTS and failures >= attempts * (usual + EXCESS_FAILURE_SHARE):
             return f"{failures} of {attempts} attempts failed"
         return ""
 
-    def repeated(self, now: int) -> int:
-        """Its ejections that are not yet forgiven."""
-        return max(self.ejections - max(now - self.returned_at, 0) // FORGIVEN, 0)
+    def recent_ejections(self, now: int) -> int:
+        """Return the number of ejections that still lengthen the next one."""
+        return max(self.ejections - max(now - self.readmitted_at, 0) // EJECTION_MEMORY_NS, 0)
 
-    def clean(self, now: int) -> bool:
-        """Whether nothing is held against it any more."""
-        return not (self.row or self.attempts.totals()[1] or self.until or self.repeated(now))
+    def has_no_evidence(self, now: int) -> bool:
+        """Whether the record contains no evidence any more."""
+        return not (
+            self.consecutive_failures
+            or self.attempts.totals()[1]
+            or self.ejected_until
+            or self.recent_ejections(now)
+        )
 
 
 class OutlierDetector:
-    """Holds the evidence and tells each server's state."""
+    """Collects evidence from attempts and derives each server's state."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
         self.apply_settings(settings)
         self.records: dict[str, Record] = {}
         self.ejected: set[str] = set()
-        self.suspects: set[str] = set()  # ejected but for the ceiling
+        self.suspects: set[str] = set()  # would be ejected but for the ceiling
         self.listed = 0
-        self._all = WindowedCounter(INTERVAL)
+        self._all_attempts = WindowedCounter(FAILURE_WINDOW_NS)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings; the evidence stays."""
-        # For so long a server that only times out has to be silent, nanoseconds.
-        self._silence = max(cls.deadline for cls in settings.classes)
+        """Apply new settings; the evidence is preserved."""
+        # A server with time-outs only is ejected after this time without an answer.
+        self._min_silence = max(cls.deadline for cls in settings.classes)
 
-    def follow(self, nodes: Mapping[str, Node], now: int) -> None:
-        """Take the list: one that leaves and comes back is known again, unless it started anew meanwhile."""
+    def update_nodes(self, nodes: Mapping[str, Node], now: int) -> None:
+        """Apply a new server list; a server that leaves and returns without a restart keeps its record."""
         self.listed = len(nodes)
         for server, record in list(self.records.items()):
             node = nodes.get(server)
@@ -122,22 +130,23 @@
                 self.suspects.discard(server)
             if node is None and record.left_at is None:
                 record.left_at, record.trial = now, None
-            elif restarted or (node is None and now - (record.left_at or 0) > REMEMBERED):
+            elif restarted or (node is None and now - (record.left_at or 0) > DEPARTED_MEMORY_NS):
                 del self.records[server]
             elif node is not None and record.left_at is not None:
                 record.left_at = None
-                if record.until:
+                if record.ejected_until:
                     self.ejected.add(server)
 
     @property
     def panicking(self) -> bool:
-        """Whether so many look bad that the fault is likelier this router's own."""
+        """Whether so many servers look faulty that this router itself is more likely at fault."""
         return len(self.ejected) + len(self.suspects) > self.listed * PANIC_SHARE
 
     def state(self, server: str, now: int, first: bool = True) -> EjectionState:
-        """What a server may get now of a request, `first`: that has been nowhere yet.
+        """Return a server's state for a request; `first` says that this is the request's first attempt.
 
-        In panic the slot's holder is asked whatever is held against it, and then only who is not suspect.
+        In panic, the first attempt goes to the slot's own server whatever its record, and further attempts
+        only to servers without suspicion.
         """
         if server not in self.ejected and server not in self.suspects:
             return EjectionState.HEALTHY
@@ -146,40 +155,42 @@
         if server in self.suspects:
             return EjectionState.HEALTHY
         record = self.records[server]
-        return EjectionState.EJECTED if now < record.until or record.trial else EjectionState.TRIAL
+        return EjectionState.EJECTED if now < record.ejected_until or record.trial else EjectionState.TRIAL
 
-    def try_out(self, server: str, request: str) -> None:
-        """Let one request find out whether a server is back; nobody else is sent there until it has ended."""
+    def start_trial(self, server: str, request: str) -> None:
+        """Test an ejected server with one request; no other request is sent there until it has ended."""
         self.records[server].trial = request
 
     def record_outcome(
         self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int
     ) -> StateChange | None:
-        """Take one attempt's end; returns what became of the server by it, if its state changed."""
+        """Record an attempt's outcome; return the change of the server's state, if any."""
         server = node.entry.id
         record = self.records.get(server)
         if outcome not in NO_EVIDENCE:
-            self._all.count(outcome in FAILED, now)
+            self._all_attempts.count(outcome in FAILURES, now)
         if record is None:
-            if outcome not in SILENT and outcome not in FAILED:
+            if outcome not in NO_ANSWER and outcome not in FAILURES:
                 return None
-            record = self.records[server] = Record(node.entry.started, WindowedCounter(INTERVAL, now))
+            record = self.records[server] = Record(
+                node.entry.started, WindowedCounter(FAILURE_WINDOW_NS, now)
+            )
         is_trial = record.trial == request
         if is_trial:
             record.trial = None
         if outcome in NO_EVIDENCE:
             return None
         self._count(record, outcome, sent_at, now)
-        answered = outcome not in SILENT and outcome not in FAILED
+        answered = outcome not in NO_ANSWER and outcome not in FAILURES
         if server in self.ejected:
             if answered and (is_trial or sent_at >= record.ejected_at):
-                return self._take_back(server, record, now)
+                return self._readmit(server, record, now)
             return self._eject(server, record, f"trial: {outcome.value}", now) if is_trial else None
-        attempts, failures = self._all.totals()
-        reason = record.reason_to_eject(failures / attempts, self._silence)
+        attempts, failures = self._all_attempts.totals()
+        reason = record.reason_to_eject(failures / attempts, self._min_silence)
         if reason:
             return self._eject(server, record, reason, now)
-        if record.clean(now):
+        if record.has_no_evidence(now):
             del self.records[server]
         if server in self.suspects:
             self.suspects.discard(server)
@@ -187,42 +198,59 @@
         return None
 
     def adopt(self, server: str, record: Record) -> None:
-        """Take over an ejection that another process made, within the ceiling; it ends with a trial."""
-        if server not in self.records and len(self.ejected) < max(1, int(self.listed * MAX_EJECTED)):
+        """Adopt an ejection by another process if the ceiling permits; it ends with a trial."""
+        if server not in self.records and len(self.ejected) < max(1, int(self.listed * MAX_EJECTED_SHARE)):
             self.records[server] = record
             self.ejected.add(server)
 
     def _count(self, record: Record, outcome: Outcome, sent_at: int, now: int) -> None:
-        record.attempts.count(outcome in FAILED, now)
-        if outcome not in SILENT:
-            record.row = record.broken = 0
+        record.attempts.count(outcome in FAILURES, now)
+        if outcome not in NO_ANSWER:
+            record.consecutive_failures = record.connection_failures = 0
             return
-        if not record.row or sent_at - record.failed_at > INTERVAL:
-            record.row, record.broken, record.silent_since = 0, 0, sent_at  # failures far apart are no row
-        record.row, record.failed_at = record.row + 1, now
-        if outcome in BROKEN and (not record.broken or sent_at >= record.broken_at):
-            # Danger: what was out when one cause struck is one sign, however many attempts it took down.
-            record.broken, record.broken_at = record.broken + 1, now
+        if not record.consecutive_failures or sent_at - record.last_failure_at > FAILURE_WINDOW_NS:
+            # Failures far apart are not consecutive.
+            record.consecutive_failures, record.connection_failures, record.first_failure_sent_at = (
+                0,
+                0,
+                sent_at,
+            )
+        record.consecutive_failures, record.last_failure_at = record.consecutive_failures + 1, now
+        if outcome in CONNECTION_FAILURES and (
+            not record.connection_failures or sent_at >= record.last_connection_failure_at
+        ):
+            # Danger: all attempts in flight at one fault count as one failure, however many it ended.
+            record.connection_failures, record.last_connection_failure_at = (
+                record.connection_failures + 1,
+                now,
+            )
 
     def _eject(self, server: str, record: Record, reason: str, now: int) -> StateChange | None:
         record.reason = reason
-        if server not in self.ejected and len(self.ejected) >= max(1, int(self.listed * MAX_EJECTED)):
-            told = server in self.suspects
+        if server not in self.ejected and len(self.ejected) >= max(1, int(self.listed * MAX_EJECTED_SHARE)):
+            already_suspected = server in self.suspects
             self.suspects.add(server)
-            return None if told else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
+            return (
+                None
+                if already_suspected
+                else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
+            )
         if server not in self.ejected:
-            record.ejections = record.repeated(now)
+            record.ejections = record.recent_ejections(now)
         record.ejections += 1
-        time_out = min(BASE_EJECTION << min(record.ejections - 1, 8), MAX_EJECTION)
-        record.ejected_at, record.until = now, now + int(time_out * (1 + self._rng.random() * JITTER))
+        duration = min(BASE_EJECTION_NS << min(record.ejections - 1, 8), MAX_EJECTION_NS)
+        record.ejected_at, record.ejected_until = (
+            now,
+            now + int(duration * (1 + self._rng.random() * EJECTION_JITTER)),
+        )
         self.ejected.add(server)
         self.suspects.discard(server)
-        return StateChange(f"{server}: ejected for {(record.until - now) / NS_PER_S:.1f} s: {reason}")
+        return StateChange(f"{server}: ejected for {(record.ejected_until - now) / NS_PER_S:.1f} s: {reason}")
 
-    def _take_back(self, server: str, record: Record, now: int) -> StateChange:
+    def _readmit(self, server: str, record: Record, now: int) -> StateChange:
         self.ejected.discard(server)
         out = (now - record.ejected_at) / NS_PER_S
-        record.until, record.returned_at, record.row, record.reason = 0, now, 0, ""
-        record.broken = 0
-        record.attempts = WindowedCounter(INTERVAL, now)
+        record.ejected_until, record.readmitted_at, record.consecutive_failures, record.reason = 0, now, 0, ""
+        record.connection_failures = 0
+        record.attempts = WindowedCounter(FAILURE_WINDOW_NS, now)
         return StateChange(f"{server}: back; it was last ejected {out:.1f} s ago", readmitted=True)
--- a/saltport/decisions/overload.py
+++ b/saltport/decisions/overload.py
@@ -1,7 +1,8 @@
-"""The router's own overload: when its loop has no rest and what comes lies unread for long, it sheds early.
+"""Load shedding when the router itself is overloaded: its event loop is busy and received data lies unread.
 
-Shed first is traffic beyond a tenant's portion, within a tenant what can't be in time, then marked retries,
-then first tries; writes are counted, not shed. Times are nanoseconds. docs/design/overload.md has more.
+Traffic above a tenant's portion is shed first; within a tenant, reads that can't be in time, then marked
+retries, then first tries. Writes are counted but never shed. Times are in nanoseconds; see
+docs/design/overload.md.
 """
 
 from __future__ import annotations
@@ -12,88 +13,90 @@
 from saltport.decisions.interface import NS_PER_S, LoopReport, Settings
 from saltport.structures.shares import fair_shares
 
-BUSY = 0.95  # of the time without a wait for the kernel: there is no rest left
-PATIENT = 3  # reports in a row before it counts: a lone stall is no overload
-STEP = 0.3  # of the way to the share that there is room for, with each report
-RISE_S = 4.0  # in which the share admitted would rise from nothing to all
-LEAST = 0.05
-SMOOTH = 0.3
-LEAST_WEIGHT = 0.01  # of tenants that state no portion
-HOPELESS, RETRY, FIRST = 0, 1, 2  # ranks of reads, the least worth first
+BUSY_SHARE = 0.95  # share of time without waiting for I/O, from which the event loop is saturated
+MIN_OVERLOADED_REPORTS = 3  # in a row, since a single stall is no overload
+ADJUSTMENT_STEP = 0.3  # share of the difference to the target share that each report closes
+RISE_S = 4.0  # for a rise of the admitted share from 0 to 1
+MIN_ADMITTED_SHARE = 0.05
+SMOOTHING = 0.3
+MIN_WEIGHT = 0.01  # of tenants without a portion
+TOO_LATE, RETRY, FIRST = 0, 1, 2  # ranks of reads, the first to be shed first
 
 
 class OverloadControl:
-    """Learns from the host's reports, and admits arrivals by them."""
+    """Decides from reports of the event loop's load which arriving requests are admitted."""
 
     def __init__(self, settings: Settings, rng: random.Random) -> None:
         self._rng = rng
         self.apply_settings(settings)
-        self._over = 0
+        self._overloaded_reports = 0
         self.admitted = 1.0
-        """The share of what arrives that there is room for."""
-        self._came: Counter[tuple[str, int]] = Counter()  # since the last report, by tenant and rank
-        self._usual: dict[tuple[str, int], float] = {}  # the same, smoothed
+        """The share of the arriving reads that the router has capacity for."""
+        self._arrivals: Counter[tuple[str, int]] = Counter()  # since the last report, by tenant and rank
+        self._usual_arrivals: dict[tuple[str, int], float] = {}  # the same, smoothed
         self._chances: dict[tuple[str, int], float] = {}
         self.shed: Counter[str] = Counter()
         self.last_report = LoopReport(0.0, 0)
 
     def apply_settings(self, settings: Settings) -> None:
-        """Take new settings; what was shed stays counted."""
+        """Apply new settings; counts are preserved."""
         self.target = settings.overload_target
-        self._weights = {tenant.name: max(tenant.portion, LEAST_WEIGHT) for tenant in settings.tenants}
-        self._weights[""] = LEAST_WEIGHT
+        self._weights = {tenant.name: max(tenant.portion, MIN_WEIGHT) for tenant in settings.tenants}
+        self._weights[""] = MIN_WEIGHT
 
     @property
     def lag(self) -> int:
-        """For how long what comes lies unread while the loop has no rest: this router's part of any wait."""
-        return self.last_report.delay if self.last_report.busy >= BUSY else 0
+        """The delay that this router adds to each answer while its event loop is saturated."""
+        return self.last_report.delay if self.last_report.busy >= BUSY_SHARE else 0
 
     def report(self, report: LoopReport) -> str | None:
-        """Take a report of the loop; returns a line for the operator when the state changes."""
+        """Process a report of the loop's load; return a log line when shedding begins or ends."""
         self.last_report = report
         if not self.target:
             return None
-        over = report.busy >= BUSY and report.delay > self.target
-        self._over = self._over + 1 if over else 0
-        before = self.admitted
-        if self._over >= PATIENT:
-            # Danger: refusals cost CPU too; cut for as long as the loop has no rest, all would be refused.
-            room = max(self.target / report.delay, LEAST)
-            self.admitted += (min(room, 1.0) - self.admitted) * STEP
-        elif not over:
+        overloaded = report.busy >= BUSY_SHARE and report.delay > self.target
+        self._overloaded_reports = self._overloaded_reports + 1 if overloaded else 0
+        previous = self.admitted
+        if self._overloaded_reports >= MIN_OVERLOADED_REPORTS:
+            # Danger: refusals cost CPU too; cutting while the loop is saturated would end in refusing all.
+            capacity_share = max(self.target / report.delay, MIN_ADMITTED_SHARE)
+            self.admitted += (min(capacity_share, 1.0) - self.admitted) * ADJUSTMENT_STEP
+        elif not overloaded:
             self.admitted = min(self.admitted + report.span / (RISE_S * NS_PER_S), 1.0)
-        for kind in self._usual.keys() | self._came.keys():
-            usual = self._usual.get(kind, 0.0)
-            self._usual[kind] = usual + (self._came[kind] - usual) * SMOOTH
-        self._came.clear()
-        self._chances = self._ranked() if self.admitted < 1.0 else {}
-        if (before < 1.0) == (self.admitted < 1.0):
+        for tenant_and_rank in self._usual_arrivals.keys() | self._arrivals.keys():
+            usual = self._usual_arrivals.get(tenant_and_rank, 0.0)
+            self._usual_arrivals[tenant_and_rank] = (
+                usual + (self._arrivals[tenant_and_rank] - usual) * SMOOTHING
+            )
+        self._arrivals.clear()
+        self._chances = self._admission_chances() if self.admitted < 1.0 else {}
+        if (previous < 1.0) == (self.admitted < 1.0):
             return None
         if self.admitted < 1.0:
             return f"overloaded: what comes lies unread for {report.delay / 1e6:.0f} ms; shedding begins"
         return f"no longer overloaded; {self.shed.total()} reads were shed since the start"
 
-    def _ranked(self) -> dict[tuple[str, int], float]:
-        """The chance of each kind of read: a tenant's fair share goes to its best ranks first."""
-        asked: Counter[str] = Counter()
-        for (tenant, _), count in self._usual.items():
-            asked[tenant] += count  # type: ignore[assignment]
-        shares = fair_shares(self.admitted * asked.total(), asked, self._weights)
+    def _admission_chances(self) -> dict[tuple[str, int], float]:
+        """Return the admission probability by tenant and rank; better ranks use a tenant's share first."""
+        demand: Counter[str] = Counter()
+        for (tenant, _), count in self._usual_arrivals.items():
+            demand[tenant] += count  # type: ignore[assignment]
+        shares = fair_shares(self.admitted * demand.total(), demand, self._weights)
         chances = {}
-        for tenant, left in shares.items():
-            for rank in (FIRST, RETRY, HOPELESS):
-                came = self._usual.get((tenant, rank), 0.0)
-                chances[tenant, rank] = min(left / came, 1.0) if came > 0 else 1.0
-                left = max(left - came, 0.0)
+        for tenant, remaining in shares.items():
+            for rank in (FIRST, RETRY, TOO_LATE):
+                arrivals = self._usual_arrivals.get((tenant, rank), 0.0)
+                chances[tenant, rank] = min(remaining / arrivals, 1.0) if arrivals > 0 else 1.0
+                remaining = max(remaining - arrivals, 0.0)
         return chances
 
     def admit(self, tenant: str, write: bool, rank: int) -> bool:
-        """Whether to take a request on; counts it."""
+        """Whether to admit a request; counts it either way."""
         if not self.target:
             return True
         if tenant not in self._weights:
             tenant = ""
-        self._came[tenant, FIRST if write else rank] += 1
+        self._arrivals[tenant, FIRST if write else rank] += 1
         if write or not self._chances:
             return True
         chance = self._chances.get((tenant, rank), 1.0)
--- a/saltport/decisions/trials.py
+++ b/saltport/decisions/trials.py
@@ -10,18 +10,18 @@
 
 def due(detector: OutlierDetector) -> dict[str, int]:
     """The ejected servers, and from when on a request may try each."""
-    return {server: detector.records[server].until for server in detector.ejected}
+    return {server: detector.records[server].ejected_until for server in detector.ejected}
 
 
 def hold(detector: OutlierDetector, server: str, until: int) -> None:
     """Try an ejected server here no sooner than this; a trial under way goes on."""
     if server in detector.ejected:
         record = detector.records[server]
-        record.until = max(record.until, until)
+        record.ejected_until = max(record.ejected_until, until)
 
 
 def begin(detector: OutlierDetector, server: str, now: int) -> None:
     """Let the next request try an ejected server."""
     if server in detector.ejected:
         record = detector.records[server]
-        record.until = min(record.until, now)
+        record.ejected_until = min(record.ejected_until, now)
--- a/saltport/decisions/weight_adjustment.py
+++ b/saltport/decisions/weight_adjustment.py
@@ -9,7 +9,7 @@
 
 from saltport.decisions.health import Node
 from saltport.decisions.interface import NS_PER_S, Settings
-from saltport.decisions.limits import PROMPT
+from saltport.decisions.limits import PROMPT_AIM_SHARE
 from saltport.structures.rendezvous import WORD, mixed
 
 TIME_FIELDS = ("latency_ms", "recent_ms")  # the recent service time, as PROTOCOL's wires name it
@@ -37,10 +37,10 @@
         if sent_at >= node.weight_factor_at:
             node.weight_factor_at = now + SETTLES
             # All slow at once is load, and no server's own: then none keeps less than its part.
-            fair = max(PROMPT * aim, self._usual)
+            fair = max(PROMPT_AIM_SHARE * aim, self._usual)
             node.weight_factor = min(max(node.weight_factor * (fair / reported) ** GAIN, LEAST), 1.0)
 
 
-def keeps(node: Node, slot: int) -> bool:
+def keeps_slot(node: Node, slot: int) -> bool:
     """Whether a server keeps this slot's reads."""
     return node.weight_factor >= 1.0 or mixed(slot + DRAWN, node.seed) < node.weight_factor * WORD
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -13,7 +13,7 @@
 from saltport.decisions import interface as api
 from saltport.decisions.health import ANSWERED, NO_EVIDENCE, Node
 from saltport.decisions.interface import Outcome
-from saltport.decisions.outliers import SILENT, OutlierDetector
+from saltport.decisions.outliers import NO_ANSWER, OutlierDetector
 from saltport.decisions.request import Request
 from saltport.decisions.slot_replication import LOAD_SHARE, SlotReplication
 from saltport.decisions.table import DEPTH, SlotTable
@@ -214,7 +214,7 @@
         outcome = event.outcome
         if outcome in NO_EVIDENCE:
             return
-        silent = outcome in SILENT and not (event.connection_reused and outcome is Outcome.RESET)
+        silent = outcome in NO_ANSWER and not (event.connection_reused and outcome is Outcome.RESET)
         if outcome is Outcome.TIMEOUT and event.latency < _usual_most(node):
             return  # its client had less time than answers take
         if fetched:
--- a/tests/decisions/test_inheritance.py
+++ b/tests/decisions/test_inheritance.py
@@ -44,11 +44,11 @@
     assert limiter.accepted(int(begun + was.window_s * S)) == 0
     bad = fleet(4)[0].id
     assert new.outliers.ejected == old.outliers.ejected == {bad}
-    left = old.outliers.records[bad].until - 100 * S
-    assert new.outliers.records[bad].until == begun + left
+    left = old.outliers.records[bad].ejected_until - 100 * S
+    assert new.outliers.records[bad].ejected_until == begun + left
     for server in fleet(4):
         held, told = new.caches.nodes[server.id], old.caches.nodes[server.id]
-        assert (held.limit.limit, held.limit.took) == (told.limit.limit, told.limit.took)
+        assert (held.limit.limit, held.limit.response_time) == (told.limit.limit, told.limit.response_time)
         assert (held.response_time.mean, held.weight_factor) == (told.response_time.mean, told.weight_factor)
 
 
@@ -78,7 +78,7 @@
     assert new.fetches.rate_limiters["a"].limit == 20.0
     assert set(new.fetches.rate_limiters) == {"a", ""}
     assert len(new.outliers.ejected) == 2, "half of the servers at the most"
-    assert all(record.until <= begun + 60 * S for record in new.outliers.records.values())
+    assert all(record.ejected_until <= begun + 60 * S for record in new.outliers.records.values())
 
 
 GOOD = inheritance.export(experienced(100 * S), 100 * S)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from saltport.decisions import Outcome, RequestClass, Send, StreamStarted
-from saltport.decisions.limits import FORGETS, LEAST, LEAST_PAUSE, MOST_PAUSE, Limit
+from saltport.decisions.limits import MAX_PAUSE_NS, MIN_LIMIT, MIN_PAUSE_NS, STALE_AFTER_NS, Limit
 from tests.decisions.helpers import MS, S, ended, fleet, only_send, request, sends, settings, started
 
 AIM = 300 * MS
@@ -45,9 +45,9 @@
 def test_steady_lateness_cuts_it_to_what_still_finds_out() -> None:
     limit = Limit()
     now = fed(limit, 400 * MS, 40)
-    assert limit.limit == LEAST
-    assert limit.room(0, now)
-    assert not limit.room(1, now)
+    assert limit.limit == MIN_LIMIT
+    assert limit.has_room(0, now)
+    assert not limit.has_room(1, now)
     fed(limit, 50 * MS, 40, out=1, now=now)
     assert limit.limit > 3
 
@@ -65,7 +65,7 @@
 def test_burst_at_a_server_that_was_never_late_is_no_overload() -> None:
     limit = Limit()
     fed(limit, 50 * MS, 100)
-    assert limit.room(10_000, 0)
+    assert limit.has_room(10_000, 0)
 
 
 def test_all_that_was_out_when_it_was_cut_cuts_once() -> None:
@@ -80,15 +80,15 @@
 def test_server_that_turns_all_away_at_once_is_asked_ever_more_rarely() -> None:
     limit, now, asked = Limit(), 0, []
     for now in range(0, 10_000 * MS, MS):
-        if limit.room(0, now):
+        if limit.has_room(0, now):
             asked.append(now)
-            limit.turned_away(now, now, 0)
+            limit.refused(now, now, 0)
     gaps = [after - before for before, after in pairwise(asked)]
     assert gaps == sorted(gaps)
-    assert (gaps[0], gaps[-1]) == (LEAST_PAUSE, MOST_PAUSE)
+    assert (gaps[0], gaps[-1]) == (MIN_PAUSE_NS, MAX_PAUSE_NS)
     limit.learn(50 * MS, 0, now, now, AIM)
-    limit.turned_away(now + MOST_PAUSE, now + MOST_PAUSE, 0)
-    assert limit.room(0, now + MOST_PAUSE + 50 * MS), "one answer, and the pauses begin anew"
+    limit.refused(now + MAX_PAUSE_NS, now + MAX_PAUSE_NS, 0)
+    assert limit.has_room(0, now + MAX_PAUSE_NS + 50 * MS), "one answer, and the pauses begin anew"
 
 
 def test_cut_is_by_how_late_answers_are() -> None:
@@ -102,15 +102,15 @@
     limit = Limit()
     now = fed(limit, 50 * MS, 20)
     fed(limit, 250 * MS, 10, now=now)
-    assert limit.work < 90 * MS
-    assert limit.took > 200 * MS
+    assert limit.service_time < 90 * MS
+    assert limit.response_time > 200 * MS
 
 
 def test_what_was_long_ago_is_forgotten() -> None:
     limit = Limit()
     now = fed(limit, 400 * MS, 10)
     limit.learn(50 * MS, 1, now + 20_000 * MS, now + 20_050 * MS, AIM)
-    assert limit.took == limit.work == 50 * MS
+    assert limit.response_time == limit.service_time == 50 * MS
 
 
 @given(st.lists(st.tuples(st.integers(1, 2_000), st.integers(0, 300), st.booleans()), max_size=200))
@@ -119,12 +119,12 @@
     for took, out, turned_away in answers:
         now += took * MS
         if turned_away:
-            limit.turned_away(now - took * MS, now, out)
+            limit.refused(now - took * MS, now, out)
         else:
             limit.learn(took * MS, out, now - took * MS, now, AIM)
-        assert limit.limit >= LEAST
-        assert limit.room(0, now + MOST_PAUSE)
-        assert limit.work <= limit.took + 1
+        assert limit.limit >= MIN_LIMIT
+        assert limit.has_room(0, now + MAX_PAUSE_NS)
+        assert limit.service_time <= limit.response_time + 1
 
 
 @pytest.mark.parametrize(("load", "least"), [(0.5, 0.97), (0.8, 0.85)])
@@ -139,7 +139,7 @@
     from saltport.decisions import placement
 
     yielding = play(1.3, 6)["in_time"]
-    monkeypatch.setattr(placement, "YIELDS", 2.0)
+    monkeypatch.setattr(placement, "RETRY_MAX_BUSY_SHARE", 2.0)
     assert yielding >= 1.2 * play(1.3, 6)["in_time"]
 
 
@@ -181,7 +181,7 @@
     assert router.caches.nodes[fleet(1)[0].id].load == 1
 
 
-@pytest.mark.parametrize(("unheard", "pause"), [(10 * MS, 10 * MS), (4 * S, 4 * S), (60 * S, FORGETS)])
+@pytest.mark.parametrize(("unheard", "pause"), [(10 * MS, 10 * MS), (4 * S, 4 * S), (60 * S, STALE_AFTER_NS)])
 def test_server_that_timed_out_is_left_alone_for_as_long_as_it_had_not_been_heard_of(
     unheard: int, pause: int
 ) -> None:
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -27,11 +27,11 @@
 )
 from saltport.decisions.health import Node
 from saltport.decisions.outliers import (
-    BASE_EJECTION,
-    FORGIVEN,
-    INTERVAL,
-    MAX_EJECTION,
-    REMEMBERED,
+    BASE_EJECTION_NS,
+    DEPARTED_MEMORY_NS,
+    EJECTION_MEMORY_NS,
+    FAILURE_WINDOW_NS,
+    MAX_EJECTION_NS,
     EjectionState,
     OutlierDetector,
     StateChange,
@@ -53,7 +53,7 @@
 SILENCE = 300 * MS
 
 
-class Judged:
+class DetectorRig:
     """A detector over some servers, fed with attempts that each take a millisecond, or wait."""
 
     def __init__(self, count: int = 10) -> None:
@@ -66,14 +66,14 @@
 
     def follow(self, *without: str) -> None:
         listed = {name: node for name, node in self.nodes.items() if name not in without}
-        self.detector.follow(listed, self.now)
+        self.detector.update_nodes(listed, self.now)
 
-    def tell(self, number: int, *outcomes: Outcome, request: str = "r") -> str | None:
-        told: StateChange | None = None
+    def record(self, number: int, *outcomes: Outcome, request: str = "r") -> str | None:
+        change: StateChange | None = None
         for outcome in outcomes:
             sent, self.now = self.now, self.now + (SILENCE // 3 if outcome is Outcome.TIMEOUT else MS)
-            told = self.detector.record_outcome(self.node(number), request, outcome, sent, self.now)
-        return told.message if told else None
+            change = self.detector.record_outcome(self.node(number), request, outcome, sent, self.now)
+        return change.message if change else None
 
     def node(self, number: int) -> Node:
         return self.nodes[f"10.0.0.{number}:80"]
@@ -85,8 +85,8 @@
         """Wait for the trial and fail it; returns how long the server stays out after that."""
         while self.state(number) is not EjectionState.TRIAL:
             self.now += 100 * MS
-        self.detector.try_out(self.node(number).entry.id, "trial")
-        self.tell(number, Outcome.CONNECT_FAILED, request="trial")
+        self.detector.start_trial(self.node(number).entry.id, "trial")
+        self.record(number, Outcome.CONNECT_FAILED, request="trial")
         begun = self.now
         while self.state(number) is not EjectionState.TRIAL:
             self.now += 10 * MS
@@ -98,209 +98,206 @@
 
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_three_failures_in_a_row_eject_and_two_do_not(outcome: Outcome) -> None:
-    judged = Judged()
-    assert judged.tell(1, outcome, outcome) is None
-    assert judged.state(1) is EjectionState.HEALTHY
-    told = judged.tell(1, outcome)
-    assert told is not None
-    assert "3 " in told
-    assert "in a row" in told
-    assert judged.state(1) is EjectionState.EJECTED
-    assert judged.state(2) is EjectionState.HEALTHY
+    rig = DetectorRig()
+    assert rig.record(1, outcome, outcome) is None
+    assert rig.state(1) is EjectionState.HEALTHY
+    change = rig.record(1, outcome)
+    assert change is not None
+    assert "3 " in change
+    assert "in a row" in change
+    assert rig.state(1) is EjectionState.EJECTED
+    assert rig.state(2) is EjectionState.HEALTHY
 
 
 def test_time_outs_in_a_row_eject_only_once_the_silence_is_long() -> None:
-    judged = Judged()
+    rig = DetectorRig()
     for at in range(29):
         sent = S + at * 10 * MS
-        assert (
-            judged.detector.record_outcome(judged.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
-        )
+        assert rig.detector.record_outcome(rig.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
     assert (
-        judged.detector.record_outcome(judged.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS)
-        is not None
+        rig.detector.record_outcome(rig.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS) is not None
     )
 
 
 @pytest.mark.parametrize("heard", [Outcome.OK, Outcome.MISS, Outcome.FULL, Outcome.ERROR])
 def test_any_answer_ends_the_row(heard: Outcome) -> None:
-    judged = Judged()
-    judged.tell(1, Outcome.TIMEOUT, Outcome.TIMEOUT, heard, Outcome.TIMEOUT, Outcome.TIMEOUT)
-    assert judged.state(1) is EjectionState.HEALTHY
+    rig = DetectorRig()
+    rig.record(1, Outcome.TIMEOUT, Outcome.TIMEOUT, heard, Outcome.TIMEOUT, Outcome.TIMEOUT)
+    assert rig.state(1) is EjectionState.HEALTHY
 
 
 @pytest.mark.parametrize("nothing", [Outcome.MOOT, Outcome.CANCELLED])
 def test_what_tells_nothing_neither_counts_nor_ends_the_row(nothing: Outcome) -> None:
-    judged = Judged()
-    judged.tell(1, nothing, nothing, nothing)
-    assert views.outliers(judged.detector, judged.now)["servers"] == {}
-    judged.tell(1, Outcome.RESET, Outcome.RESET, nothing, Outcome.RESET)
-    assert judged.state(1) is EjectionState.EJECTED
+    rig = DetectorRig()
+    rig.record(1, nothing, nothing, nothing)
+    assert views.outliers(rig.detector, rig.now)["servers"] == {}
+    rig.record(1, Outcome.RESET, Outcome.RESET, nothing, Outcome.RESET)
+    assert rig.state(1) is EjectionState.EJECTED
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_what_was_out_when_one_cause_struck_is_one_sign(outcome: Outcome) -> None:
-    judged = Judged()
-    sent = judged.now
+    rig = DetectorRig()
+    sent = rig.now
     for at in range(50):
-        judged.detector.record_outcome(judged.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
-    assert judged.state(1) is EjectionState.HEALTHY
-    assert views.outliers(judged.detector, sent + S)["servers"]["10.0.0.1:80"]["failures_in_a_row"] == 50  # type: ignore[index]
+        rig.detector.record_outcome(rig.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
+    assert rig.state(1) is EjectionState.HEALTHY
+    assert views.outliers(rig.detector, sent + S)["servers"]["10.0.0.1:80"]["failures_in_a_row"] == 50  # type: ignore[index]
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
 def test_failures_far_apart_are_no_row(outcome: Outcome) -> None:
-    judged = Judged()
+    rig = DetectorRig()
     for _ in range(20):
-        judged.tell(1, outcome, outcome)
-        judged.now += 2 * INTERVAL
-    assert judged.state(1) is EjectionState.HEALTHY
+        rig.record(1, outcome, outcome)
+        rig.now += 2 * FAILURE_WINDOW_NS
+    assert rig.state(1) is EjectionState.HEALTHY
 
 
 def test_half_of_the_attempts_failing_ejects_and_less_does_not() -> None:
-    judged = Judged()
-    judged.tell(0, *[Outcome.OK] * 300)
+    rig = DetectorRig()
+    rig.record(0, *[Outcome.OK] * 300)
     for _ in range(40):
-        judged.tell(1, Outcome.RESET, Outcome.OK, Outcome.OK)
-        assert judged.state(1) is EjectionState.HEALTHY
-    judged = Judged()
-    judged.tell(0, *[Outcome.OK] * 300)
+        rig.record(1, Outcome.RESET, Outcome.OK, Outcome.OK)
+        assert rig.state(1) is EjectionState.HEALTHY
+    rig = DetectorRig()
+    rig.record(0, *[Outcome.OK] * 300)
     for _ in range(5):
-        told = judged.tell(2, Outcome.OK, Outcome.ERROR)
+        change = rig.record(2, Outcome.OK, Outcome.ERROR)
     # the first answer was before there was any evidence
-    assert told is None
-    told = judged.tell(2, Outcome.ERROR)
-    assert told is not None
-    assert "6 of 10 attempts failed" in told
+    assert change is None
+    change = rig.record(2, Outcome.ERROR)
+    assert change is not None
+    assert "6 of 10 attempts failed" in change
 
 
 def test_failures_that_all_servers_have_alike_eject_nobody() -> None:
-    judged = Judged()
+    rig = DetectorRig()
     for _ in range(40):
         for number in range(10):
-            judged.tell(number, Outcome.ERROR, Outcome.OK, Outcome.ERROR)
-    assert views.outliers(judged.detector, judged.now)["ejected"] == 0
+            rig.record(number, Outcome.ERROR, Outcome.OK, Outcome.ERROR)
+    assert views.outliers(rig.detector, rig.now)["ejected"] == 0
     # among them one that always fails is none worse than they are by half
-    judged.tell(3, *[Outcome.ERROR] * 20)
-    assert judged.state(3) is EjectionState.HEALTHY
+    rig.record(3, *[Outcome.ERROR] * 20)
+    assert rig.state(3) is EjectionState.HEALTHY
 
 
 def test_time_outs_of_an_overrun_server_that_answers_do_not_eject_it() -> None:
-    judged = Judged()
+    rig = DetectorRig()
     for _ in range(50):
-        judged.tell(1, Outcome.TIMEOUT, Outcome.TIMEOUT, Outcome.FULL, Outcome.TIMEOUT, Outcome.OK)
-    assert judged.state(1) is EjectionState.HEALTHY
+        rig.record(1, Outcome.TIMEOUT, Outcome.TIMEOUT, Outcome.FULL, Outcome.TIMEOUT, Outcome.OK)
+    assert rig.state(1) is EjectionState.HEALTHY
 
 
 def test_old_failures_are_forgotten() -> None:
-    judged = Judged()
-    judged.tell(0, *[Outcome.OK] * 300)
-    judged.tell(1, *[Outcome.ERROR] * 9)
-    judged.now += 2 * INTERVAL
-    judged.tell(0, *[Outcome.OK] * 300)
-    judged.tell(1, Outcome.ERROR)
-    assert judged.state(1) is EjectionState.HEALTHY
-    judged.now += 2 * INTERVAL
-    judged.tell(1, Outcome.OK)
-    judged.now += 2 * INTERVAL
-    judged.tell(1, Outcome.OK)
-    assert views.outliers(judged.detector, judged.now)["servers"] == {}
+    rig = DetectorRig()
+    rig.record(0, *[Outcome.OK] * 300)
+    rig.record(1, *[Outcome.ERROR] * 9)
+    rig.now += 2 * FAILURE_WINDOW_NS
+    rig.record(0, *[Outcome.OK] * 300)
+    rig.record(1, Outcome.ERROR)
+    assert rig.state(1) is EjectionState.HEALTHY
+    rig.now += 2 * FAILURE_WINDOW_NS
+    rig.record(1, Outcome.OK)
+    rig.now += 2 * FAILURE_WINDOW_NS
+    rig.record(1, Outcome.OK)
+    assert views.outliers(rig.detector, rig.now)["servers"] == {}
 
 
 def test_trial_is_single_and_its_answer_brings_the_server_back() -> None:
-    judged = Judged()
-    judged.tell(1, *[Outcome.RESET] * 3)
-    judged.now += BASE_EJECTION * 2
-    assert judged.state(1) is EjectionState.TRIAL
-    judged.detector.try_out("10.0.0.1:80", "trial")
-    assert judged.state(1) is EjectionState.EJECTED
+    rig = DetectorRig()
+    rig.record(1, *[Outcome.RESET] * 3)
+    rig.now += BASE_EJECTION_NS * 2
+    assert rig.state(1) is EjectionState.TRIAL
+    rig.detector.start_trial("10.0.0.1:80", "trial")
+    assert rig.state(1) is EjectionState.EJECTED
     # an answer to what was sent before it was ejected tells nothing of it now
-    assert judged.detector.record_outcome(judged.node(1), "old", Outcome.OK, S, judged.now) is None
-    assert judged.state(1) is EjectionState.EJECTED
-    told = judged.tell(1, Outcome.FULL, request="trial")
-    assert told is not None
-    assert "back" in told
-    assert judged.state(1) is EjectionState.HEALTHY
+    assert rig.detector.record_outcome(rig.node(1), "old", Outcome.OK, S, rig.now) is None
+    assert rig.state(1) is EjectionState.EJECTED
+    change = rig.record(1, Outcome.FULL, request="trial")
+    assert change is not None
+    assert "back" in change
+    assert rig.state(1) is EjectionState.HEALTHY
 
 
 def test_trial_whose_client_leaves_makes_room_for_the_next() -> None:
-    judged = Judged()
-    judged.tell(1, *[Outcome.RESET] * 3)
-    judged.now += BASE_EJECTION * 2
-    judged.detector.try_out("10.0.0.1:80", "trial")
-    judged.tell(1, Outcome.CANCELLED, request="trial")
-    assert judged.state(1) is EjectionState.TRIAL
+    rig = DetectorRig()
+    rig.record(1, *[Outcome.RESET] * 3)
+    rig.now += BASE_EJECTION_NS * 2
+    rig.detector.start_trial("10.0.0.1:80", "trial")
+    rig.record(1, Outcome.CANCELLED, request="trial")
+    assert rig.state(1) is EjectionState.TRIAL
 
 
 def test_ejections_grow_to_a_ceiling_and_are_forgiven_with_time() -> None:
-    judged = Judged()
-    judged.tell(1, *[Outcome.RESET] * 3)
-    times = [judged.fail_trial(1) for _ in range(7)]
-    for told, expected in zip(times, (2, 4, 8, 16, 30, 30, 30), strict=True):
-        assert expected * S <= told <= expected * S * 1.1 + 10 * MS
-    assert max(times) <= MAX_EJECTION * 1.1 + 10 * MS
-    judged.detector.try_out("10.0.0.1:80", "trial")
-    judged.tell(1, Outcome.OK, request="trial")
-    judged.tell(1, *[Outcome.RESET] * 3)
-    assert views.outliers(judged.detector, judged.now)["servers"]["10.0.0.1:80"]["ejected_for_s"] >= 30  # type: ignore[index]
-    judged.now += MAX_EJECTION * 2
-    judged.detector.try_out("10.0.0.1:80", "trial")
-    judged.tell(1, Outcome.OK, request="trial")
-    judged.now += 20 * FORGIVEN
-    judged.tell(1, *[Outcome.RESET] * 3)
-    assert views.outliers(judged.detector, judged.now)["servers"]["10.0.0.1:80"]["ejected_for_s"] <= 1.1  # type: ignore[index]
+    rig = DetectorRig()
+    rig.record(1, *[Outcome.RESET] * 3)
+    times = [rig.fail_trial(1) for _ in range(7)]
+    for change, expected in zip(times, (2, 4, 8, 16, 30, 30, 30), strict=True):
+        assert expected * S <= change <= expected * S * 1.1 + 10 * MS
+    assert max(times) <= MAX_EJECTION_NS * 1.1 + 10 * MS
+    rig.detector.start_trial("10.0.0.1:80", "trial")
+    rig.record(1, Outcome.OK, request="trial")
+    rig.record(1, *[Outcome.RESET] * 3)
+    assert views.outliers(rig.detector, rig.now)["servers"]["10.0.0.1:80"]["ejected_for_s"] >= 30  # type: ignore[index]
+    rig.now += MAX_EJECTION_NS * 2
+    rig.detector.start_trial("10.0.0.1:80", "trial")
+    rig.record(1, Outcome.OK, request="trial")
+    rig.now += 20 * EJECTION_MEMORY_NS
+    rig.record(1, *[Outcome.RESET] * 3)
+    assert views.outliers(rig.detector, rig.now)["servers"]["10.0.0.1:80"]["ejected_for_s"] <= 1.1  # type: ignore[index]
 
 
 def test_at_most_half_are_ejected_and_beyond_it_nobody_is_believed_bad() -> None:
-    judged = Judged()
+    rig = DetectorRig()
     for number in range(5):
-        judged.tell(number, *[Outcome.RESET] * 3)
-    assert not judged.detector.panicking
-    assert [judged.state(number) for number in range(5)] == [EjectionState.EJECTED] * 5
-    told = judged.tell(5, *[Outcome.RESET] * 3)
-    assert told is not None
-    assert "kept in" in told
-    assert judged.tell(5, Outcome.RESET) is None  # told once
-    assert judged.detector.panicking
+        rig.record(number, *[Outcome.RESET] * 3)
+    assert not rig.detector.panicking
+    assert [rig.state(number) for number in range(5)] == [EjectionState.EJECTED] * 5
+    change = rig.record(5, *[Outcome.RESET] * 3)
+    assert change is not None
+    assert "kept in" in change
+    assert rig.record(5, Outcome.RESET) is None  # change once
+    assert rig.detector.panicking
     # the holder is asked, whoever it is; a request that failed there only goes to who is above suspicion
-    assert {judged.state(number) for number in range(10)} == {EjectionState.HEALTHY, EjectionState.PANIC}
-    assert [judged.state(number, first=False) for number in (0, 5, 6)] == [
+    assert {rig.state(number) for number in range(10)} == {EjectionState.HEALTHY, EjectionState.PANIC}
+    assert [rig.state(number, first=False) for number in (0, 5, 6)] == [
         EjectionState.EJECTED,
         EjectionState.EJECTED,
         EjectionState.HEALTHY,
     ]
     # one answer is enough for a server to be back, and for panic to end
-    judged.tell(0, Outcome.MISS)
-    assert not judged.detector.panicking
-    assert judged.state(0) is EjectionState.HEALTHY
-    assert judged.state(1) is EjectionState.EJECTED
-    assert judged.state(5) is EjectionState.HEALTHY
-    judged.tell(5, Outcome.OK)
-    assert views.outliers(judged.detector, judged.now)["ejected"] == 4
+    rig.record(0, Outcome.MISS)
+    assert not rig.detector.panicking
+    assert rig.state(0) is EjectionState.HEALTHY
+    assert rig.state(1) is EjectionState.EJECTED
+    assert rig.state(5) is EjectionState.HEALTHY
+    rig.record(5, Outcome.OK)
+    assert views.outliers(rig.detector, rig.now)["ejected"] == 4
 
 
 def test_server_that_leaves_and_comes_back_at_once_is_known_again() -> None:
-    judged = Judged()
-    judged.tell(1, *[Outcome.CONNECT_FAILED] * 3)
-    judged.follow("10.0.0.1:80")
-    assert views.outliers(judged.detector, judged.now)["servers"] == {}
-    assert judged.state(1) is EjectionState.HEALTHY
-    judged.follow()
-    assert judged.state(1) is EjectionState.EJECTED
+    rig = DetectorRig()
+    rig.record(1, *[Outcome.CONNECT_FAILED] * 3)
+    rig.follow("10.0.0.1:80")
+    assert views.outliers(rig.detector, rig.now)["servers"] == {}
+    assert rig.state(1) is EjectionState.HEALTHY
+    rig.follow()
+    assert rig.state(1) is EjectionState.EJECTED
 
 
 def test_server_that_started_anew_or_was_long_away_is_not_held_to_it() -> None:
-    judged = Judged()
-    judged.tell(1, *[Outcome.CONNECT_FAILED] * 3)
-    judged.tell(2, *[Outcome.CONNECT_FAILED] * 3)
-    judged.nodes["10.0.0.1:80"] = Node(replace(judged.node(1).entry, started=judged.now), False)
-    judged.follow("10.0.0.2:80")
-    assert judged.state(1) is EjectionState.HEALTHY
-    judged.now += REMEMBERED + S
-    judged.follow("10.0.0.2:80")
-    judged.follow()
-    assert judged.state(2) is EjectionState.HEALTHY
-    assert views.outliers(judged.detector, judged.now)["servers"] == {}
+    rig = DetectorRig()
+    rig.record(1, *[Outcome.CONNECT_FAILED] * 3)
+    rig.record(2, *[Outcome.CONNECT_FAILED] * 3)
+    rig.nodes["10.0.0.1:80"] = Node(replace(rig.node(1).entry, started=rig.now), False)
+    rig.follow("10.0.0.2:80")
+    assert rig.state(1) is EjectionState.HEALTHY
+    rig.now += DEPARTED_MEMORY_NS + S
+    rig.follow("10.0.0.2:80")
+    rig.follow()
+    assert rig.state(2) is EjectionState.HEALTHY
+    assert views.outliers(rig.detector, rig.now)["servers"] == {}
 
 
 # The same through the router
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -10,7 +10,14 @@
 from hypothesis import settings as profile
 
 from saltport.decisions import LoopReport, Outcome, Refuse, Tenant, views
-from saltport.decisions.overload import FIRST, HOPELESS, LEAST, PATIENT, RETRY, OverloadControl
+from saltport.decisions.overload import (
+    FIRST,
+    MIN_ADMITTED_SHARE,
+    MIN_OVERLOADED_REPORTS,
+    RETRY,
+    TOO_LATE,
+    OverloadControl,
+)
 from saltport.structures.shares import fair_shares
 from tests.decisions.helpers import (
     MS,
@@ -36,7 +43,7 @@
 
 def load(overload: OverloadControl, reports: int, told: LoopReport, **kinds: int) -> Counter[str]:
     """So many reports, with arrivals of each kind (TENANT_RANK) before each; returns what was admitted."""
-    ranks = {"hopeless": HOPELESS, "retry": RETRY, "first": FIRST}
+    ranks = {"hopeless": TOO_LATE, "retry": RETRY, "first": FIRST}
     taken: Counter[str] = Counter()
     for _ in range(reports):
         for kind, count in kinds.items():
@@ -60,10 +67,10 @@
 def test_a_lone_stall_sheds_nothing_and_a_lasting_one_does() -> None:
     overload = control()
     for _ in range(5):
-        load(overload, PATIENT - 1, OVER, public_first=50)
+        load(overload, MIN_OVERLOADED_REPORTS - 1, OVER, public_first=50)
         load(overload, 1, CALM, public_first=50)
     assert overload.admitted == 1.0
-    load(overload, PATIENT - 1, OVER)
+    load(overload, MIN_OVERLOADED_REPORTS - 1, OVER)
     assert "shedding begins" in (overload.report(OVER) or "")
     assert overload.admitted < 1.0
 
@@ -79,7 +86,7 @@
     load(overload, 60, OVER, public_first=50)
     assert overload.admitted == pytest.approx(0.5)  # there is room for half where twice the target is waited
     load(overload, 60, LoopReport(1.0, 1000 * TARGET), public_first=50)
-    assert overload.admitted == pytest.approx(LEAST)
+    assert overload.admitted == pytest.approx(MIN_ADMITTED_SHARE)
     lines = [overload.report(CALM) for _ in range(100)]
     (line,) = [line for line in lines if line]
     assert "no longer overloaded" in line
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -439,7 +439,7 @@
 
 def test_held_writes_do_not_loop_when_the_origin_entry_changes() -> None:
     router = started(settings(), ())
-    router.fetches._width = 3.0
+    router.fetches._concurrency_limit = 3.0
     out = [only_send(router.handle(request(f"w{i}", cls="edit"), 0)) for i in range(3)]
     router.handle(ServersChanged(ListKind.DELTA, (replace(ORIGIN, started=1),)), 0)
     later = [sends(router.handle(request(f"h{i}", cls="edit"), 0)) for i in range(6)]
--- a/tests/decisions/test_retune.py
+++ b/tests/decisions/test_retune.py
@@ -84,7 +84,7 @@
         max_retry_after=3 * S,
     )
     router.handle(SettingsChanged(slow), S)
-    assert router.outliers._silence == 7 * S
+    assert router.outliers._min_silence == 7 * S
     assert router.overload.target == 20 * MS
     for i in range(40):
         router.handle(LoopReport(1.0, 200 * MS), S + i * 100 * MS)
--- a/tests/decisions/test_suppressor.py
+++ b/tests/decisions/test_suppressor.py
@@ -7,7 +7,7 @@
 import pytest
 
 from saltport.decisions.interface import Tenant
-from saltport.decisions.suppression import CUT, RISE_S, Suppressor
+from saltport.decisions.suppression import CUT_FACTOR, RISE_S, Suppressor
 from tests.decisions.helpers import MS, S
 
 
@@ -121,10 +121,10 @@
 def test_cut_is_from_what_was_used_and_harder_over_the_portion() -> None:
     limiter = Suppressor(Tenant("t", 0.5, 10.0), 1, Fixed(0.5))
     now = fill(limiter, S, 40, per_s=20.0)  # 8 a second over the window of 5 s
-    limiter.cut(now, all_used=20.0)
-    assert limiter.limit == pytest.approx(8.0 * CUT)
-    limiter.cut(now, all_used=10.0)
-    assert limiter.limit == pytest.approx(8.0 * CUT**3)
+    limiter.cut(now, total_rate=20.0)
+    assert limiter.limit == pytest.approx(8.0 * CUT_FACTOR)
+    limiter.cut(now, total_rate=10.0)
+    assert limiter.limit == pytest.approx(8.0 * CUT_FACTOR**3)
     for _ in range(30):
-        limiter.cut(now, all_used=10.0)
+        limiter.cut(now, total_rate=10.0)
     assert limiter.limit == limiter.floor == pytest.approx(0.2)
--- a/tests/decisions/test_timeliness.py
+++ b/tests/decisions/test_timeliness.py
@@ -12,7 +12,7 @@
 
 from benchmarks.hot_world import MS, Keys, Read, S, World
 from saltport.decisions import LoopReport, Outcome, Refuse, views
-from saltport.decisions.timeliness import UNHEARD, Timeliness
+from saltport.decisions.timeliness import TRIAL_AFTER_FACTOR, Timeliness
 from tests.decisions.helpers import ended, fleet, given_up, only_send, request, sends, settings, started
 
 
@@ -23,7 +23,7 @@
     for n in range(count):
         timeliness.learn(int(rng.uniform(0, 100) * MS), True, busy, n * MS)
         if n > count / 2:
-            tail.append(timeliness.least / MS)
+            tail.append(timeliness.min_time / MS)
     return sum(tail) / len(tail)
 
 
@@ -35,20 +35,22 @@
 def test_what_was_given_up_sooner_than_that_tells_nothing() -> None:
     timeliness = Timeliness()
     timeliness.learn(50 * MS, True, 1.0, 0)
-    before = timeliness.least
+    before = timeliness.min_time
     timeliness.learn(20 * MS, False, 1.0, MS)
-    assert timeliness.least == before
+    assert timeliness.min_time == before
     timeliness.learn(80 * MS, False, 1.0, MS)
-    assert timeliness.least > before
+    assert timeliness.min_time > before
 
 
 def test_unheard_for_long_one_finds_out() -> None:
     timeliness = Timeliness()
     timeliness.learn(50 * MS, True, 1.0, S)
-    assert not timeliness.worth(24 * MS, S + MS)
-    later = S + int(UNHEARD * timeliness.least) + 1
-    assert timeliness.worth(24 * MS, later)
-    assert not timeliness.worth(24 * MS, later + MS), "one, and no more until an answer or as long again"
+    assert not timeliness.worth_sending(24 * MS, S + MS)
+    later = S + int(TRIAL_AFTER_FACTOR * timeliness.min_time) + 1
+    assert timeliness.worth_sending(24 * MS, later)
+    assert not timeliness.worth_sending(24 * MS, later + MS), (
+        "one, and no more until an answer or as long again"
+    )
 
 
 @given(st.lists(st.tuples(st.integers(1, 10_000), st.booleans(), st.floats(0, 1)), max_size=200))
@@ -57,8 +59,8 @@
     for took, answered, busy in answers:
         now += took * MS
         timeliness.learn(took * MS, answered, busy, now)
-        assert 0 <= timeliness.least <= 11_000 * MS
-        assert timeliness.worth(11_000 * MS, now)
+        assert 0 <= timeliness.min_time <= 11_000 * MS
+        assert timeliness.worth_sending(11_000 * MS, now)
 
 
 def test_request_with_too_little_time_is_refused_at_once_and_costs_nobody_work() -> None:
@@ -137,7 +139,7 @@
 
 def test_clients_that_hammer_with_too_little_time_harm_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
     quiet, hammering = hammered()
-    monkeypatch.setattr(Timeliness, "worth", lambda *_: True)
+    monkeypatch.setattr(Timeliness, "worth_sending", lambda *_: True)
     quiet_before, hammering_before = hammered()
     assert quiet > 0.95 > 0.8 > quiet_before
     assert hammering > 0.9 > 0.5 > hammering_before
@@ -158,8 +160,8 @@
 def test_a_node_is_known_by_its_own_answers_only_while_they_come_often() -> None:
     timeliness = Timeliness()
     for n in range(16):
-        assert not timeliness.sure
+        assert not timeliness.reliable
         timeliness.learn(50 * MS, True, 0.5, S + n * 100 * MS)
-    assert timeliness.sure
+    assert timeliness.reliable
     timeliness.learn(50 * MS, True, 0.5, 10 * S)
-    assert not timeliness.sure
+    assert not timeliness.reliable
--- a/tests/decisions/test_weight_adjustment.py
+++ b/tests/decisions/test_weight_adjustment.py
@@ -7,8 +7,8 @@
 from benchmarks.hot_world import World
 from saltport.decisions import views
 from saltport.decisions.health import Node
-from saltport.decisions.limits import PROMPT
-from saltport.decisions.weight_adjustment import LEAST, SETTLES, WeightAdjustment, keeps
+from saltport.decisions.limits import PROMPT_AIM_SHARE
+from saltport.decisions.weight_adjustment import LEAST, SETTLES, WeightAdjustment, keeps_slot
 from tests.decisions.helpers import MS, S, fleet, settings
 
 AIM = 300 * MS
@@ -49,7 +49,7 @@
 
 def test_what_is_prompt_costs_nothing_however_much_quicker_the_others_are() -> None:
     adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
-    tell(adjustment, held, [PROMPT * AIM / MS - 1, *[2.0] * 9], 60)
+    tell(adjustment, held, [PROMPT_AIM_SHARE * AIM / MS - 1, *[2.0] * 9], 60)
     assert held[0].weight_factor == 1.0
 
 
@@ -57,7 +57,7 @@
     adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
     tell(adjustment, held, [60_000.0, *[60.0] * 9], 200)
     assert held[0].weight_factor == LEAST
-    kept = sum(keeps(held[0], slot) for slot in range(SLOTS))
+    kept = sum(keeps_slot(held[0], slot) for slot in range(SLOTS))
     assert LEAST * SLOTS * 0.7 < kept < LEAST * SLOTS * 1.4
 
 
@@ -81,8 +81,8 @@
 def test_routers_leave_out_the_same_reads_whatever_else_the_server_holds() -> None:
     one, other = nodes(1)[0], nodes(1)[0]
     one.weight_factor, other.weight_factor = 0.6, 0.5
-    kept_by_one = {slot for slot in range(SLOTS) if keeps(one, slot)}
-    kept_by_other = {slot for slot in range(SLOTS) if keeps(other, slot)}
+    kept_by_one = {slot for slot in range(SLOTS) if keeps_slot(one, slot)}
+    kept_by_other = {slot for slot in range(SLOTS) if keeps_slot(other, slot)}
     assert kept_by_other < kept_by_one
     assert 0.55 * SLOTS < len(kept_by_one) < 0.65 * SLOTS
 
