--- a/benchmarks/hot_world.py
+++ b/benchmarks/hot_world.py
@@ -409,7 +409,7 @@
 
     def hot_view(self, router: int = 0) -> dict[str, Any]:
         """What a router tells of its hot keys."""
-        told: Any = views.whole(self.routers[router], self.now)["hot_keys"]
+        told: Any = views.summary(self.routers[router], self.now)["hot_keys"]
         return dict(told)
 
     def copies(self, key: str = HOT, router: int = 0) -> int:
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -18,7 +18,7 @@
 from benchmarks.scale import fit
 from benchmarks.scale.hollow import CARRIED
 from saltport.decisions.interface import NS_PER_S
-from saltport.decisions.topology import MOST_ZONES, Evidence, Topology, ZoneCount
+from saltport.decisions.topology import MAX_ZONES, Evidence, Topology, ZoneCount
 from saltport.failover.agent import Agent
 from saltport.failover.messages import Message, Plan, Report, Row, encode
 from saltport.failover.settings import FailoverSettings
@@ -86,7 +86,7 @@
 class Fleet:
     """All agents; the first one owns the plans."""
 
-    def __init__(self, routers: int, loss: float = 0.0, zones: int = MOST_ZONES) -> None:
+    def __init__(self, routers: int, loss: float = 0.0, zones: int = MAX_ZONES) -> None:
         self.rng, self.loss, self.now = random.Random(1), loss, NS_PER_S
         names = tuple(f"z{zone}" for zone in range(zones))
         settings = FailoverSettings()
@@ -125,7 +125,7 @@
                 agent.turn(self.names, self.now)
                 if agent.report_due(self.now):
                     begun = time.thread_time_ns()
-                    agent.report(self._found(agent.topology.mine, len(agent.topology.zones)), self.now)
+                    agent.report(self._found(agent.topology.own_zone, len(agent.topology.zones)), self.now)
                     agent.spent += time.thread_time_ns() - begun
                 self._carry(place)
 
--- a/benchmarks/zones_world.py
+++ b/benchmarks/zones_world.py
@@ -15,7 +15,7 @@
 from saltport.decisions import Router, Server, ServersChanged, ZonePlan
 from saltport.decisions.interface import ListKind, Tenant
 from saltport.decisions.topology import Topology
-from saltport.decisions.zoned import Zoned
+from saltport.decisions.zoned import ZonedReplication
 from saltport.failover.agent import Agent
 from saltport.failover.messages import Message, Plan, decode, encode
 from saltport.failover.settings import PIECE, FailoverSettings
@@ -103,7 +103,7 @@
         return self.epoch if place == self.owner and self.now < self.owner_until else None
 
     def _cost(self, here: int, there: int) -> float:
-        return self.topologies[0].cost(here, there) * MS
+        return self.topologies[0].round_trip_ms(here, there) * MS
 
     # Agents
 
@@ -115,7 +115,7 @@
             return
         agent.turn([f"r{other}" for other in range(len(self.routers)) if other not in self.dead], self.now)
         replication = self.routers[place].replication
-        if agent.report_due(self.now) and isinstance(replication, Zoned):
+        if agent.report_due(self.now) and isinstance(replication, ZonedReplication):
             agent.report(replication.take_evidence(), self.now)
         self._carry(place)
         self.at(100 * MS, lambda: self._turn(place))
@@ -160,7 +160,7 @@
             listed[zone] += name in router.caches.nodes
             healthy[zone] += name in router.caches.nodes and name not in router.outliers.ejected
         left, shares = 1.0, [0.0, 0.0, 0.0]
-        for zone in self.topologies[mine].near(mine):
+        for zone in self.topologies[mine].zones_by_distance(mine):
             part = min(1.4 * healthy[zone] / max(listed[zone], 1), 1.0)
             shares[zone] = min(left, part)
             left -= shares[zone]
--- a/saltport/decisions/health.py
+++ b/saltport/decisions/health.py
@@ -23,7 +23,7 @@
         self.entry, self.load = entry, 0
         self.weight = entry.weight if weighted else 1.0
         self.seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
-        self.warm_at = entry.started + cold_time if entry.started and cold_time else 0
+        self.slow_start_ends_at = entry.started + cold_time if entry.started and cold_time else 0
         self.unanswered_in_a_row = 0
         self.response_time = ResponseTimeEstimate()
         self.limit = Limit(known_at)
--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -17,7 +17,7 @@
 from saltport.decisions.interface import NS_PER_S, Fill, Outcome
 from saltport.decisions.replication import Replication
 from saltport.decisions.request import Request
-from saltport.decisions.table import DEPTH, SlotTable
+from saltport.decisions.table import RANKING_DEPTH, SlotTable
 
 TICK = NS_PER_S // 4
 TOKEN = "hot keys"  # of its timer; no request's id has a space
@@ -130,7 +130,7 @@
         self._total_weight = sum(self._weight(node, now) for node in self._caches.nodes.values())
 
     def _weight(self, node: Node, now: int) -> float:
-        return node.weight * self._caches.warmth(node, now)
+        return node.weight * self._caches.slow_start_factor(node, now)
 
     # Deciding
 
@@ -261,7 +261,7 @@
             self._invalidations.in_doubt(request.key) if self._writes and request.key is not None else None
         )
         if replicated is None:
-            ranking = self._caches.rank(request.slot, now, DEPTH)
+            ranking = self._caches.rank(request.slot, now, RANKING_DEPTH)
             return [node for node in ranking if node.entry.id not in doubts] if doubts else ranking
         if replicated.version != self._caches.version:
             self._look(request.replication_state, replicated, now)
@@ -274,7 +274,7 @@
             if self._burden(second, now) < self._burden(first, now):
                 first, second = second, first
             chosen += (first, second, replicated.members[0])
-        chosen += self._caches.rank(replicated.slot, now, DEPTH)[:DEPTH]
+        chosen += self._caches.rank(replicated.slot, now, RANKING_DEPTH)[:RANKING_DEPTH]
         return [node for node in chosen if node.entry.id not in doubts] if doubts else chosen
 
     def _visits(self, request: Request, replicated: ReplicatedKey, now: int) -> list[Node]:
--- a/saltport/decisions/inheritance.py
+++ b/saltport/decisions/inheritance.py
@@ -1,7 +1,7 @@
-"""What a process has learnt, for the process that replaces it: no decisions, and no I/O.
+"""Export and restore of the learnt state, for the hand-over to the process that replaces this one.
 
-Times go as ages, as clocks may differ. A message is read whole before anything of it counts, and what it
-holds of servers and tenants that this process does not know is passed over.
+Times are transferred as ages, as clocks may differ. A message is validated completely before any of it is
+applied; entries of unknown servers and tenants are ignored.
 """
 
 from __future__ import annotations
@@ -18,17 +18,19 @@
     from saltport.decisions.logic import Router
     from saltport.decisions.suppression import Suppressor
 
-FORM = 1  # version of the record; another one is not read
-STEP = 100_000_000  # nanoseconds: calls of one step are told as one count
+FORMAT_VERSION = 1  # records of other versions are rejected
+STEP_NS = 100_000_000  # calls within one step are transferred as one count
 
 
 def export(router: Router, now: int) -> dict[str, Any]:
-    """What this router has learnt, as JSON can hold it."""
+    """Return the state that this router has learnt, as values for JSON."""
     return {
-        "form": FORM,
-        "tenants": {name: _guard(limiter, now) for name, limiter in router.fetches.rate_limiters.items()},
+        "form": FORMAT_VERSION,
+        "tenants": {
+            name: _export_limiter(limiter, now) for name, limiter in router.fetches.rate_limiters.items()
+        },
         "servers": {
-            name: _node(node) for name, node in router.caches.nodes.items() if node.limit.response_time
+            name: _export_node(node) for name, node in router.caches.nodes.items() if node.limit.response_time
         },
         "ejected": {
             name: [max(record.ejected_until - now, 0), record.ejections, record.reason]
@@ -38,15 +40,15 @@
     }
 
 
-def _guard(limiter: Suppressor, now: int) -> dict[str, Any]:
-    limiter.accepted(now)  # drops what the window has passed
+def _export_limiter(limiter: Suppressor, now: int) -> dict[str, Any]:
+    limiter.accepted(now)  # removes calls that have left the window
     steps: dict[int, list[int]] = {}
     for at, declined in limiter.calls:
-        steps.setdefault((now - at) // STEP, [0, 0])[declined] += 1
+        steps.setdefault((now - at) // STEP_NS, [0, 0])[declined] += 1
     return {"limit": limiter.limit, "calls": [[age, *counts] for age, counts in steps.items()]}
 
 
-def _node(node: Node) -> list[float]:
+def _export_node(node: Node) -> list[float]:
     limit = -1.0 if math.isinf(node.limit.limit) else node.limit.limit
     times = node.response_time
     return [
@@ -59,16 +61,16 @@
     ]
 
 
-def _number(value: Any, least: float = 0.0) -> Any:
-    return number("what was learnt", value, least)
+def _checked_number(value: Any, least: float = 0.0) -> Any:
+    return number("learnt state", value, least)
 
 
 def restore(router: Router, message: Any, now: int) -> None:
-    """Go on from what another process has learnt; raises ValueError, and then nothing of it counts."""
+    """Apply the state exported by another process; raises ValueError without applying any of it."""
     try:
-        if message["form"] != FORM:
+        if message["form"] != FORMAT_VERSION:
             raise ValueError(f"form {message['form']!r} is unknown")
-        limiters = {name: _read_guard(entry) for name, entry in message["tenants"].items()}
+        limiters = {name: _read_limiter(entry) for name, entry in message["tenants"].items()}
         nodes = {name: _read_node(entry) for name, entry in message["servers"].items()}
         ejected = {name: _read_ejection(entry) for name, entry in message["ejected"].items()}
     except (KeyError, TypeError, AttributeError, WireError) as error:
@@ -79,8 +81,8 @@
             limiter.limit = min(max(limit, limiter.floor), limiter.cap)
             for age, accepted, declined in sorted(steps, reverse=True):
                 for is_declined in [False] * accepted + [True] * declined:
-                    limiter.count(now - age * STEP, is_declined)
-    for name, figures in nodes.items():
+                    limiter.count(now - age * STEP_NS, is_declined)
+    for name, values in nodes.items():
         node = router.caches.nodes.get(name)
         if node is not None:
             times = node.response_time
@@ -91,7 +93,7 @@
                 times.mean,
                 times.deviation,
                 node.weight_factor,
-            ) = figures
+            ) = values
             node.limit.limit = math.inf if limit < 0 else max(limit, 1.0)
             node.limit.mark_current(now)
     for name, (left, ejections, reason) in ejected.items():
@@ -107,23 +109,26 @@
             router.outliers.adopt(name, record)
 
 
-def _read_guard(entry: Any) -> tuple[float, list[tuple[int, int, int]]]:
-    steps = [(int(_number(a)), int(_number(b)), int(_number(c))) for a, b, c in entry["calls"]]
+def _read_limiter(entry: Any) -> tuple[float, list[tuple[int, int, int]]]:
+    steps = [
+        (int(_checked_number(a)), int(_checked_number(b)), int(_checked_number(c)))
+        for a, b, c in entry["calls"]
+    ]
     if sum(accepted + declined for _, accepted, declined in steps) > 1_000_000:
-        raise ValueError("more calls than any window holds")
-    return _number(entry["limit"]), steps
+        raise ValueError("more calls than any window contains")
+    return _checked_number(entry["limit"]), steps
 
 
 def _read_node(entry: Any) -> tuple[float, float, float, float, float, float]:
     limit, took, work, mean, deviation, weight_factor = entry
-    if not _number(weight_factor, 1e-6) <= 1.0:
-        raise ValueError("a weight factor is at most 1")
+    if not _checked_number(weight_factor, 1e-6) <= 1.0:
+        raise ValueError("a weight factor must not exceed 1")
     return (
-        _number(limit, -1.0),
-        _number(took),
-        _number(work),
-        _number(mean),
-        _number(deviation),
+        _checked_number(limit, -1.0),
+        _checked_number(took),
+        _checked_number(work),
+        _checked_number(mean),
+        _checked_number(deviation),
         weight_factor,
     )
 
@@ -131,5 +136,5 @@
 def _read_ejection(entry: Any) -> tuple[int, int, str]:
     left, ejections, reason = entry
     if not isinstance(reason, str):
-        raise ValueError("a reason is text")
-    return int(_number(left)), int(_number(ejections, 1)), reason
+        raise ValueError("the reason of an ejection must be a string")
+    return int(_checked_number(left)), int(_checked_number(ejections, 1)), reason
--- a/saltport/decisions/limits.py
+++ b/saltport/decisions/limits.py
@@ -12,7 +12,7 @@
 from saltport.decisions.interface import NS_PER_S
 
 MIN_LIMIT = 1.0  # one attempt in flight is enough to observe the server's recovery
-MAX_CUT_FACTOR = 0.5
+MIN_CUT_FACTOR = 0.5  # a cut leaves at least this share of the limit
 PROMPT_AIM_SHARE, LATE_AIM_SHARE = 0.4, 0.6  # the limit rises below the first, is cut above the second
 MIN_PAUSE_NS, MAX_PAUSE_NS = NS_PER_S // 50, NS_PER_S  # after refusals: about a response time, then doubled
 SMOOTHING = 1 / 4
@@ -60,12 +60,12 @@
         elif self.response_time < PROMPT_AIM_SHARE * aim and in_flight + 1 >= self.limit / 2:
             self.limit = self.limit + 1 / self.limit
 
-    def cut(self, sent_at: int, now: int, in_flight: int, part: float = MAX_CUT_FACTOR) -> None:
+    def cut(self, sent_at: int, now: int, in_flight: int, part: float = MIN_CUT_FACTOR) -> None:
         """Cut the limit of an overloaded server, once for all attempts in flight at the previous cut."""
         if sent_at < self._cut_at:
             return
         self._cut_at = now
-        self.limit = max(min(self.limit, in_flight + 1.0) * max(part, MAX_CUT_FACTOR), MIN_LIMIT)
+        self.limit = max(min(self.limit, in_flight + 1.0) * max(part, MIN_CUT_FACTOR), MIN_LIMIT)
 
     @property
     def busy(self) -> float:
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -65,10 +65,10 @@
             case api.SettingsChanged():
                 self._apply_settings(event.settings)
             case api.ServerExcluded():
-                self.registry.take_out(event.server)
+                self.registry.exclude(event.server)
                 self._update([], [event.server])
             case api.ServerReadmitted():
-                entry = self.registry.put_back(event.server, now)
+                entry = self.registry.readmit(event.server, now)
                 self._update([entry] if entry else [], [])
             case api.TimerFired():
                 self._timer_fired(event.token)
@@ -99,7 +99,7 @@
         if self.settings.must_subscribe:
             self._schedule_subscription(event.kind)
         if event.kind is not ListKind.FAILED:
-            self._update(*self.registry.follow(event))
+            self._update(*self.registry.apply(event))
 
     def _update(self, ready: list[api.Server], left: list[str]) -> None:
         for table, is_origin in ((self.caches, False), (self.origins, True)):
--- a/saltport/decisions/ordering.py
+++ b/saltport/decisions/ordering.py
@@ -1,9 +1,9 @@
-"""In which order the commands of one client's connection take effect, key by key. No I/O and no clock.
+"""The order in which the commands of one client connection take effect, per key; without I/O or a clock.
 
-A write begins when all that came before it for its key has ended, a read when the writes before it have;
-other keys go on side by side. A write whose end is unknown (failed: it may have run, or may run yet) leaves
-no order for the writes that wait behind it to keep: they are turned down, as nothing of them was done. Reads
-go on: they see the value before or after it.
+A write begins when all earlier commands for its key have ended, a read when all earlier writes have; commands
+for different keys run concurrently. After a write with an unknown result, which may still take effect, the
+order of the writes behind it can't be guaranteed: they are rejected without an effect. Reads proceed and see
+the value before or after it.
 """
 
 from __future__ import annotations
@@ -16,89 +16,92 @@
 
 
 @dataclass(slots=True)
-class Line(Generic[Command]):
-    """What is under way for one key, and what waits behind it."""
+class KeyQueue(Generic[Command]):
+    """The running and the waiting commands for one key."""
 
     reads: int = 0
     writing: bool = False
     waiting: deque[tuple[Command, bool]] = field(default_factory=deque)
-    """Commands in their order, and whether each is a write."""
+    """The waiting commands in order, each with whether it is a write."""
 
 
 @dataclass(frozen=True, slots=True)
 class Released(Generic[Command]):
-    """What becomes of commands that waited."""
+    """Waiting commands that may now begin, and those that are rejected."""
 
     begin: tuple[Command, ...] = ()
-    turn_down: tuple[Command, ...] = ()
+    rejected: tuple[Command, ...] = ()
 
 
-NOTHING: Released[Any] = Released()
+NONE_RELEASED: Released[Any] = Released()
 
 
 class KeyOrder(Generic[Command]):
-    """The commands of one connection; who uses it bounds how many there are."""
+    """Orders the commands of one connection per key; the caller bounds their number."""
 
     def __init__(self) -> None:
-        self._lines: dict[bytes, Line[Command] | bool] = {}
-        """By key; most have one command, of which is kept only whether it is a write."""
+        self._queues: dict[bytes, KeyQueue[Command] | bool] = {}
+        """By key; a key with a single command has only a flag for whether it is a write, to save memory."""
 
     def __len__(self) -> int:
-        return len(self._lines)
+        return len(self._queues)
 
-    def arrives(self, command: Command, key: bytes, write: bool) -> bool:
-        """Take a command; whether it may begin at once. If not, `ended` or `left` says when."""
-        line = self._lines.get(key)
-        if line is None:
-            self._lines[key] = write
+    def enqueue(self, command: Command, key: bytes, write: bool) -> bool:
+        """Add a command; return whether it may begin now. If not, `ended` or `cancel` releases it later."""
+        queue = self._queues.get(key)
+        if queue is None:
+            self._queues[key] = write
             return True
-        if isinstance(line, bool):
-            line = self._lines[key] = Line(reads=not line, writing=line)
-        if line.waiting or line.writing or (write and line.reads):
-            line.waiting.append((command, write))
+        if isinstance(queue, bool):
+            queue = self._queues[key] = KeyQueue(reads=not queue, writing=queue)
+        if queue.waiting or queue.writing or (write and queue.reads):
+            queue.waiting.append((command, write))
             return False
-        self._begin(line, write)
+        self._begin(queue, write)
         return True
 
     @staticmethod
-    def _begin(line: Line[Command], write: bool) -> None:
+    def _begin(queue: KeyQueue[Command], write: bool) -> None:
         if write:
-            line.writing = True
+            queue.writing = True
         else:
-            line.reads += 1
+            queue.reads += 1
 
     def ended(self, key: bytes, write: bool, may_have_run: bool = False) -> Released[Command]:
-        """A command that had begun has taken effect, or will not; `may_have_run`: nobody knows."""
-        line = self._lines[key]
-        if isinstance(line, bool):
-            del self._lines[key]
-            return NOTHING
-        turned_down: tuple[Command, ...] = ()
+        """End a running command; return the commands released by it.
+
+        `may_have_run` says that it is unknown whether the command has taken or will take effect.
+        """
+        queue = self._queues[key]
+        if isinstance(queue, bool):
+            del self._queues[key]
+            return NONE_RELEASED
+        rejected: tuple[Command, ...] = ()
         if write:
-            line.writing = False
+            queue.writing = False
             if may_have_run:
-                turned_down = tuple(command for command, is_write in line.waiting if is_write)
-                line.waiting = deque(item for item in line.waiting if not item[1])
+                rejected = tuple(command for command, is_write in queue.waiting if is_write)
+                queue.waiting = deque(item for item in queue.waiting if not item[1])
         else:
-            line.reads -= 1
-        return Released(self._next(key, line), turned_down)
+            queue.reads -= 1
+        return Released(self._next(key, queue), rejected)
 
-    def left(self, command: Command, key: bytes) -> Released[Command]:
-        """A command that waited is wanted no more."""
-        line = self._lines[key]
-        assert isinstance(line, Line), "a command that waits has one ahead"
-        line.waiting = deque(item for item in line.waiting if item[0] is not command)
-        return Released(self._next(key, line))
+    def cancel(self, command: Command, key: bytes) -> Released[Command]:
+        """Remove a waiting command; return the commands released by it."""
+        queue = self._queues[key]
+        assert isinstance(queue, KeyQueue), "a waiting command is behind another one"
+        queue.waiting = deque(item for item in queue.waiting if item[0] is not command)
+        return Released(self._next(key, queue))
 
-    def _next(self, key: bytes, line: Line[Command]) -> tuple[Command, ...]:
+    def _next(self, key: bytes, queue: KeyQueue[Command]) -> tuple[Command, ...]:
         begun: list[Command] = []
-        while line.waiting and not line.writing:
-            command, write = line.waiting[0]
-            if write and line.reads:
+        while queue.waiting and not queue.writing:
+            command, write = queue.waiting[0]
+            if write and queue.reads:
                 break
-            line.waiting.popleft()
-            self._begin(line, write)
+            queue.waiting.popleft()
+            self._begin(queue, write)
             begun.append(command)
-        if not (line.reads or line.writing):
-            del self._lines[key]
+        if not (queue.reads or queue.writing):
+            del self._queues[key]
         return tuple(begun)
--- a/saltport/decisions/replication_factory.py
+++ b/saltport/decisions/replication_factory.py
@@ -16,9 +16,9 @@
 ) -> Replication:
     """Return the replication for these settings: by zones, by hot keys, or by slots."""
     if settings.topology is not None:
-        from saltport.decisions.zoned import Zoned  # imported only where it is enabled
+        from saltport.decisions.zoned import ZonedReplication  # imported only where it is enabled
 
-        return Zoned(settings, settings.topology, caches, outliers, rng)
+        return ZonedReplication(settings, settings.topology, caches, outliers, rng)
     if settings.hot_keys is None:
         return SlotReplication(caches, rng, settings.origin_kind is None)
     from saltport.decisions.hotkeys import HotKeys  # imported only where it is enabled
--- a/saltport/decisions/table.py
+++ b/saltport/decisions/table.py
@@ -1,6 +1,6 @@
-"""The slot table: weighted rendezvous hashing of slots over the ready servers, cold ones at less weight.
+"""The slot table: weighted rendezvous hashing of slots over the ready servers, with slow start.
 
-The rankings are kept up to date in structures/slot_rankings.py; docs/design/table.md weighs the options.
+structures/slot_rankings.py maintains the rankings; docs/design/table.md compares the alternatives.
 """
 
 from __future__ import annotations
@@ -11,64 +11,68 @@
 from saltport.decisions.health import Node
 from saltport.structures.slot_rankings import SlotRankings
 
-DEPTH = 8
-SHOWN = 2 * DEPTH  # what a slot tells; always so many, so that routers with other histories tell the same
-KEPT = 3 * DEPTH  # what it keeps
+RANKING_DEPTH = 8
+# A ranking always has this length, so that it is equal at routers with different histories.
+RANKING_LENGTH = 2 * RANKING_DEPTH
+STORED_RANKING_LENGTH = 3 * RANKING_DEPTH  # with a reserve for servers that leave
 
 
 class SlotTable:
-    """Weighted rendezvous hashing of slots over the ready servers, remembered slot by slot."""
+    """The ready servers, and for each slot their ranking by weighted rendezvous hashing, which is cached."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.nodes: dict[str, Node] = {}
         self._settings = settings
         numpy = importlib.import_module("numpy") if settings.vectors else None
-        self._rankings = SlotRankings[Node](SHOWN, KEPT, numpy)
+        self._rankings = SlotRankings[Node](RANKING_LENGTH, STORED_RANKING_LENGTH, numpy)
         self._cold_until = 0
 
     def apply_settings(self, settings: api.Settings) -> None:
-        """Take new settings; servers that are held keep theirs."""
+        """Apply new settings; they affect only servers that are added later."""
         self._settings = settings
 
     def update(self, ready: list[api.Server], left: list[str], now: int = 0) -> None:
-        """Take servers that are ready, and ids of those that left."""
+        """Add or update servers that are ready, and remove those with the ids in `left`."""
         for server_id in left:
-            self._take_out(server_id)
+            self._remove(server_id)
         for entry in ready:
-            held = self.nodes.get(entry.id)
-            if held is None or held.entry != entry:
-                self._take_out(entry.id)
+            known = self.nodes.get(entry.id)
+            if known is None or known.entry != entry:
+                self._remove(entry.id)
                 node = Node(entry, self._settings.weighted, self._settings.cold_time, now)
                 self.nodes[entry.id] = node
                 self._rankings.add(node)
-                self._cold_until = max(self._cold_until, node.warm_at)
+                self._cold_until = max(self._cold_until, node.slow_start_ends_at)
 
-    def _take_out(self, server_id: str) -> None:
+    def _remove(self, server_id: str) -> None:
         node = self.nodes.pop(server_id, None)
         if node is not None:
             self._rankings.remove(node)
 
     @property
     def version(self) -> int:
-        """It rises with each change of the list."""
+        """A number that increases with each change of the servers."""
         return self._rankings.version
 
-    def warmth(self, node: Node, now: int) -> float:
-        """The part of its capacity that a server has surely reached."""
-        if now >= node.warm_at:
+    def slow_start_factor(self, node: Node, now: int) -> float:
+        """Return the share of its weight that a server has during slow start, 1 afterwards."""
+        if now >= node.slow_start_ends_at:
             return 1.0
-        age = max(now - node.entry.started, 0)  # clocks differ: a start may lie ahead
+        age = max(now - node.entry.started, 0)  # clocks differ, so that a start may lie in the future
         cold = self._settings.cold_share
         return cold + (1 - cold) * age / self._settings.cold_time
 
-    def rank(self, slot: int, now: int, depth: int = DEPTH) -> list[Node]:
-        """The slot's best servers, at least `depth`, best first, with cold ones at their ramped weight."""
-        shown = SHOWN if depth <= SHOWN else 2 * depth
+    def rank(self, slot: int, now: int, depth: int = RANKING_DEPTH) -> list[Node]:
+        """Return the slot's best servers, at least `depth` where there are as many, best first.
+
+        Servers in slow start have a reduced weight.
+        """
+        shown = RANKING_LENGTH if depth <= RANKING_LENGTH else 2 * depth
         cold = now < self._cold_until
-        if shown == SHOWN and not cold:
+        if shown == RANKING_LENGTH and not cold:
             return self._rankings.best(slot)
-        held = self._rankings.scored(slot, shown)
+        known = self._rankings.scored(slot, shown)
         if cold:
-            held = [(score * self.warmth(node, now), node) for score, node in held]
-            held.sort(key=lambda pair: -pair[0])
-        return [node for _, node in held]
+            known = [(score * self.slow_start_factor(node, now), node) for score, node in known]
+            known.sort(key=lambda pair: -pair[0])
+        return [node for _, node in known]
--- a/saltport/decisions/trials.py
+++ b/saltport/decisions/trials.py
@@ -1,6 +1,6 @@
-"""Trials of ejected servers as owners of them see it: when they are due, held back, or begun at once.
+"""The times of trials of ejected servers, for a caller that coordinates them between routers.
 
-The detector goes on deciding: a trial is one request of this router, and its outcome is judged as ever.
+A trial is one request of this router; the outlier detector decides by its outcome as usual.
 """
 
 from __future__ import annotations
@@ -9,19 +9,19 @@
 
 
 def due(detector: OutlierDetector) -> dict[str, int]:
-    """The ejected servers, and from when on a request may try each."""
+    """Return the ejected servers, each with the time from which a trial is permitted."""
     return {server: detector.records[server].ejected_until for server in detector.ejected}
 
 
-def hold(detector: OutlierDetector, server: str, until: int) -> None:
-    """Try an ejected server here no sooner than this; a trial under way goes on."""
+def postpone(detector: OutlierDetector, server: str, until: int) -> None:
+    """Postpone the next trial of an ejected server to `until` at the earliest; a running trial continues."""
     if server in detector.ejected:
         record = detector.records[server]
         record.ejected_until = max(record.ejected_until, until)
 
 
-def begin(detector: OutlierDetector, server: str, now: int) -> None:
-    """Let the next request try an ejected server."""
+def allow(detector: OutlierDetector, server: str, now: int) -> None:
+    """Permit a trial of an ejected server from now on."""
     if server in detector.ejected:
         record = detector.records[server]
         record.ejected_until = min(record.ejected_until, now)
--- a/saltport/decisions/views.py
+++ b/saltport/decisions/views.py
@@ -1,4 +1,4 @@
-"""What people are shown of the decisions' state; nothing is decided by it, and the platform never asks."""
+"""The state of the decisions as shown to operators; nothing is decided by it."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     from saltport.decisions.placement import Placement
     from saltport.decisions.suppression import Suppressor
 
-SHOWN = 20  # servers, as fleets may be large
+MAX_SERVERS_SHOWN = 20  # fleets may be large
 
 
-def whole(router: Router, now: int) -> dict[str, object]:
-    """The state that people ask for."""
+def summary(router: Router, now: int) -> dict[str, object]:
+    """Return the complete state of a router's decisions."""
     return {
         "caches": len(router.caches.nodes),
         "origins": len(router.origins.nodes),
-        "out": sorted(router.registry.out),
+        "out": sorted(router.registry.excluded),
         "open": len(router.requests),
         "given_up": router.given_up.view(now),
         "tenants": tenants(router.fetches.rate_limiters.values(), now),
@@ -37,16 +37,16 @@
 
 
 def cluster(router: Router) -> tuple[int, int]:
-    """How many cache servers are listed, and how many of them are avoided: out by hand, or ejected."""
+    """Return the number of listed cache servers, and of those that are excluded by an operator or ejected."""
     origin = router.settings.origin_kind
     caches = {server for server, entry in router.registry.listed.items() if entry.kind != origin}
-    panic = router.outliers.panicking  # nobody is believed bad
-    avoided = router.registry.out if panic else router.registry.out | router.outliers.ejected
+    panic = router.outliers.panicking  # ejections are ignored in panic
+    avoided = router.registry.excluded if panic else router.registry.excluded | router.outliers.ejected
     return len(caches), len(caches & avoided)
 
 
 def tenants(limiters: Iterable[Suppressor], now: int) -> dict[str, object]:
-    """Each tenant's allowance at the origin, calls a second."""
+    """Return each tenant's rate limit at the origin, in calls per second."""
     return {
         limiter.name: {
             "rate_limit_per_s": round(limiter.limit, 3),
@@ -59,8 +59,8 @@
 
 
 def limits(nodes: Iterable[Node], placement: Placement) -> dict[str, object]:
-    """What servers can take, those with the least first."""
-    least = nsmallest(SHOWN, nodes, key=lambda node: (node.weight_factor, node.limit.limit))
+    """Return the servers with the lowest limits, and the fleet's crowding."""
+    least = nsmallest(MAX_SERVERS_SHOWN, nodes, key=lambda node: (node.weight_factor, node.limit.limit))
     return {
         "crowded_share": round(placement.crowded_share, 3),
         "overflowed": placement.overflowed,
@@ -70,7 +70,7 @@
 
 
 def limit(node: Node) -> dict[str, float | None]:
-    """One server's limit and weight factor; times in milliseconds."""
+    """Return one server's limit and weight factor, with times in milliseconds."""
     learnt = node.limit
     return {
         "limit": None if math.isinf(learnt.limit) else round(learnt.limit, 1),
@@ -84,7 +84,7 @@
 
 
 def outliers(detector: OutlierDetector, now: int) -> dict[str, object]:
-    """Its state, for people: the servers with anything against them, and why."""
+    """Return the servers with evidence of failures, with their state and its reason."""
     servers = {
         server: {
             "state": detector.state(server, now).value,
@@ -109,7 +109,7 @@
 
 
 def overload(control: OverloadControl) -> dict[str, object]:
-    """Its state, for people."""
+    """Return the state of the router's load shedding."""
     return {
         "on": control.target > 0,
         "overloaded": control.admitted < 1.0,
--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -155,7 +155,7 @@
         origins = tuple((good, silent) for good, silent in found.origins)
         epoch, number = plan.age if plan else (0, 0)
         told = Report(
-            self.topology.digest, self.topology.mine, epoch, number, span, found.demand, found.refused,
+            self.topology.digest, self.topology.own_zone, epoch, number, span, found.demand, found.refused,
             rows, origins,
         )  # fmt: skip
         if span > 4 * self.settings.report // MS:
@@ -280,8 +280,8 @@
                 "frozen": plan.frozen,
                 "refused": {zone: parts / PARTS for zone, parts in zip(zones, plan.refused, strict=True)},
                 "origins": {
-                    area: topology.areas[served]
-                    for area, served in zip(topology.areas, plan.origins, strict=True)
+                    area: topology.distinct_regions[served]
+                    for area, served in zip(topology.distinct_regions, plan.origins, strict=True)
                 },
             }
         return told
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -116,8 +116,8 @@
                 strained[zone] += full + late
                 attempts[zone] += full + good
             claims.setdefault(source, []).append(found)
-            area = topology.area_of(source)
-            for other in range(len(topology.areas)):
+            area = topology.region_index(source)
+            for other in range(len(topology.distinct_regions)):
                 told = [report.origins[other] for report in held if other < len(report.origins)]
                 good, silent = sum(one for one, _ in told), sum(two for _, two in told)
                 if good + silent:
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -62,7 +62,7 @@
         self._follower, self._now = follower, now
         self.board = Board(topology, settings, now)
         self._back_ms = max(settings.back, int(settings.warm * warm)) // MS
-        zones, areas = range(len(topology.zones)), range(len(topology.areas))
+        zones, areas = range(len(topology.zones)), range(len(topology.distinct_regions))
         plan = follower.plan
         bad = plan.bad if plan else bytes(len(zones))
         self.paths = {
@@ -72,7 +72,7 @@
         self.sources = {
             (a, b): PathHealth(settings, a == b and bool(lost >> a & 1)) for a in areas for b in areas
         }  # fmt: skip
-        self.rooms = [Room(settings, topology.room_of(zone)) for zone in zones]
+        self.rooms = [Room(settings, topology.server_capacity(zone)) for zone in zones]
         self.out = plan.out if plan else 0
         self.frozen = plan.frozen if plan else False
         self.doubted: tuple[int, ...] = ()
@@ -166,7 +166,12 @@
         room = [held.most(servers[zone]) for zone, held in enumerate(self.rooms)]
         proven = [held.proven(servers[zone]) for zone, held in enumerate(self.rooms)]
         poured = pour(
-            placed, room, proven, usable, topology.near, (self._settings.near, self._settings.spill)
+            placed,
+            room,
+            proven,
+            usable,
+            topology.zones_by_distance,
+            (self._settings.near, self._settings.spill),
         )
         # Danger: were all refused, nothing would ever tell that a zone is well again.
         refused = tuple(0.0 if s in doubted else min(poured.refused[s], MOST_REFUSED) for s in zones)
@@ -249,7 +254,7 @@
         total = sum(remaining)
         if total > FAINT:
             return tuple(share / total for share in remaining)
-        near = self.topology.near(source)
+        near = self.topology.zones_by_distance(source)
         closed = aim.out if source in aim.doubted else aim.shut(source)
         target = next((zone for zone in near if not closed >> zone & 1), None)
         if target is None:
@@ -294,14 +299,16 @@
 
     def _served(self) -> bytes:
         """By region: the nearest region whose origin answers; its own where none does."""
-        areas = range(len(self.topology.areas))
+        areas = range(len(self.topology.distinct_regions))
         return bytes(
-            next((o for o in self.topology.near_areas(area) if not self.sources[area, o].bad), area)
+            next((o for o in self.topology.regions_by_distance(area) if not self.sources[area, o].bad), area)
             for area in areas
         )
 
     def _lost(self) -> int:
-        return mask_of([area for area in range(len(self.topology.areas)) if self.sources[area, area].bad])
+        return mask_of(
+            [area for area in range(len(self.topology.distinct_regions)) if self.sources[area, area].bad]
+        )
 
     # Orders
 
--- a/saltport/failover/follower.py
+++ b/saltport/failover/follower.py
@@ -70,7 +70,7 @@
         known = plan.topology == self.topology.digest and rows == {zones}
         timed = 0 <= plan.word_ms <= plan.ago_ms <= LONGEST_MS and 0 <= plan.way_ms <= LONGEST_MS
         sane = len(plan.begin) == len(plan.end) == zones * zones
-        areas = len(self.topology.areas)
+        areas = len(self.topology.distinct_regions)
         served = len(plan.origins) == areas and all(area < areas for area in plan.origins)
         return known and sane and served and timed
 
@@ -97,7 +97,7 @@
         """What holds for this router; None: nothing was ever decided."""
         if self.plan is None:
             return None
-        return for_zone(self.plan, self.matrix(now), self.topology.mine, self.topology, self.holds(now))
+        return for_zone(self.plan, self.matrix(now), self.topology.own_zone, self.topology, self.holds(now))
 
     def aged(self, now: int) -> Plan | None:
         """The plan as it is to be passed on: its maker's word gets no younger by that."""
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -117,7 +117,7 @@
 
     def _shares(self, matrix: tuple[tuple[float, ...], ...]) -> list[tuple[str, float]]:
         topology = self.agent.topology
-        return list(zip(topology.zones, matrix[topology.mine], strict=True))
+        return list(zip(topology.zones, matrix[topology.own_zone], strict=True))
 
     # What operators ask
 
@@ -130,10 +130,10 @@
     def order(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
         """Have an operator's order carried out by the owner; its number, None: there is no such zone."""
         topology = self.agent.topology
-        if zone and zone not in topology.places:
+        if zone and zone not in topology.zone_index:
             return None
         log.info("failover: by hand: %s %s%s", what, zone, ", forced" if force else "")
-        place = topology.places[zone] if zone else 0
+        place = topology.zone_index[zone] if zone else 0
         now = boot_clock()
         number = self.agent.order(what, place, way_ms, force, now)
         self._carry(now)
--- a/saltport/failover/plans.py
+++ b/saltport/failover/plans.py
@@ -49,7 +49,7 @@
     zones = range(len(topology.zones))
     rows = []
     for source in zones:
-        target = next((zone for zone in topology.near(source) if not out >> zone & 1), source)
+        target = next((zone for zone in topology.zones_by_distance(source) if not out >> zone & 1), source)
         rows.append(tuple(float(zone == target) for zone in zones))
     return tuple(rows)
 
@@ -65,9 +65,9 @@
 
 def for_zone(plan: Plan, matrix: Matrix, zone: int, topology: Topology, binding: bool) -> ZonePlan:
     """What a plan means for one zone's routers."""
-    zones, area = len(topology.zones), topology.area_of(zone)
+    zones, area = len(topology.zones), topology.region_index(zone)
     served = plan.origins[area] if area < len(plan.origins) else area
-    order = (served, *(other for other in topology.near_areas(area) if other != served))
+    order = (served, *(other for other in topology.regions_by_distance(area) if other != served))
     trials = () if not binding else tuple(t for t in bits(plan.bad[zone], zones) if not plan.out >> t & 1)
     refused = plan.refused[zone] / PARTS if binding else 0.0
     row = tuple(round(share, 3) for share in matrix[zone])
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -122,7 +122,7 @@
             "ready": self.ready,
             "owed": owed,
             "lag": lag,
-            **views.whole(self._router, time.monotonic_ns()),
+            **views.summary(self._router, time.monotonic_ns()),
         }
 
     def learnt(self) -> dict[str, object]:
@@ -279,7 +279,7 @@
                 is_origin = server.kind == self.settings.origin_kind
                 place = listing.addresses[server.id], OriginConnection if is_origin else CacheConnection
                 self._places[server.id] = place
-                if server.id not in self._router.registry.out:
+                if server.id not in self._router.registry.excluded:
                     self._pool.list_server(server.id, *place)
             else:
                 gone.add(server.id)
@@ -294,7 +294,7 @@
     @property
     def out(self) -> frozenset[str]:
         """The servers that are out by hand."""
-        return frozenset(self._router.registry.out)
+        return frozenset(self._router.registry.excluded)
 
     def take_out(self, server_id: str) -> None:
         """Send nothing more to a server, whatever the list says, until it is put back."""
@@ -313,11 +313,11 @@
 
     def hold_trial(self, server: str, until: int) -> None:
         """Try an ejected server no sooner than this."""
-        trials.hold(self._router.outliers, server, until)
+        trials.postpone(self._router.outliers, server, until)
 
     def begin_trial(self, server: str) -> None:
         """Let the next request try an ejected server."""
-        trials.begin(self._router.outliers, server, time.monotonic_ns())
+        trials.allow(self._router.outliers, server, time.monotonic_ns())
 
     def take_evidence(self) -> Evidence | None:
         """What was found of the zones since the last call."""
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -19,7 +19,7 @@
     Send,
     StreamStarted,
 )
-from saltport.decisions.ordering import NOTHING, KeyOrder
+from saltport.decisions.ordering import NONE_RELEASED, KeyOrder
 from saltport.downstream.replies import Reply
 from saltport.handover.choice import Progress
 from saltport.handover.record import Value
@@ -111,7 +111,7 @@
     def arrived(self) -> None:
         """Begin, or wait for the commands ahead of its connection that touch its key."""
         asked = self.asked
-        if self._order.arrives(self, asked.key, asked.value is not None):
+        if self._order.enqueue(self, asked.key, asked.value is not None):
             self._stage = Stage.BEGUN
             self._begin()
         else:
@@ -158,13 +158,13 @@
         if stage is Stage.OVER:
             return
         if stage is Stage.WAITING:
-            released = self._order.left(self, key)
+            released = self._order.cancel(self, key)
             self._stop_waiting()
         else:
             released = self._order.ended(key, self.asked.value is not None, may_have_run)
-            if released is NOTHING:
+            if released is NONE_RELEASED:
                 return
-        for request in released.turn_down:
+        for request in released.rejected:
             request._dismissed()
         for request in released.begin:
             request._released()
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -25,7 +25,7 @@
 )
 def test_who_begins(commands: str, begin: str, after_first: str) -> None:
     order: KeyOrder[str] = KeyOrder()
-    begun = [str(n) for n, kind in enumerate(commands) if order.arrives(str(n), b"k", kind == "w")]
+    begun = [str(n) for n, kind in enumerate(commands) if order.enqueue(str(n), b"k", kind == "w")]
     assert "".join(begun) == begin
     assert "".join(order.ended(b"k", commands[0] == "w").begin) == after_first
 
@@ -33,11 +33,11 @@
 def test_writes_behind_one_that_may_have_run_are_turned_down_and_reads_go_on() -> None:
     order: KeyOrder[str] = KeyOrder()
     for name in ("w0", "w1", "r2", "w3", "r4"):
-        order.arrives(name, b"k", name[0] == "w")
+        order.enqueue(name, b"k", name[0] == "w")
     released = order.ended(b"k", True, may_have_run=True)
-    assert (released.turn_down, released.begin) == (("w1", "w3"), ("r2", "r4"))
-    assert order.arrives("w5", b"other", True)
-    assert not order.arrives("w6", b"k", True), "what comes later is ordered behind the reads"
+    assert (released.rejected, released.begin) == (("w1", "w3"), ("r2", "r4"))
+    assert order.enqueue("w5", b"other", True)
+    assert not order.enqueue("w6", b"k", True), "what comes later is ordered behind the reads"
     order.ended(b"k", False)
     assert order.ended(b"k", False).begin == ("w6",)
 
@@ -45,8 +45,8 @@
 def test_one_that_leaves_lets_the_next_begin_and_nothing_is_kept() -> None:
     order: KeyOrder[str] = KeyOrder()
     for name in ("r0", "w1", "r2"):
-        order.arrives(name, b"k", name[0] == "w")
-    assert order.left("w1", b"k").begin == ("r2",)
+        order.enqueue(name, b"k", name[0] == "w")
+    assert order.cancel("w1", b"k").begin == ("r2",)
     order.ended(b"k", False)
     order.ended(b"k", False)
     assert len(order) == 0
@@ -77,7 +77,7 @@
                     assert value[key] >= seen or seen in void, (history, number)
                     assert value[key] < number, "a read sees nothing that came behind it"
                 released = order.ended(key, write, doubt)
-                void.update(released.turn_down)
+                void.update(released.rejected)
                 running += released.begin
                 continue
             number, key, write = len(came), rng.choice([b"a", b"b"]), rng.random() < 0.5
@@ -85,7 +85,7 @@
             if not write:
                 earlier = [n for n, (k, w) in enumerate(came[:-1]) if w and k == key and n not in void]
                 ahead[number] = earlier[-1] if earlier else -1
-            if order.arrives(number, key, write):
+            if order.enqueue(number, key, write):
                 running.append(number)
         while running:
             number = running.pop()
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -168,7 +168,7 @@
     assert len(waits) > 50
     assert all(S // 2 <= wait <= S for wait in waits)
     assert len({wait // MS for wait in waits}) > 30  # spread
-    view = views.whole(router, 2 * S)
+    view = views.summary(router, 2 * S)
     assert given_up(view) == {"router overloaded": len(waits)}
     assert view["outliers"]["servers"] == {}  # type: ignore[index]
     for _ in range(200):
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -138,4 +138,4 @@
     (failed,) = single.handle(ended(send, Outcome.ERROR), 0)
     assert isinstance(failed, Fail)
     assert failed.reason is Reason.TRIES_SPENT
-    assert given_up(views.whole(single, 0)) == {Reason.TRIES_SPENT.value: 1}
+    assert given_up(views.summary(single, 0)) == {Reason.TRIES_SPENT.value: 1}
--- a/tests/decisions/test_server_registry.py
+++ b/tests/decisions/test_server_registry.py
@@ -21,7 +21,7 @@
     ServerState,
     views,
 )
-from saltport.decisions.server_registry import REMEMBERED, ServerRegistry
+from saltport.decisions.server_registry import MAX_REMOVED_IDS, ServerRegistry
 from tests.decisions.helpers import MS, ORIGIN, S, ended, finals, fleet, request, sends, settings, started
 
 COLD = settings(cold_share=0.25, cold_time=8 * S)
@@ -130,8 +130,8 @@
     router.handle(ServerReadmitted(servers[0].id), 3 * S)
     assert servers[0].id not in router.outliers.ejected
     node = router.caches.nodes[servers[0].id]
-    assert router.caches.warmth(node, 3 * S) == pytest.approx(0.25)
-    assert router.caches.warmth(node, 7 * S) == pytest.approx(0.625)
+    assert router.caches.slow_start_factor(node, 3 * S) == pytest.approx(0.25)
+    assert router.caches.slow_start_factor(node, 7 * S) == pytest.approx(0.625)
     router.handle(changed(ListKind.FULL, *servers), 4 * S)  # it knows nothing of a start
     assert router.caches.nodes[servers[0].id] is node
     later = replace(servers[0], started=5 * S)
@@ -164,17 +164,17 @@
 def test_only_ids_that_were_listed_are_known_and_the_gone_ones_are_bounded() -> None:
     registry = ServerRegistry()
     assert not registry.knows("a")
-    registry.follow(ServersChanged(ListKind.FULL, (Server("a"), Server("b", state=ServerState.DRAINING))))
+    registry.apply(ServersChanged(ListKind.FULL, (Server("a"), Server("b", state=ServerState.DRAINING))))
     assert registry.knows("a")
     assert registry.knows("b")
-    registry.follow(ServersChanged(ListKind.FULL, ()))
+    registry.apply(ServersChanged(ListKind.FULL, ()))
     assert registry.knows("a")
-    for i in range(REMEMBERED + 10):
-        registry.follow(ServersChanged(ListKind.DELTA, (Server(f"n{i}"),)))
-        registry.follow(ServersChanged(ListKind.DELTA, (Server(f"n{i}", state=ServerState.GONE),)))
+    for i in range(MAX_REMOVED_IDS + 10):
+        registry.apply(ServersChanged(ListKind.DELTA, (Server(f"n{i}"),)))
+        registry.apply(ServersChanged(ListKind.DELTA, (Server(f"n{i}", state=ServerState.GONE),)))
     assert not registry.knows("a")
-    assert registry.knows(f"n{REMEMBERED}")
-    assert len(registry._gone) == REMEMBERED
+    assert registry.knows(f"n{MAX_REMOVED_IDS}")
+    assert len(registry._gone) == MAX_REMOVED_IDS
 
 
 def test_roster_and_tables_agree_over_any_news() -> None:
--- a/tests/decisions/test_slot_table.py
+++ b/tests/decisions/test_slot_table.py
@@ -14,7 +14,7 @@
 
 from saltport.decisions.health import Node
 from saltport.decisions.interface import Server
-from saltport.decisions.table import DEPTH, KEPT, SHOWN, SlotTable
+from saltport.decisions.table import RANKING_DEPTH, RANKING_LENGTH, STORED_RANKING_LENGTH, SlotTable
 from saltport.structures.rendezvous import score_of
 from saltport.structures.slot_rankings import MAX_ROWS, NOTED
 from tests.decisions.helpers import S, fleet, settings
@@ -74,7 +74,7 @@
     for slot in range(300):
         remembered = [node.entry.id for node in table.rank(slot, 0)]
         assert remembered == [node.entry.id for node in fresh.rank(slot, 0)]
-        assert len(remembered) >= DEPTH
+        assert len(remembered) >= RANKING_DEPTH
 
 
 def test_cold_ramp_starts_at_the_cold_share_and_rises_monotonically() -> None:
@@ -108,7 +108,7 @@
 def test_start_that_lies_ahead_of_the_clock_counts_as_now() -> None:
     table = SlotTable(settings(cold_share=0.5))
     table.update([Server("s1", started=5)], [])
-    assert table.warmth(table.nodes["s1"], 4) == 1.0
+    assert table.slow_start_factor(table.nodes["s1"], 4) == 1.0
 
 
 def by_the_rule(servers: dict[str, Server], weighted: bool, slot: int) -> list[str]:
@@ -156,7 +156,7 @@
         for slot in rng.sample(slots, 5):  # the others fall behind
             told = [node.entry.id for node in table.rank(slot, 0)]
             assert told == by_the_rule(held, weighted, slot)[: len(told)]
-            assert len(told) == min(SHOWN, len(held))
+            assert len(told) == min(RANKING_LENGTH, len(held))
     deep = [node.entry.id for node in table.rank(slots[0], 0, depth=50)]
     assert deep == by_the_rule(held, weighted, slots[0])[: len(deep)]
     assert len(deep) >= min(50, len(held))
@@ -206,7 +206,7 @@
     for number in range(4, 500):
         table.update([Server(f"s{number}")], [])
         table.rank(MAX_ROWS, 0)
-    assert len(table._rankings._rows[MAX_ROWS].ranked) <= 2 * KEPT
+    assert len(table._rankings._rows[MAX_ROWS].ranked) <= 2 * STORED_RANKING_LENGTH
     assert len(table._rankings._noted) <= NOTED
 
 
--- a/tests/decisions/test_timeliness.py
+++ b/tests/decisions/test_timeliness.py
@@ -75,7 +75,7 @@
     actions = router.handle(request("late", now, deadline=now + 24 * MS), now)
     assert sends(actions) == []
     assert [type(action) for action in actions] == [Refuse]
-    assert given_up(views.whole(router, now)) == {"too little time left": 1}
+    assert given_up(views.summary(router, now)) == {"too little time left": 1}
     assert sends(router.handle(request("early", now), now))
     write = router.handle(request("write", now, "edit", deadline=now + 24 * MS), now)
     assert sends(write), "writes are never refused for that"
--- a/tests/decisions/test_trials.py
+++ b/tests/decisions/test_trials.py
@@ -15,11 +15,11 @@
     detector = rig.detector
     assert list(trials.due(detector)) == [server]
     due = trials.due(detector)[server]
-    trials.hold(detector, server, due + 9 * S)
+    trials.postpone(detector, server, due + 9 * S)
     assert detector.state(server, due + S) is EjectionState.EJECTED
-    trials.hold(detector, server, due)  # a hold never brings a trial forward
+    trials.postpone(detector, server, due)  # a hold never brings a trial forward
     assert trials.due(detector)[server] == due + 9 * S
-    trials.begin(detector, server, due + S)
+    trials.allow(detector, server, due + S)
     assert detector.state(server, due + S) is EjectionState.TRIAL
     assert list(trials.due(detector)) == [server]
     rig.now = due + S
@@ -31,6 +31,6 @@
 def test_a_server_that_is_not_out_is_left_alone() -> None:
     rig = DetectorRig()
     server = rig.node(2).entry.id
-    trials.hold(rig.detector, server, 9 * S)
-    trials.begin(rig.detector, server, S)
+    trials.postpone(rig.detector, server, 9 * S)
+    trials.allow(rig.detector, server, S)
     assert rig.state(2) is EjectionState.HEALTHY
--- a/tests/decisions/test_weight_adjustment.py
+++ b/tests/decisions/test_weight_adjustment.py
@@ -8,7 +8,12 @@
 from saltport.decisions import views
 from saltport.decisions.health import Node
 from saltport.decisions.limits import PROMPT_AIM_SHARE
-from saltport.decisions.weight_adjustment import LEAST, SETTLES, WeightAdjustment, keeps_slot
+from saltport.decisions.weight_adjustment import (
+    MIN_WEIGHT_FACTOR,
+    SETTLING_TIME_NS,
+    WeightAdjustment,
+    keeps_slot,
+)
 from tests.decisions.helpers import MS, S, fleet, settings
 
 AIM = 300 * MS
@@ -20,62 +25,62 @@
     return [Node(entry, False) for entry in fleet(number)]
 
 
-def tell(
-    adjustment: WeightAdjustment, held: list[Node], times: list[float], seconds: int, begin: int = 0
+def report_times(
+    adjustment: WeightAdjustment, fleet_nodes: list[Node], times: list[float], seconds: int, begin: int = 0
 ) -> int:
     """Each node reports its time in milliseconds once a second, in an answer sent after the last change."""
     now = begin
     for _ in range(seconds):
-        now += SETTLES + MS
-        for node, time in zip(held, times, strict=True):
+        now += SETTLING_TIME_NS + MS
+        for node, time in zip(fleet_nodes, times, strict=True):
             adjustment.learn(node, (time, 0.0), AIM, now, now)
     return now
 
 
 def test_server_that_reports_more_time_than_the_others_keeps_less_and_gets_it_back() -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
-    now = tell(adjustment, held, [600.0, *[60.0] * 9], 8)
-    assert held[0].weight_factor < 0.6
-    assert [node.weight_factor for node in held[1:]] == [1.0] * 9
-    tell(adjustment, held, [60.0] * 10, 10, now)
-    assert held[0].weight_factor == 1.0
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
+    now = report_times(adjustment, fleet_nodes, [600.0, *[60.0] * 9], 8)
+    assert fleet_nodes[0].weight_factor < 0.6
+    assert [node.weight_factor for node in fleet_nodes[1:]] == [1.0] * 9
+    report_times(adjustment, fleet_nodes, [60.0] * 10, 10, now)
+    assert fleet_nodes[0].weight_factor == 1.0
 
 
 def test_all_slow_at_once_is_load_and_no_servers_own() -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
-    tell(adjustment, held, [900.0] * 10, 60)
-    assert min(node.weight_factor for node in held) > 0.99
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
+    report_times(adjustment, fleet_nodes, [900.0] * 10, 60)
+    assert min(node.weight_factor for node in fleet_nodes) > 0.99
 
 
 def test_what_is_prompt_costs_nothing_however_much_quicker_the_others_are() -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
-    tell(adjustment, held, [PROMPT_AIM_SHARE * AIM / MS - 1, *[2.0] * 9], 60)
-    assert held[0].weight_factor == 1.0
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
+    report_times(adjustment, fleet_nodes, [PROMPT_AIM_SHARE * AIM / MS - 1, *[2.0] * 9], 60)
+    assert fleet_nodes[0].weight_factor == 1.0
 
 
 def test_some_reads_go_on_finding_out_how_it_is() -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
-    tell(adjustment, held, [60_000.0, *[60.0] * 9], 200)
-    assert held[0].weight_factor == LEAST
-    kept = sum(keeps_slot(held[0], slot) for slot in range(SLOTS))
-    assert LEAST * SLOTS * 0.7 < kept < LEAST * SLOTS * 1.4
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
+    report_times(adjustment, fleet_nodes, [60_000.0, *[60.0] * 9], 200)
+    assert fleet_nodes[0].weight_factor == MIN_WEIGHT_FACTOR
+    kept = sum(keeps_slot(fleet_nodes[0], slot) for slot in range(SLOTS))
+    assert MIN_WEIGHT_FACTOR * SLOTS * 0.7 < kept < MIN_WEIGHT_FACTOR * SLOTS * 1.4
 
 
 def test_answers_that_were_out_at_a_change_are_one_sign_with_it() -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=FIELDS)), nodes(2)
-    tell(adjustment, held, [60.0, 60.0], 40)
-    adjustment.learn(held[0], (600.0, 0.0), AIM, 50 * S, 50 * S)
-    first = held[0].weight_factor
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(2)
+    report_times(adjustment, fleet_nodes, [60.0, 60.0], 40)
+    adjustment.learn(fleet_nodes[0], (600.0, 0.0), AIM, 50 * S, 50 * S)
+    first = fleet_nodes[0].weight_factor
     for late in range(50):
-        adjustment.learn(held[0], (600.0, 0.0), AIM, 50 * S, 50 * S + late * MS)
-    assert held[0].weight_factor == first < 1.0
+        adjustment.learn(fleet_nodes[0], (600.0, 0.0), AIM, 50 * S, 50 * S + late * MS)
+    assert fleet_nodes[0].weight_factor == first < 1.0
 
 
 @pytest.mark.parametrize("fields", [(), ("queue",), ("inflight", "util")])
 def test_reports_that_tell_no_time_decide_nothing(fields: tuple[str, ...]) -> None:
-    adjustment, held = WeightAdjustment(settings(load_fields=fields)), nodes(2)
-    tell(adjustment, held, [9_000.0, 1.0], 20)
-    assert held[0].weight_factor == 1.0
+    adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=fields)), nodes(2)
+    report_times(adjustment, fleet_nodes, [9_000.0, 1.0], 20)
+    assert fleet_nodes[0].weight_factor == 1.0
 
 
 def test_routers_leave_out_the_same_reads_whatever_else_the_server_holds() -> None:
--- a/tests/decisions/test_zoned.py
+++ b/tests/decisions/test_zoned.py
@@ -23,7 +23,7 @@
     ZonePlan,
 )
 from saltport.decisions.topology import Topology
-from saltport.decisions.zoned import Zoned, point
+from saltport.decisions.zoned import ZonedReplication, slot_position
 
 MS, S = 1_000_000, 1_000_000_000
 TOPOLOGY = Topology(
@@ -103,7 +103,12 @@
     far.tell(ZonePlan((0.0, 1.0, 0.0)))
     assert all(server(near_b, f"k{n}") == server(far, f"k{n}") for n in range(100))
     assert (
-        0 <= min(point(slot) for slot in range(1_000)) < 0.01 < 0.99 < max(point(n) for n in range(1_000)) < 1
+        0
+        <= min(slot_position(slot) for slot in range(1_000))
+        < 0.01
+        < 0.99
+        < max(slot_position(n) for n in range(1_000))
+        < 1
     )
 
 
@@ -178,7 +183,7 @@
         rig.end(rig.ask("k1"), outcome)
         rig.now += 10 * MS
     replication = rig.router.replication
-    assert isinstance(replication, Zoned)
+    assert isinstance(replication, ZonedReplication)
     found = replication.take_evidence()
     here = found.zones[0]
     assert (here.listed, here.usable) == (4, 4)
--- a/tests/downstream/test_memcached.py
+++ b/tests/downstream/test_memcached.py
@@ -134,7 +134,7 @@
 
 @pytest.mark.parametrize("prefix", ["", "a b", "x" * 251])
 def test_prefixes_that_no_key_has_are_refused(prefix: str) -> None:
-    with pytest.raises(ValueError, match="no prefix"):
+    with pytest.raises(ValueError, match="not a valid key prefix"):
         Prefixes({prefix: "acme"}, None)
 
 
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -43,8 +43,8 @@
     topology = told.settings.topology
     assert told.failover
     assert topology is not None
-    assert (topology.here, topology.cost(1, 0), topology.room_of(1)) == ("b", 9, 50.5)
-    assert topology.origin(topology.area_of(1)) == "o2"
+    assert (topology.here, topology.round_trip_ms(1, 0), topology.server_capacity(1)) == ("b", 9, 50.5)
+    assert topology.region_origin(topology.region_index(1)) == "o2"
     assert check_file(path, files) == []
     alone = load_config({"LB_CONFIG": str(path)}, [written(tmp_path, "false")])
     assert alone.settings.topology == topology
--- a/tests/failover/test_rules.py
+++ b/tests/failover/test_rules.py
@@ -48,7 +48,7 @@
 def test_all_demand_is_placed_within_room_or_said_to_be_refused(
     demand: list[float], room: list[float], shut: set[tuple[int, int]]
 ) -> None:
-    poured = pour(demand, room, room, lambda s, t: (s, t) not in shut, THREE.near, PARTS_OF_ROOM)
+    poured = pour(demand, room, room, lambda s, t: (s, t) not in shut, THREE.zones_by_distance, PARTS_OF_ROOM)
     for source in range(3):
         assert sum(poured.shares[source]) + poured.refused[source] == pytest.approx(1)
         assert all(
@@ -63,7 +63,9 @@
 
 def test_near_first_and_beyond_that_the_nearest_with_room() -> None:
     def shares(demand: list[float], room: list[float], **more: object) -> tuple[tuple[float, ...], ...]:
-        return pour(demand, room, room, lambda s, t: t not in more.values(), THREE.near, PARTS_OF_ROOM).shares
+        return pour(
+            demand, room, room, lambda s, t: t not in more.values(), THREE.zones_by_distance, PARTS_OF_ROOM
+        ).shares
 
     assert shares([500, 500, 500], [1000] * 3) == ((1, 0, 0), (0, 1, 0), (0, 0, 1))
     lost = shares([500, 500, 500], [1000] * 3, lost=1)
@@ -79,7 +81,12 @@
 
 def test_more_is_not_sent_where_nothing_is_proven_while_it_is_proven_elsewhere() -> None:
     poured = pour(
-        [0, 600, 0], [UNLIMITED] * 3, [100, 600, 900], lambda s, t: t != 1, THREE.near, PARTS_OF_ROOM
+        [0, 600, 0],
+        [UNLIMITED] * 3,
+        [100, 600, 900],
+        lambda s, t: t != 1,
+        THREE.zones_by_distance,
+        PARTS_OF_ROOM,
     )
     assert poured.load == pytest.approx((100, 0, 500), abs=0.1)
     assert poured.refused == (0, 0, 0)
@@ -219,8 +226,8 @@
 
 
 def test_a_topology_is_checked() -> None:
-    assert THREE.near(2) == (2, 1, 0)
-    assert THREE.near_areas(1) == (1, 0)
+    assert THREE.zones_by_distance(2) == (2, 1, 0)
+    assert THREE.regions_by_distance(1) == (1, 0)
     for wrong in ({"here": "x"}, {"zones": ("a", "a", "c")}, {"zones": ()}, {"origins": (("x", "o"),)}):
         with pytest.raises(ValueError, match="topology"):
             replace(THREE, **wrong)
--- a/tests/router/test_memcached.py
+++ b/tests/router/test_memcached.py
@@ -136,7 +136,7 @@
         ('listen = "nowhere"', "memcached.listen"),
         ("shared = 1", "memcached.shared: expected true or false"),
         ('tenant_prefixes = {"x/" = "nobody"}', "memcached.tenant_prefixes: 'x/': 'nobody' is unknown"),
-        ('tenant_prefixes = {"" = "acme"}', "memcached.tenant_prefixes: '' is no prefix"),
+        ('tenant_prefixes = {"" = "acme"}', "memcached.tenant_prefixes: '' is not a valid key prefix"),
         ('tenant_prefixes = "x"', "memcached.tenant_prefixes: expected a table"),
     ],
 )
--- a/tests/scale/test_roles.py
+++ b/tests/scale/test_roles.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.failover import plans, sizes
 from benchmarks.scale.operators import peers
 from benchmarks.scale.owners import calm, ownerless
-from saltport.decisions.topology import MOST_ZONES
+from saltport.decisions.topology import MAX_ZONES
 from saltport.peers.link import MOST_CARRIED
 
 
@@ -56,8 +56,8 @@
 
 
 def test_plans_fit_a_datagram_for_as_many_zones_as_may_be_configured() -> None:
-    assert sizes(MOST_ZONES).plan <= MOST_CARRIED
-    assert sizes(MOST_ZONES).report <= MOST_CARRIED
+    assert sizes(MAX_ZONES).plan <= MOST_CARRIED
+    assert sizes(MAX_ZONES).report <= MOST_CARRIED
     assert sizes(36).plan > MOST_CARRIED  # the page says so: mend it there as well
 
 
