--- a/tests/decisions/helpers.py
+++ b/tests/decisions/helpers.py
@@ -1,4 +1,4 @@
-"""Small builders and a driver that plays caches and an origin, for the tests."""
+"""Builders of settings, requests and events for the tests of saltport.decisions."""
 
 from __future__ import annotations
 
@@ -101,7 +101,7 @@
 
 
 def given_up(view: dict[str, object]) -> dict[str, int]:
-    """Requests given up since the start, by reason, from a router's view."""
+    """Return the number of requests given up since the start, by reason, from a router's view."""
     rows: Any = view["given_up"]
     found: Counter[str] = Counter()
     for row in rows:
--- a/tests/decisions/replay/__init__.py
+++ b/tests/decisions/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Recorded event streams for the replay check, and the world that they were recorded in."""
+"""Recorded event streams for the replay test, and the simulation that produced them."""
--- a/tests/decisions/replay/__main__.py
+++ b/tests/decisions/replay/__main__.py
@@ -1,6 +1,6 @@
-"""Record the scenarios anew: `python -m tests.decisions.replay [NAME ...]`.
+"""Records the scenarios: `python -m tests.decisions.replay [NAME ...]`.
 
-Only for a change that is meant to alter decisions; the commit says which and why.
+Only for intended changes of decisions; the commit message must say which and why.
 """
 
 from __future__ import annotations
--- a/tests/decisions/replay/codec.py
+++ b/tests/decisions/replay/codec.py
@@ -1,6 +1,6 @@
-"""The simulator's wire, widened by the events, actions and settings that only the real router has.
+"""The simulator's protocol, extended by the events, actions and settings that only the real router has.
 
-The recordings hold JSON of this form, so that a renamed class or module needs a change here and not there.
+The recordings contain JSON in this format, so that a renamed class or field needs a change here only.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def read_widened_settings(facts: Fields) -> api.Settings:
-    """Read settings as the adapter does, and the optional parts under the key `widened`."""
+    """Return settings read as by the adapter, with the optional parts under the key `widened`."""
     widened = facts.get("widened") or {}
     base = read_settings(facts)
     changes: dict[str, Any] = {}
@@ -100,7 +100,7 @@
 
 @contextmanager
 def widened() -> Iterator[adapter.Adapter]:
-    """An adapter that speaks the widened wire."""
+    """An adapter that speaks the extended protocol."""
     with (
         mock.patch.dict(adapter._EVENTS, EVENTS),
         mock.patch.dict(adapter._ACTIONS, ACTIONS),
--- a/tests/decisions/replay/recordings.py
+++ b/tests/decisions/replay/recordings.py
@@ -1,4 +1,4 @@
-"""The recordings on disk: a batch and the reply to it in turn, a JSON value a line, compressed with xz."""
+"""The recording files: lines of JSON, alternately a batch and its reply, compressed with xz."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def write(name: str, recorded: list[tuple[dict[str, Any], dict[str, Any]]]) -> int:
-    """Store a recording; returns its size in bytes."""
+    """Store a recording; return its size in bytes."""
     lines = [orjson.dumps(value) for pair in recorded for value in pair]
     data = lzma.compress(b"\n".join(lines) + b"\n", preset=9 | lzma.PRESET_EXTREME)
     FOLDER.mkdir(exist_ok=True)
@@ -24,6 +24,6 @@
 
 
 def read(name: str) -> list[tuple[bytes, bytes]]:
-    """The batches of a recording, each with the reply to it, as lines without their ends."""
+    """Return the batches of a recording, each with its reply, as lines without line ends."""
     lines = lzma.decompress(_path(name).read_bytes()).splitlines()
     return list(zip(lines[::2], lines[1::2], strict=True))
--- a/tests/decisions/replay/scenarios.py
+++ b/tests/decisions/replay/scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios that were recorded, each for some rules of the decisions; times in facts are nanoseconds."""
+"""The recorded scenarios, each of which covers some rules; times in settings are in nanoseconds."""
 
 from __future__ import annotations
 
--- a/tests/decisions/replay/world.py
+++ b/tests/decisions/replay/world.py
@@ -1,8 +1,8 @@
-"""A small seeded world that drives one router over the widened wire, to record event streams.
+"""A small seeded simulation that drives one router over the extended protocol, to record event streams.
 
-Servers answer after a random service time and keep the keys that they were filled with; faults strike some
-of them for a while. It is a generator of varied input, not a model of real machines: what counts is that
-every rule of the decisions is reached. Times are nanoseconds of the world's own clock.
+Servers answer after a random service time and store the keys that were written to them; faults affect some of
+them for a while. This generates varied input that reaches every rule, and does not model real machines. Times
+are in nanoseconds of the simulated clock.
 """
 
 from __future__ import annotations
@@ -20,26 +20,26 @@
 
 Fields = dict[str, Any]
 Due = Callable[[], Fields | None]
-"""What is done at its time; returns an event for the router, if there is one."""
+"""A callback at a given time, which may return an event for the router."""
 
 
 @dataclass(frozen=True)
 class Fault:
-    """A trouble of some servers between two times, seconds after the start."""
+    """A fault of some servers between two times, in seconds after the start."""
 
     kind: str
-    """slow, silent, refusing, resetting, full, erring, flush, burst, hot, busy_loop."""
+    """One of slow, silent, refusing, resetting, full, erring, flush, burst, hot and busy_loop."""
     begin: float
     end: float
     part: float = 0.25
-    """Of the servers that it strikes; for `burst` and `hot` its size."""
+    """The share of the servers affected; for `burst` and `hot` the size."""
     origin: bool = False
-    """Whether it strikes the origin in place of cache servers."""
+    """Whether the origin is affected instead of cache servers."""
 
 
 @dataclass(frozen=True)
 class Class:
-    """A class of requests: its share of all, and whether it writes."""
+    """A class of requests, its share of all requests, and whether it writes."""
 
     facts: Fields
     share: float
@@ -48,26 +48,26 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What one recording holds."""
+    """The parameters of one recording."""
 
     name: str
     seed: int
     seconds: float
     rate: float
-    """Requests a second."""
+    """Requests per second."""
     classes: tuple[Class, ...]
     facts: Fields
     faults: tuple[Fault, ...] = ()
     scripted: tuple[tuple[float, Fields], ...] = ()
-    """Events of the operator, by seconds after the start."""
+    """Events by the operator, each with its time in seconds after the start."""
     servers: int = 8
     keys: int = 120
     work: int = 15 * MS
-    """Mean service time."""
+    """The mean service time."""
     slots: int = 6
-    """Requests that a server works at before the next one waits."""
+    """Requests that a server processes concurrently."""
     retries: float = 0.6
-    """Chance that a client comes again after a refusal."""
+    """The probability that a client retries after a refusal."""
     leaves: float = 0.01
     churn: float = 4.0
     """Seconds between changes of the list."""
@@ -92,7 +92,7 @@
 
 
 class World:
-    """Plays one scenario; `play` returns the batches and the answers to them."""
+    """Simulates one scenario; `play` returns the batches and their replies."""
 
     def __init__(self, scenario: Scenario, answer: Callable[[Fields], Fields]) -> None:
         self.scenario, self._answer = scenario, answer
@@ -147,7 +147,7 @@
     def _seconds(self) -> float:
         return (self.now - START) / S
 
-    def _struck(self, kind: str, server: _Server | None = None) -> Fault | None:
+    def _active_fault(self, kind: str, server: _Server | None = None) -> Fault | None:
         for fault in self.scenario.faults:
             if fault.kind != kind or not fault.begin <= self._seconds() < fault.end:
                 continue
@@ -158,7 +158,7 @@
                 return fault
         return None
 
-    # The list
+    # Server list
 
     def _new_server(self, origin: bool = False, born: int | None = None) -> Fields:
         number, self._born = self._born, self._born + 1
@@ -194,7 +194,7 @@
             line["mode"] = self.rng.choice((0, 2, 2))
             lines.append(dict(line))
         lines.append(dict(self._new_server(born=self.now)))
-        if self.rng.random() < 0.2:  # the whole list, and one that restarted
+        if self.rng.random() < 0.2:  # the full list, with one restarted server
             restarted = self.rng.choice([line for line in caches if line["mode"] == 1])
             restarted["bornNs"] = self.now
             lines = [dict(server.line) for server in self.servers.values() if server.line["mode"]]
@@ -209,7 +209,7 @@
         if self._seconds() > self.scenario.seconds:
             return None
         self._at(self.now + S // 10, self._report_loop)
-        busy = self._struck("busy_loop")
+        busy = self._active_fault("busy_loop")
         delay = self.rng.randrange(60, 90) if busy else self.rng.randrange(0, 3)
         return {"loop": {"busy": 1.0 if busy else 0.5, "delay": delay * MS, "span": S // 10}}
 
@@ -219,15 +219,15 @@
         scenario = self.scenario
         if self._seconds() > scenario.seconds:
             return None
-        burst = self._struck("burst")
+        burst = self._active_fault("burst")
         rate = scenario.rate * (1 + burst.part if burst else 1)
         self._at(self.now + int(self.rng.expovariate(rate) * S), self._arrive)
-        if self._struck("flush"):
+        if self._active_fault("flush"):
             for server in self.servers.values():
                 server.keys.clear()
         cls = self.rng.choices(scenario.classes, [each.share for each in scenario.classes])[0]
         tenant = self.rng.choice(("a", "a", "a", "b", "b", "c", None))
-        hot = self._struck("hot")
+        hot = self._active_fault("hot")
         key: str | None = f"k{int(self.rng.paretovariate(0.9)) % scenario.keys}"
         if hot and self.rng.random() < hot.part:
             key = "h0"
@@ -299,17 +299,17 @@
         rng, scenario = self.rng, self.scenario
         took = int(rng.expovariate(1.0) * scenario.work * (2 if server.origin else 1)) + 2 * MS
         took = took * max(server.out, scenario.slots) // scenario.slots
-        if server.line["mode"] == 0 or self._struck("refusing", server):
+        if server.line["mode"] == 0 or self._active_fault("refusing", server):
             return "refused_conn", 2 * MS
-        if self._struck("silent", server):
+        if self._active_fault("silent", server):
             return "overdue", took
-        if self._struck("resetting", server) and rng.random() < 0.8:
+        if self._active_fault("resetting", server) and rng.random() < 0.8:
             return "severed", took
-        if self._struck("erring", server) and rng.random() < 0.7:
+        if self._active_fault("erring", server) and rng.random() < 0.7:
             return "errored", took
-        if self._struck("full", server) and rng.random() < 0.6:
+        if self._active_fault("full", server) and rng.random() < 0.6:
             return "saturated", 2 * MS
-        if self._struck("slow", server):
+        if self._active_fault("slow", server):
             took *= 12
         if rng.random() < 0.004:
             return rng.choice(("severed", "errored", "superseded", "recalled", "saturated")), took
@@ -344,11 +344,11 @@
             fields["kept"] = True
         if "widened" in self.scenario.facts and verdict == "completed" and not request.cls.write:
             fields["size"] = 1000 + len(key or "") * 100
-        if self._struck("busy_loop"):
+        if self._active_fault("busy_loop"):
             fields["lag"] = min(took, 10 * MS)
         return {"reply": fields}
 
-    # Copies, timers, remarks
+    # Copies, timers, log lines
 
     def _do_copy(self, fields: Fields) -> None:
         verdict = self.rng.choices(("completed", "errored", "overdue", "refused_conn"), (40, 1, 1, 1))[0]
@@ -367,4 +367,4 @@
             self._at(self.now + fields["fromNowNs"], {"fired": {"handle": fields["handle"]}})
 
     def _do_debug(self, fields: Fields) -> None:
-        """A line for the operator."""
+        """Ignore a log line."""
--- a/tests/decisions/test_effects.py
+++ b/tests/decisions/test_effects.py
@@ -1,4 +1,4 @@
-"""Rule 2 over all combinations of effect, group, history, time and place, against a plain statement."""
+"""The rules against double effects, for all combinations of effect, scope, history, time and place."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_inheritance.py
+++ b/tests/decisions/test_inheritance.py
@@ -1,4 +1,4 @@
-"""What one process has learnt, taken up by the next, and messages that are no good."""
+"""Transfer of the learnt state to the next process, and rejection of invalid messages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def experienced(now: int) -> Router:
-    """A router with calls in its window, a limit that was cut, and a server that it ejected."""
+    """Return a router with calls in its window, a reduced limit and an ejected server."""
     router = started(settings(), fleet(4), now=now - 5 * S)
     for i in range(30):
         at = now - S + i * 10 * MS
@@ -31,7 +31,7 @@
 
 
 def test_next_process_goes_on_where_the_old_one_stood() -> None:
-    old, begun = experienced(100 * S), 7 * S  # on a clock of its own
+    old, begun = experienced(100 * S), 7 * S  # the new process has its own clock
     message = json.loads(json.dumps(inheritance.export(old, 100 * S)))
     new = started(settings(), fleet(4), now=begun)
     inheritance.restore(new, message, begun)
@@ -47,9 +47,15 @@
     left = old.outliers.records[bad].ejected_until - 100 * S
     assert new.outliers.records[bad].ejected_until == begun + left
     for server in fleet(4):
-        held, told = new.caches.nodes[server.id], old.caches.nodes[server.id]
-        assert (held.limit.limit, held.limit.response_time) == (told.limit.limit, told.limit.response_time)
-        assert (held.response_time.mean, held.weight_factor) == (told.response_time.mean, told.weight_factor)
+        restored, exported = new.caches.nodes[server.id], old.caches.nodes[server.id]
+        assert (restored.limit.limit, restored.limit.response_time) == (
+            exported.limit.limit,
+            exported.limit.response_time,
+        )
+        assert (restored.response_time.mean, restored.weight_factor) == (
+            exported.response_time.mean,
+            exported.weight_factor,
+        )
 
 
 def test_ejection_that_was_inherited_ends_with_a_trial() -> None:
@@ -66,7 +72,7 @@
     assert bad not in new.outliers.ejected
 
 
-def test_strangers_are_passed_over_and_bounds_are_this_process_s() -> None:
+def test_unknown_entries_are_ignored_and_local_bounds_apply() -> None:
     old, begun = experienced(100 * S), 7 * S
     message = inheritance.export(old, 100 * S)
     message["tenants"]["nobody"] = message["tenants"]["a"]
@@ -113,6 +119,6 @@
 
 
 @pytest.mark.parametrize("message", [None, 3, [], "x", {}])
-def test_what_is_no_message_is_told(message: Any) -> None:
+def test_invalid_message_raises(message: Any) -> None:
     with pytest.raises(ValueError, match=r".+"):
         inheritance.restore(started(settings(), fleet(1)), message, S)
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -1,4 +1,4 @@
-"""A server's limit: learnt from its answers' time, slow to condemn, quick to come back, never shut."""
+"""The adaptive limit of a server: cut slowly on late answers, raised quickly, and never zero."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def fed(limit: Limit, took: int, answers: int, out: int = 8, now: int = 0, gap: int = 50 * MS) -> int:
-    """So many answers, each sent when the one before had come."""
+    """Feed `answers` consecutive answers to the limit; return the time after the last."""
     for _ in range(answers):
         limit.learn(took, out, now, now + gap, AIM)
         now += gap
@@ -33,16 +33,16 @@
 
 
 def test_heavy_tail_leaves_the_limit_up() -> None:
-    """One answer in fifty is late by chance."""
+    """One late answer in fifty, as a heavy tail gives by chance, must not cut the limit to the minimum."""
     limit, rng, now = Limit(), random.Random(1), 0
     low = limit.limit
     for _ in range(2_000):
         now = fed(limit, 400 * MS if rng.random() < 0.02 else 50 * MS, 1, now=now)
         low = min(low, limit.limit)
-    assert low >= 4  # of the eight that are out
+    assert low >= 4  # of the eight in flight
 
 
-def test_steady_lateness_cuts_it_to_what_still_finds_out() -> None:
+def test_steady_lateness_cuts_the_limit_to_its_minimum() -> None:
     limit = Limit()
     now = fed(limit, 400 * MS, 40)
     assert limit.limit == MIN_LIMIT
@@ -68,7 +68,7 @@
     assert limit.has_room(10_000, 0)
 
 
-def test_all_that_was_out_when_it_was_cut_cuts_once() -> None:
+def test_attempts_in_flight_at_a_cut_cut_only_once() -> None:
     limit = Limit()
     for _ in range(10):
         limit.cut(0, 100, 10)
@@ -98,7 +98,7 @@
     assert 21 > little.limit > much.limit >= 21 / 2
 
 
-def test_work_is_told_apart_from_waiting() -> None:
+def test_service_time_is_separated_from_queueing() -> None:
     limit = Limit()
     now = fed(limit, 50 * MS, 20)
     fed(limit, 250 * MS, 10, now=now)
@@ -106,7 +106,7 @@
     assert limit.response_time > 200 * MS
 
 
-def test_what_was_long_ago_is_forgotten() -> None:
+def test_old_times_are_discarded() -> None:
     limit = Limit()
     now = fed(limit, 400 * MS, 10)
     limit.learn(50 * MS, 1, now + 20_000 * MS, now + 20_050 * MS, AIM)
@@ -152,7 +152,7 @@
 
 
 def test_long_value_that_a_client_takes_slowly_leaves_its_server_s_room_to_others() -> None:
-    """Its work is done at the first byte; counted until the last, slow readers would shut idle servers."""
+    """A server's work is done at the first byte; counted to the last, slow clients block idle servers."""
     router = started(settings(), fleet(1), origin=False)
     router.caches.nodes[fleet(1)[0].id].limit.limit = 2.0
     for i in range(2):
@@ -160,7 +160,7 @@
     assert not sends(router.handle(request("full", S), S))
     for i in range(2):
         router.handle(StreamStarted(f"slow{i}", 0), S)
-        router.handle(StreamStarted(f"slow{i}", 0), S)  # told twice, it frees one place
+        router.handle(StreamStarted(f"slow{i}", 0), S)  # a repeated event frees one place only
     again = [only_send(router.handle(request(f"quick{i}", S), S)) for i in range(2)]
     assert not sends(router.handle(request("full again", S), S))
     for i in range(2):
@@ -181,23 +181,23 @@
     assert router.caches.nodes[fleet(1)[0].id].load == 1
 
 
-@pytest.mark.parametrize(("unheard", "pause"), [(10 * MS, 10 * MS), (4 * S, 4 * S), (60 * S, STALE_AFTER_NS)])
-def test_server_that_timed_out_is_left_alone_for_as_long_as_it_had_not_been_heard_of(
-    unheard: int, pause: int
-) -> None:
-    """At hundreds of routers each asks a server every some seconds: with none out, no limit ever binds."""
+@pytest.mark.parametrize(
+    ("without_answer", "pause"), [(10 * MS, 10 * MS), (4 * S, 4 * S), (60 * S, STALE_AFTER_NS)]
+)
+def test_pause_after_a_timeout_equals_the_time_without_answers(without_answer: int, pause: int) -> None:
+    """Of hundreds of routers each rarely sends to one server: with none in flight no limit has an effect."""
     router = started(settings(), fleet(1), origin=False)
     first = only_send(router.handle(request("heard", 100 * S), 100 * S))
     router.handle(ended(first, Outcome.OK, latency=10 * MS), 100 * S)
-    silent = only_send(router.handle(request("silent", 100 * S + unheard), 100 * S + unheard))
-    over = 100 * S + unheard + S
+    silent = only_send(router.handle(request("silent", 100 * S + without_answer), 100 * S + without_answer))
+    over = 100 * S + without_answer + S
     router.handle(ended(silent, Outcome.TIMEOUT, closed=True, latency=S), over)
     assert not sends(router.handle(request("meanwhile", over + pause - MS), over + pause - MS))
     assert sends(router.handle(request("then", over + pause), over + pause))
 
 
-def test_server_that_never_answered_is_left_alone_for_as_long_as_it_is_known() -> None:
-    """A router that has just started knows nobody: its first time-outs tell nothing of how seldom it asks."""
+def test_pause_of_a_server_that_never_answered_equals_the_time_it_is_known() -> None:
+    """A router that has just started can't know from its first time-outs how rarely it sends to a server."""
     router = started(settings(), fleet(1), origin=False, now=100 * S)
     first = only_send(router.handle(request("first", 102 * S), 102 * S))
     router.handle(ended(first, Outcome.TIMEOUT, closed=True, latency=S), 103 * S)
--- a/tests/decisions/test_ordering.py
+++ b/tests/decisions/test_ordering.py
@@ -1,4 +1,4 @@
-"""The order of one connection's commands: tables, and random histories against a plain replay."""
+"""The order of one connection's commands: cases, and random histories compared with a replay."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
         ("wrr", "0", "12"),
         ("wrw", "0", "1"),
         ("rrw", "01", ""),
-        ("rwr", "0", "1"),  # the read came behind the write, and sees it
+        ("rwr", "0", "1"),  # the read arrived after the write, and sees it
     ],
 )
 def test_who_begins(commands: str, begin: str, after_first: str) -> None:
@@ -42,7 +42,7 @@
     assert order.ended(b"k", False).begin == ("w6",)
 
 
-def test_one_that_leaves_lets_the_next_begin_and_nothing_is_kept() -> None:
+def test_cancelled_command_releases_the_next_and_leaves_no_state() -> None:
     order: KeyOrder[str] = KeyOrder()
     for name in ("r0", "w1", "r2"):
         order.enqueue(name, b"k", name[0] == "w")
@@ -53,14 +53,14 @@
 
 
 def test_ten_thousand_histories_take_effect_in_order() -> None:
-    """Commands end in any order, fail, or leave; the value seen is that of a replay in the client's order."""
+    """Commands end in any order or fail; reads must see the value of a replay in the client's order."""
     rng = random.Random(17)
     for history in range(10_000):
         order: KeyOrder[int] = KeyOrder()
         came: list[tuple[bytes, bool]] = []
         running: list[int] = []
         value: dict[bytes, int] = defaultdict(lambda: -1)
-        ahead: dict[int, int] = {}  # by read: the last write ahead of it that was not turned down or gone
+        ahead: dict[int, int] = {}  # by read: the last effective write before it
         void: set[int] = set()
         for _ in range(rng.randrange(2, 24)):
             if running and rng.random() < 0.5:
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: what ejects a server, for how long, how it returns, and when nobody is believed bad."""
+"""Outlier detection: causes and durations of ejections, readmission, and panic."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 
 class DetectorRig:
-    """A detector over some servers, fed with attempts that each take a millisecond, or wait."""
+    """A detector with `count` servers; attempts take 1 ms, or a third of SILENCE for a time-out."""
 
     def __init__(self, count: int = 10) -> None:
         self.nodes = {entry.id: Node(entry, False) for entry in fleet(count)}
@@ -82,7 +82,7 @@
         return self.detector.state(self.node(number).entry.id, self.now, first)
 
     def fail_trial(self, number: int) -> int:
-        """Wait for the trial and fail it; returns how long the server stays out after that."""
+        """Wait for the trial and fail it; return the duration of the following ejection."""
         while self.state(number) is not EjectionState.TRIAL:
             self.now += 100 * MS
         self.detector.start_trial(self.node(number).entry.id, "trial")
@@ -120,14 +120,14 @@
 
 
 @pytest.mark.parametrize("heard", [Outcome.OK, Outcome.MISS, Outcome.FULL, Outcome.ERROR])
-def test_any_answer_ends_the_row(heard: Outcome) -> None:
+def test_any_answer_resets_the_consecutive_failures(heard: Outcome) -> None:
     rig = DetectorRig()
     rig.record(1, Outcome.TIMEOUT, Outcome.TIMEOUT, heard, Outcome.TIMEOUT, Outcome.TIMEOUT)
     assert rig.state(1) is EjectionState.HEALTHY
 
 
 @pytest.mark.parametrize("nothing", [Outcome.MOOT, Outcome.CANCELLED])
-def test_what_tells_nothing_neither_counts_nor_ends_the_row(nothing: Outcome) -> None:
+def test_inconclusive_outcomes_neither_count_nor_reset(nothing: Outcome) -> None:
     rig = DetectorRig()
     rig.record(1, nothing, nothing, nothing)
     assert views.outliers(rig.detector, rig.now)["servers"] == {}
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-def test_what_was_out_when_one_cause_struck_is_one_sign(outcome: Outcome) -> None:
+def test_attempts_in_flight_at_one_fault_count_once(outcome: Outcome) -> None:
     rig = DetectorRig()
     sent = rig.now
     for at in range(50):
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize("outcome", FAILURES)
-def test_failures_far_apart_are_no_row(outcome: Outcome) -> None:
+def test_failures_far_apart_are_not_consecutive(outcome: Outcome) -> None:
     rig = DetectorRig()
     for _ in range(20):
         rig.record(1, outcome, outcome)
@@ -164,7 +164,7 @@
     rig.record(0, *[Outcome.OK] * 300)
     for _ in range(5):
         change = rig.record(2, Outcome.OK, Outcome.ERROR)
-    # the first answer was before there was any evidence
+    # the first answer came before any evidence and is not counted
     assert change is None
     change = rig.record(2, Outcome.ERROR)
     assert change is not None
@@ -177,7 +177,7 @@
         for number in range(10):
             rig.record(number, Outcome.ERROR, Outcome.OK, Outcome.ERROR)
     assert views.outliers(rig.detector, rig.now)["ejected"] == 0
-    # among them one that always fails is none worse than they are by half
+    # a server that always fails does not exceed their failure rate by the threshold
     rig.record(3, *[Outcome.ERROR] * 20)
     assert rig.state(3) is EjectionState.HEALTHY
 
@@ -204,14 +204,14 @@
     assert views.outliers(rig.detector, rig.now)["servers"] == {}
 
 
-def test_trial_is_single_and_its_answer_brings_the_server_back() -> None:
+def test_trial_is_single_and_its_answer_readmits_the_server() -> None:
     rig = DetectorRig()
     rig.record(1, *[Outcome.RESET] * 3)
     rig.now += BASE_EJECTION_NS * 2
     assert rig.state(1) is EjectionState.TRIAL
     rig.detector.start_trial("10.0.0.1:80", "trial")
     assert rig.state(1) is EjectionState.EJECTED
-    # an answer to what was sent before it was ejected tells nothing of it now
+    # an answer to an attempt from before the ejection is no evidence of recovery
     assert rig.detector.record_outcome(rig.node(1), "old", Outcome.OK, S, rig.now) is None
     assert rig.state(1) is EjectionState.EJECTED
     change = rig.record(1, Outcome.FULL, request="trial")
@@ -233,8 +233,8 @@
     rig = DetectorRig()
     rig.record(1, *[Outcome.RESET] * 3)
     times = [rig.fail_trial(1) for _ in range(7)]
-    for change, expected in zip(times, (2, 4, 8, 16, 30, 30, 30), strict=True):
-        assert expected * S <= change <= expected * S * 1.1 + 10 * MS
+    for duration, expected in zip(times, (2, 4, 8, 16, 30, 30, 30), strict=True):
+        assert expected * S <= duration <= expected * S * 1.1 + 10 * MS
     assert max(times) <= MAX_EJECTION_NS * 1.1 + 10 * MS
     rig.detector.start_trial("10.0.0.1:80", "trial")
     rig.record(1, Outcome.OK, request="trial")
@@ -248,7 +248,7 @@
     assert views.outliers(rig.detector, rig.now)["servers"]["10.0.0.1:80"]["ejected_for_s"] <= 1.1  # type: ignore[index]
 
 
-def test_at_most_half_are_ejected_and_beyond_it_nobody_is_believed_bad() -> None:
+def test_at_most_half_are_ejected_and_beyond_that_is_panic() -> None:
     rig = DetectorRig()
     for number in range(5):
         rig.record(number, *[Outcome.RESET] * 3)
@@ -257,16 +257,16 @@
     change = rig.record(5, *[Outcome.RESET] * 3)
     assert change is not None
     assert "kept in" in change
-    assert rig.record(5, Outcome.RESET) is None  # change once
+    assert rig.record(5, Outcome.RESET) is None  # logged once
     assert rig.detector.panicking
-    # the holder is asked, whoever it is; a request that failed there only goes to who is above suspicion
+    # first attempts go to the slot's server, further ones only to servers without suspicion
     assert {rig.state(number) for number in range(10)} == {EjectionState.HEALTHY, EjectionState.PANIC}
     assert [rig.state(number, first=False) for number in (0, 5, 6)] == [
         EjectionState.EJECTED,
         EjectionState.EJECTED,
         EjectionState.HEALTHY,
     ]
-    # one answer is enough for a server to be back, and for panic to end
+    # one answer readmits a server and ends the panic
     rig.record(0, Outcome.MISS)
     assert not rig.detector.panicking
     assert rig.state(0) is EjectionState.HEALTHY
@@ -276,7 +276,7 @@
     assert views.outliers(rig.detector, rig.now)["ejected"] == 4
 
 
-def test_server_that_leaves_and_comes_back_at_once_is_known_again() -> None:
+def test_server_that_returns_at_once_keeps_its_record() -> None:
     rig = DetectorRig()
     rig.record(1, *[Outcome.CONNECT_FAILED] * 3)
     rig.follow("10.0.0.1:80")
@@ -286,7 +286,7 @@
     assert rig.state(1) is EjectionState.EJECTED
 
 
-def test_server_that_started_anew_or_was_long_away_is_not_held_to_it() -> None:
+def test_server_that_restarted_or_was_long_absent_has_a_clean_record() -> None:
     rig = DetectorRig()
     rig.record(1, *[Outcome.CONNECT_FAILED] * 3)
     rig.record(2, *[Outcome.CONNECT_FAILED] * 3)
@@ -300,18 +300,18 @@
     assert views.outliers(rig.detector, rig.now)["servers"] == {}
 
 
-# The same through the router
+# Ejections in the router
 
 
 HOLDER = "10.0.0.2:80"
 
 
-class Asked:
-    """A router of five servers, asked for keys that one of them holds; no key twice, or it would be hot."""
+class RouterRig:
+    """A router with five servers and requests for distinct keys of one of them, ejected at the start."""
 
     def __init__(self, now: int = 0, origin: bool = True, **changes: object) -> None:
         self.router = started(settings(tenants=(), **changes), fleet(5), origin, now)
-        self._keys = self._held()
+        self._keys = self._keys_of_holder()
         for _ in range(3):
             send = self.ask(now)
             assert send.server == HOLDER
@@ -319,7 +319,7 @@
             self.end(only_send(actions), Outcome.OK, now)
         assert [action for action in actions if isinstance(action, Log)]
 
-    def _held(self) -> Iterator[str]:
+    def _keys_of_holder(self) -> Iterator[str]:
         for number in count():
             key = f"k{number}"
             if self.router.caches.rank(crc32(key.encode()) % 8192, 1 << 62)[0].entry.id == HOLDER:
@@ -335,41 +335,41 @@
 
 @pytest.mark.parametrize("day", [0, 86_400 * S])
 def test_ejected_server_gets_one_read_when_its_time_is_over_whatever_the_clock_shows(day: int) -> None:
-    asked = Asked(day)
+    router_rig = RouterRig(day)
     for _ in range(40):
-        send = asked.ask(day + 900 * MS)
+        send = router_rig.ask(day + 900 * MS)
         assert send.server not in (HOLDER, ORIGIN.id)
-        asked.end(send, Outcome.OK, day + 910 * MS)
+        router_rig.end(send, Outcome.OK, day + 910 * MS)
     at = day + 1200 * MS
-    tried = [asked.ask(at) for _ in range(40)]
+    tried = [router_rig.ask(at) for _ in range(40)]
     (trial,) = [send for send in tried if send.server == HOLDER]
-    asked.end(trial, Outcome.OK, at + MS)
-    assert {asked.ask(at + MS).server for _ in range(40)} == {HOLDER}
+    router_rig.end(trial, Outcome.OK, at + MS)
+    assert {router_rig.ask(at + MS).server for _ in range(40)} == {HOLDER}
 
 
 def test_trial_that_fails_is_asked_elsewhere_and_the_server_stays_out_longer() -> None:
-    asked = Asked()
+    router_rig = RouterRig()
     at = 1200 * MS
-    trial = asked.ask(at)
+    trial = router_rig.ask(at)
     assert trial.server == HOLDER
-    assert only_send(asked.end(trial, Outcome.CONNECT_FAILED, at)).server not in (HOLDER, ORIGIN.id)
-    assert asked.ask(at + 1900 * MS).server != HOLDER
-    assert asked.ask(at + 2300 * MS).server == HOLDER
+    assert only_send(router_rig.end(trial, Outcome.CONNECT_FAILED, at)).server not in (HOLDER, ORIGIN.id)
+    assert router_rig.ask(at + 1900 * MS).server != HOLDER
+    assert router_rig.ask(at + 2300 * MS).server == HOLDER
 
 
 def test_trial_is_never_made_with_a_request_whose_repeat_does_harm() -> None:
-    asked = Asked(origin=False, origin_kind=None)
+    router_rig = RouterRig(origin=False, origin_kind=None)
     at = 1200 * MS
-    assert HOLDER not in {asked.ask(at, "order").server for _ in range(20)}
-    assert asked.ask(at).server == HOLDER
+    assert HOLDER not in {router_rig.ask(at, "order").server for _ in range(20)}
+    assert router_rig.ask(at).server == HOLDER
 
 
 def test_trial_whose_client_has_gone_leaves_the_next_one_to_try() -> None:
-    asked = Asked()
-    trial = asked.ask(1200 * MS)
-    asked.router.handle(ClientGone(trial.request), 1210 * MS)
-    asked.router.handle(ended(trial, Outcome.CANCELLED, closed=True), 1210 * MS)
-    assert asked.ask(1220 * MS).server == HOLDER
+    router_rig = RouterRig()
+    trial = router_rig.ask(1200 * MS)
+    router_rig.router.handle(ClientGone(trial.request), 1210 * MS)
+    router_rig.router.handle(ended(trial, Outcome.CANCELLED, closed=True), 1210 * MS)
+    assert router_rig.ask(1220 * MS).server == HOLDER
 
 
 def test_every_cache_dead_costs_a_read_one_attempt_before_the_origin() -> None:
@@ -388,7 +388,7 @@
 
 
 def play_silence(router: Router, until: int) -> None:
-    """Have a read arrive every 10 ms, and nothing answer any of them."""
+    """Send a read every 10 ms to a router whose attempts all time out."""
     numbers = count()
     out: list[tuple[int, int, int, Send]] = []  # end, number, begin
 
@@ -408,9 +408,9 @@
         take(router.handle(ended(send, Outcome.TIMEOUT, latency=end - begun), end), end)
 
 
-def test_routers_own_network_out_and_back_leaves_nobody_ejected() -> None:
+def test_outage_of_the_routers_own_network_leaves_no_server_ejected() -> None:
     router = started(settings(tenants=()), fleet(20))
-    now = 8 * S  # by then the last one has run out
+    now = 8 * S  # after the last ejection has ended
     play_silence(router, 6 * S)
     assert router.outliers.panicking
     end, refused = now + 5 * S, 0
@@ -437,7 +437,7 @@
     assert views.outliers(router.outliers, 20 * S)["servers"] == {}
 
 
-def test_failure_of_a_server_that_has_left_is_held_against_nobody() -> None:
+def test_failure_of_a_server_that_has_left_is_not_recorded() -> None:
     router = started(settings(tenants=()), fleet(5))
     holder = only_send(router.handle(request("r0"), 0))
     gone = Server(holder.server, kind="std", state=ServerState.GONE)
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -1,4 +1,4 @@
-"""The router's own overload: when it counts as such, who is shed first, and that it ends."""
+"""The router's own overload: its detection, the order of shedding, and its end."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
     return OverloadControl(settings(tenants=tenants, overload_target=target), random.Random(3))
 
 
-def load(overload: OverloadControl, reports: int, told: LoopReport, **kinds: int) -> Counter[str]:
-    """So many reports, with arrivals of each kind (TENANT_RANK) before each; returns what was admitted."""
-    ranks = {"hopeless": TOO_LATE, "retry": RETRY, "first": FIRST}
+def load(overload: OverloadControl, reports: int, report: LoopReport, **kinds: int) -> Counter[str]:
+    """Send arrivals of each kind (TENANT_RANK) before each of some reports; return the admitted ones."""
+    ranks = {"late": TOO_LATE, "retry": RETRY, "first": FIRST}
     taken: Counter[str] = Counter()
     for _ in range(reports):
         for kind, count in kinds.items():
@@ -51,16 +51,16 @@
             taken[kind] += sum(
                 overload.admit(tenant, rank == "write", ranks.get(rank, FIRST)) for _ in range(count)
             )
-        overload.report(told)
+        overload.report(report)
     return taken
 
 
 @pytest.mark.parametrize(
-    "told", [LoopReport(1.0, TARGET), LoopReport(0.9, 10 * TARGET), CALM], ids=["prompt", "rests", "calm"]
+    "report", [LoopReport(1.0, TARGET), LoopReport(0.9, 10 * TARGET), CALM], ids=["prompt", "rests", "calm"]
 )
-def test_busy_but_prompt_or_slow_but_with_rest_is_no_overload(told: LoopReport) -> None:
+def test_busy_but_prompt_or_slow_but_with_rest_is_no_overload(report: LoopReport) -> None:
     overload = control()
-    assert load(overload, 20, told, public_first=50)["public_first"] == 1000
+    assert load(overload, 20, report, public_first=50)["public_first"] == 1000
     assert overload.admitted == 1.0
 
 
@@ -84,7 +84,7 @@
 def test_it_ends_and_says_so() -> None:
     overload = control()
     load(overload, 60, OVER, public_first=50)
-    assert overload.admitted == pytest.approx(0.5)  # there is room for half where twice the target is waited
+    assert overload.admitted == pytest.approx(0.5)  # at twice the target delay there is capacity for half
     load(overload, 60, LoopReport(1.0, 1000 * TARGET), public_first=50)
     assert overload.admitted == pytest.approx(MIN_ADMITTED_SHARE)
     lines = [overload.report(CALM) for _ in range(100)]
@@ -104,10 +104,10 @@
 
 def test_within_a_tenant_the_least_worth_goes_first_and_writes_never() -> None:
     overload = control()
-    kinds = {"public_hopeless": 20, "public_retry": 40, "public_first": 100, "public_write": 10}
+    kinds = {"public_late": 20, "public_retry": 40, "public_first": 100, "public_write": 10}
     load(overload, 4, OVER, **kinds)
     taken = load(overload, 1, OVER, **kinds)
-    assert taken["public_hopeless"] == 0
+    assert taken["public_late"] == 0
     assert 0 < taken["public_retry"] < 40
     assert (taken["public_first"], taken["public_write"]) == (100, 10)
     load(overload, 8, OVER, **kinds)
@@ -145,7 +145,7 @@
     short = [name for name in asked if given[name] < asked[name] - 1e-6]
     rates = [given[name] / weighed[name] for name in short]
     assert max(rates, default=0) - min(rates, default=0) <= 1e-6 * max(rates, default=1)
-    # nobody who is short has less for its weight than one who is content
+    # no limited tenant gets less per weight than a satisfied one
     assert all(given[name] / weighed[name] >= max(rates, default=0) - 1e-6 for name in short)
 
 
@@ -167,7 +167,7 @@
         router.handle(OVER, at)
     assert len(waits) > 50
     assert all(S // 2 <= wait <= S for wait in waits)
-    assert len({wait // MS for wait in waits}) > 30  # spread
+    assert len({wait // MS for wait in waits}) > 30  # the waits are spread
     view = views.summary(router, 2 * S)
     assert given_up(view) == {"router overloaded": len(waits)}
     assert view["outliers"]["servers"] == {}  # type: ignore[index]
@@ -178,9 +178,9 @@
 
 @pytest.mark.parametrize("target", [TARGET, 0])
 def test_a_storm_is_answered_in_time_for_what_is_taken(target: int) -> None:
-    """A loop that can do 40 in a report's time is asked for 100: only with shedding its queue stays short."""
+    """100 requests arrive per report where 40 can be served: only with shedding the queue stays short."""
     overload, queue = control(target), 0
-    waits = []  # in report's times
+    waits = []  # in report periods
     for number in range(300):
         queue += sum(overload.admit("public", False, FIRST) for _ in range(100))
         queue = max(queue - 40, 0)
--- a/tests/decisions/test_overrun_cases.py
+++ b/tests/decisions/test_overrun_cases.py
@@ -1,4 +1,4 @@
-"""What befalls a fleet near its limits, in virtual time: in each case the harm stays where its cause is."""
+"""Overload of a simulated fleet near its capacity: the effects must stay limited to their cause."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 
 def play(over: World, load: float, seconds: float) -> float:
-    """Steady load; the part of first tries that is in time."""
+    """Apply a steady load; return the share of first tries answered in time."""
     over.in_time = over.first_tries = 0
     over.play(load * CAPACITY, lambda: (f"k{over.rng.randrange(KEYS)}", False), seconds)
     return over.in_time / over.first_tries
 
 
 def test_two_answers_a_second_of_each_node_are_enough() -> None:
-    """Twenty-four routers at half of what the nodes can do: each sees five reads a second of a node."""
+    """24 routers at half of the fleet's capacity: each sends five reads per second to a node."""
     over = world(routers=24)
     play(over, 0.5, 3)
     assert play(over, 0.5, 8) >= 0.97
@@ -53,7 +53,7 @@
 
 @pytest.mark.parametrize("unequal", [False, True])
 def test_router_with_little_of_the_traffic_gets_its_part(unequal: bool) -> None:
-    """One router of four brings four fifths of the load; the others' clients are served no worse for it."""
+    """One router of four has four fifths of the load; the clients of the others must not suffer."""
     over = world(routers=4)
     draw = over.rng.randrange
     if unequal:
@@ -67,7 +67,7 @@
 
 
 def test_hot_caller_at_one_router_is_turned_away_there() -> None:
-    """One router of four gets as much as the whole fleet can do, the others together a third of it."""
+    """One router of four gets the load of the whole fleet's capacity, the others together a third of that."""
     over = world(routers=4)
     play(over, 0.3, 3)
     over.choose_router = lambda: 0 if over.rng.random() < 0.75 else 1 + over.rng.randrange(3)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement asked by itself: one request and a time give a server or a reason."""
+"""Placement in isolation: a request and a time give a server or a reason."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def asked(router: Router, name: str = "r", cls: str = "read", deadline: int = S) -> Request:
-    """A request that the router knows of, but has sent nowhere."""
+    """Return a request that has not been sent yet."""
     event = request(name, cls=cls, deadline=deadline)
     limiter = router.fetches.rate_limiters["a"]
     made = Request(event, router._classes[event.request_class], limiter, 4)
@@ -85,14 +85,14 @@
     first, second = ranking(router)[:2]
     eject(router, first.entry.id)
     shown = views.outliers(router.outliers, S // 2)["servers"][first.entry.id]  # type: ignore[index]
-    assert shown["state"] == shown["standing"] == "ejected"  # the second is the old name of the figure
+    assert shown["state"] == shown["standing"] == "ejected"  # `standing` is the old name
     assert router.placement.place(asked(router), S // 2) is second
     later = 10 * S
     assert router.placement.place(asked(router, "one"), later) == Suspected(first)
     assert router.placement.place(asked(router, "two"), later) is second
 
 
-def test_a_request_whose_repeat_would_do_harm_finds_nothing_out() -> None:
+def test_request_that_must_not_be_repeated_is_not_used_for_trials() -> None:
     router = started(settings(origin_kind=None), fleet(6), origin=False)
     first, second = ranking(router)[:2]
     eject(router, first.entry.id)
@@ -127,7 +127,7 @@
     assert router.placement.place(asked(router), 0) is first
 
 
-def test_figures_refusals_and_failures_tell_the_same_reason() -> None:
+def test_metrics_refusals_and_failures_have_the_same_reason() -> None:
     router = started(settings(), ())
     router.handle(RequestArrived("late", "read", 0, "a", "k"), S)
     (refused,) = router.handle(request("r", S, cls="edit", deadline=S), S)
--- a/tests/decisions/test_replay.py
+++ b/tests/decisions/test_replay.py
@@ -1,7 +1,7 @@
-"""Recorded events through the decision module give the same actions, byte for byte.
+"""Replays recorded events and compares the resulting actions byte for byte.
 
-The recordings stand in replay/recorded; `python -m tests.decisions.replay` makes them from the scenarios. A
-change without a change of behaviour leaves them as they are: the order of actions and of random draws counts.
+The recordings are in replay/recorded; `python -m tests.decisions.replay` creates them from the scenarios.
+They stay valid unless the behaviour changes, which includes the order of actions and of random draws.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from tests.decisions.replay.scenarios import SCENARIOS
 
 NAMES = [scenario.name for scenario in SCENARIOS]
-MOST_BYTES = 160_000  # of all recordings together
+MOST_BYTES = 160_000  # of all recordings
 
 
 def first_difference(name: str) -> str:
-    """Where the replies to a recording differ from those recorded; empty: nowhere."""
+    """Return the first difference between the replies and the recorded ones, or an empty string."""
     with widened() as adapter:
         for number, (batch, recorded) in enumerate(recordings.read(name)):
             reply = adapter.answer(batch).rstrip(b"\n")
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -1,4 +1,4 @@
-"""The life of a request, and one test for each failure found."""
+"""The life of a request, with a regression test for each fault found."""
 
 from __future__ import annotations
 
@@ -64,11 +64,11 @@
 
 
 def test_refusal_carries_a_wait_only_where_clients_get_one() -> None:
-    for told in (True, False):
-        router = started(settings(retry_after=told, max_retry_after=400 * MS), (), origin=False)
+    for sends_wait in (True, False):
+        router = started(settings(retry_after=sends_wait, max_retry_after=400 * MS), (), origin=False)
         (refusal,) = router.handle(request("r"), 0)
         assert isinstance(refusal, Refuse)
-        assert (200 * MS <= refusal.retry_after <= 400 * MS) if told else refusal.retry_after == 0
+        assert (200 * MS <= refusal.retry_after <= 400 * MS) if sends_wait else refusal.retry_after == 0
 
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR])
@@ -103,7 +103,7 @@
     fetch = only_send(router.handle(ended(one, Outcome.MISS), 5 * MS))
     router.handle(ended(two, Outcome.MISS), 5 * MS)
     assert router.handle(ClientGone("one"), 10 * MS) == [], "no second fetch beside the one that is out"
-    # What it brought lies in the cache; where it brought nothing, or never left, the waiter fetches itself.
+    # After a successful fetch the waiter reads the cache; otherwise it fetches the value itself.
     then = only_send(router.handle(ended(fetch, end, closed=True), 20 * MS))
     assert then.request == "two"
     assert (then.server == ORIGIN.id) == (end is not Outcome.OK)
@@ -204,12 +204,12 @@
     router.handle(ended(Send("r", fleet(1)[0].id), Outcome.FULL), 0)
     assert finals(router.handle(request("at once"), 0))
     actions = [router.handle(request(f"s{i}", 50 * MS), 50 * MS) for i in range(400)]
-    assert sum(len(sends(came)) for came in actions) == 1  # one finds out how it is
+    assert sum(len(sends(came)) for came in actions) == 1  # one attempt tests the server
     assert all(len(sends(came)) + len(finals(came)) == 1 for came in actions)
 
 
 def overrun(router: Router, key: str, now: int = 0) -> str:
-    """Have the holder of the key's slot turn a read away; returns the holder."""
+    """Let the server of the key's slot refuse a read as full; return the server."""
     holder = only_send(router.handle(request("first", now, key=key), now)).server
     router.handle(ended(Send("first", holder), Outcome.FULL, closed=True), now)
     return holder
@@ -217,7 +217,7 @@
 
 def test_read_of_an_overrun_server_goes_to_the_next_one_always_the_same() -> None:
     router = started(settings(), fleet(8))
-    for i in range(600):  # else one key is all there is, and its slot is replicated by its load
+    for i in range(600):  # with a single key its slot would be replicated
         router.handle(ended(only_send(router.handle(request(f"w{i}", key=f"w{i}"), 0)), Outcome.OK), 0)
     holder = overrun(router, "k")
     others = {only_send(router.handle(request(f"r{i}"), 0)).server for i in range(3)}
@@ -226,7 +226,7 @@
 
 
 def test_no_overflow_once_the_fleet_is_crowded() -> None:
-    """What finds its server full is then the load, and misses elsewhere would only add to it."""
+    """In an overloaded fleet, misses at other servers would only add load."""
     router = started(settings(max_retry_after=S, retry_after=True), fleet(8))
     overrun(router, "k")
     ends = [router.handle(request(f"r{i}"), 0) for i in range(60)]
@@ -249,7 +249,7 @@
 def test_clients_retry_goes_only_where_there_is_much_room() -> None:
     router = started(settings(), fleet(1), origin=False)
     node = router.caches.nodes[fleet(1)[0].id]
-    node.limit.cut(0, 1, 19)  # ten
+    node.limit.cut(0, 1, 19)  # the limit becomes ten
     for i in range(5):
         only_send(router.handle(request(f"r{i}"), 0))
     assert finals(router.handle(request("again", retry=True), 0))
@@ -257,7 +257,7 @@
 
 
 def test_hot_slot_is_shared_by_few_stable_owners_and_others_keep_theirs() -> None:
-    # Found on the first full-size days: one popular key overloaded the server of its slot.
+    # Guards against one popular key that overloads the server of its slot.
     router = started(settings(), fleet(20))
     owners: dict[str, set[str]] = {}
     for i in range(2000):
@@ -270,7 +270,7 @@
 
 
 def test_lone_bad_fetch_cuts_nobody_and_repeated_ones_cut_every_tenant() -> None:
-    # Found on cluj's rough days: one late fetch in forty, by chance, starved every tenant.
+    # Guards against a cut of all tenants' fetches by single late fetches (one in forty, by chance).
     router = started(settings(), fleet(5))
     limiters = list(router.fetches.rate_limiters.values())
     caps = [limiter.limit for limiter in limiters]
@@ -304,7 +304,7 @@
 
 
 def test_writes_are_held_while_the_origin_is_over_its_width_and_the_newest_goes_first() -> None:
-    # Found in incident i623dca: writes alone kept a queue at the origin that nobody waited for.
+    # Guards against a standing queue at the origin of writes whose clients have given up.
     router = started(settings(), fleet(2))
     writes = [only_send(router.handle(request(f"w{i}", S, cls="edit"), S)) for i in range(8)]
     for write in writes[:6]:
@@ -333,7 +333,7 @@
         (timer,) = router.handle(ServersChanged(ListKind.FAILED), 0)
         assert isinstance(timer, SetTimer)
         delays.append(timer.delay)
-        assert router.handle(ServersChanged(ListKind.FAILED), 0) == []  # one question at a time
+        assert router.handle(ServersChanged(ListKind.FAILED), 0) == []  # one pending subscription at a time
     assert max(delays) <= 4 * S
     assert delays[0] <= S
     assert router.handle(TimerFired("subscribe"), 0) == [Subscribe()]
@@ -386,7 +386,7 @@
 
 
 def warmed(router: Router, answers: int = 60) -> int:
-    """Have every cache answer often enough for the router to know how long that takes; returns the time."""
+    """Let all caches answer until the router has learnt their response time; return the time after that."""
     for i in range(answers):
         send = only_send(router.handle(request(f"w{i}", i * MS, key=f"k{i}"), i * MS))
         router.handle(ended(send, Outcome.OK), (i + 20) * MS)
@@ -402,11 +402,11 @@
     again = only_send(router.handle(ended(first, Outcome.TIMEOUT, latency=first.timeout), now))
     assert (again.server, again.timeout) == (first.server, 0)
     router.handle(ended(again, Outcome.OK, 1), now + 20 * MS)
-    # the lone silence is held against nobody: no read is refused
+    # a single unanswered attempt has no effect: no read is refused
     assert all(sends(router.handle(request(f"s{i}", now, key=f"k{i}"), now)) for i in range(20))
 
 
-def test_short_pause_of_a_server_is_held_against_nobody_however_many_it_delays() -> None:
+def test_short_pause_of_a_server_has_no_lasting_effect() -> None:
     router = started(settings(), fleet(1), origin=False)
     now = warmed(router)
     delayed = [only_send(router.handle(request(f"r{i}", now, key=f"k{i}"), now)) for i in range(40)]
@@ -444,7 +444,7 @@
     router.handle(ServersChanged(ListKind.DELTA, (replace(ORIGIN, started=1),)), 0)
     later = [sends(router.handle(request(f"h{i}", cls="edit"), 0)) for i in range(6)]
     assert [len(sent) for sent in later] == [1, 1, 1, 0, 0, 0]
-    router.handle(ended(out[0], Outcome.OK), 0)  # at the node that the list no longer has
+    router.handle(ended(out[0], Outcome.OK), 0)  # at the node of the old entry
 
 
 def test_lost_fetch_is_made_once_more_and_keeps_its_waiters() -> None:
@@ -486,7 +486,7 @@
 
 @pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ERROR])
 def test_last_attempt_of_a_read_goes_to_the_origin(outcome: Outcome) -> None:
-    """A fourth server that has room lacks the key, and the miss would be the last attempt."""
+    """A fourth server lacks the key, so that the last attempt would be spent on a miss."""
     router = started(settings(max_attempts=4), fleet(12))
     actions = router.handle(request("r1"), 0)
     asked = []
@@ -505,11 +505,11 @@
 
 
 @pytest.mark.parametrize("routers", [1, 4, 40])
-def test_a_lost_zone_that_nobody_was_told_of_costs_no_read_its_answer(routers: int) -> None:
-    """Half of the servers refuse connections, as at routers that start anew with an old list."""
-    held = fleet(60)
-    gone = {entry.id for entry in held[::2]}
-    fleet_of_routers = [started(settings(routers=routers), held, seed=seed) for seed in range(routers)]
+def test_unannounced_loss_of_half_of_the_servers_costs_almost_no_read(routers: int) -> None:
+    """Half of the servers refuse connections, as after a restart of routers with an outdated list."""
+    entries = fleet(60)
+    gone = {entry.id for entry in entries[::2]}
+    fleet_of_routers = [started(settings(routers=routers), entries, seed=seed) for seed in range(routers)]
     given_up = served = 0
     for number in range(1200):
         now = number * 20 * MS
--- a/tests/decisions/test_retune.py
+++ b/tests/decisions/test_retune.py
@@ -1,4 +1,4 @@
-"""New settings in a running module: open requests keep what they came with, counts stay, the rest follows."""
+"""New settings at run time: open requests keep their class, counts are preserved, the rest changes."""
 
 from __future__ import annotations
 
@@ -54,25 +54,27 @@
     assert "old" not in router.requests
 
 
-def test_guards_keep_their_counts_and_take_the_new_quota() -> None:
+def test_rate_limiters_keep_their_counts_and_take_the_new_quota() -> None:
     router = started(settings(), fleet(2))
     for i in range(5):
         send = only_send(router.handle(request(f"r{i}", S, key=f"k{i}"), S))
         router.handle(ended(send, Outcome.MISS), S)
-    held = router.fetches.rate_limiters["a"]
-    assert held.accepted(S) == 5
+    limiter = router.fetches.rate_limiters["a"]
+    assert limiter.accepted(S) == 5
     tenants = (Tenant("a", 0.3, 30.0), Tenant("c", 0.7, 70.0))
     router.handle(SettingsChanged(settings(tenants=tenants)), S)
-    assert router.fetches.rate_limiters["a"] is held
-    assert (held.accepted(S), held.cap, held.portion) == (5, 30.0, 0.3)
-    assert held.limit <= held.cap
+    assert router.fetches.rate_limiters["a"] is limiter
+    assert (limiter.accepted(S), limiter.cap, limiter.portion) == (5, 30.0, 0.3)
+    assert limiter.limit <= limiter.cap
     assert set(router.fetches.rate_limiters) == {"a", "c", ""}
-    send = only_send(router.handle(request("gone", S, tenant="b", key="z"), S))  # as unknown
+    send = only_send(
+        router.handle(request("gone", S, tenant="b", key="z"), S)
+    )  # counted as an unknown tenant
     router.handle(ended(send, Outcome.MISS), S)
     assert router.fetches.rate_limiters[""].accepted(S) == 1
 
 
-def test_what_is_derived_from_the_settings_follows() -> None:
+def test_values_derived_from_the_settings_change() -> None:
     router = started(settings(), fleet(2))
     slow = settings(
         classes=(RequestClass("read", aim=S, deadline=7 * S),),
--- a/tests/decisions/test_rules.py
+++ b/tests/decisions/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules as properties over random sequences of events."""
+"""Safety rules as properties over random event sequences: answers, deadlines, drains and effects."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 @dataclass
 class Open:
-    """What the outside world knows of a request."""
+    """A request as seen by its client and servers."""
 
     event: RequestArrived
     sends: list[tuple[int, str]] = field(default_factory=list)
@@ -48,7 +48,7 @@
 
 
 class World:
-    """Plays clients, caches, an origin and a server list, and checks every action against the rules."""
+    """Simulates clients, caches, an origin and a server list, and checks every action against the rules."""
 
     def __init__(self, config: Settings, seed: int) -> None:
         self.config, self.rng = config, random.Random(seed)
@@ -201,7 +201,7 @@
         for action in router.handle(event, S):
             assert isinstance(action, Send)
             sent += action.server == "cold"
-            if i % 2:  # every second request fails there and goes to the next in rank
+            if i % 2:  # every second request fails and goes to the next server
                 failed = AttemptEnded(f"r{i}", 0, action.server, Outcome.ERROR, False, MS)
                 retried = [a.server for a in router.handle(failed, S) if isinstance(a, Send)]
                 sent += retried.count("cold")
@@ -209,4 +209,6 @@
                     router.handle(AttemptEnded(f"r{i}", 1, server, Outcome.OK, True, MS), S)
             else:
                 router.handle(AttemptEnded(f"r{i}", 0, action.server, Outcome.OK, True, MS), S)
-    assert sent < 1500 * share / 9 * 1.6 + 10  # its ramped share of first tries and retries, with slack
+    assert (
+        sent < 1500 * share / 9 * 1.6 + 10
+    )  # its slow-start share of first tries and retries, with a margin
--- a/tests/decisions/test_server_registry.py
+++ b/tests/decisions/test_server_registry.py
@@ -1,4 +1,4 @@
-"""Servers out by hand: nothing goes there whatever the list says, and back they are new and cold."""
+"""Servers excluded by an operator: they get nothing, and start slowly after their readmission."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def asked(router: Router, count: int, now: int, name: str = "r") -> list[str]:
-    """Where reads of many keys go, each answered at once."""
+    """Return the servers of reads of many keys, each of which is answered at once."""
     went = []
     for i in range(count):
         for send in sends(router.handle(request(f"{name}{i}", now, key=f"k{i}"), now)):
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    "news",
+    "change",
     [
         lambda servers: changed(ListKind.FULL, *servers),
         lambda servers: changed(ListKind.CACHED, *servers),
@@ -51,16 +51,16 @@
         lambda servers: changed(ListKind.DELTA, replace(servers[0], state=ServerState.DRAINING)),
     ],
 )
-def test_server_that_is_out_gets_nothing_whatever_the_list_says(news: object) -> None:
+def test_excluded_server_gets_nothing_whatever_the_list_says(change: object) -> None:
     servers = fleet(4)
     router = started(settings(), servers)
     assert servers[0].id in asked(router, 60, S)
     router.handle(ServerExcluded(servers[0].id), S)
     assert servers[0].id not in asked(router, 60, 2 * S, "a")
-    assert callable(news)
-    router.handle(news(servers), 3 * S)
+    assert callable(change)
+    router.handle(change(servers), 3 * S)
     assert servers[0].id not in asked(router, 60, 4 * S, "b")
-    # It leaves and comes back by the list.
+    # The server leaves the list and returns.
     router.handle(changed(ListKind.DELTA, replace(servers[0], state=ServerState.GONE)), 5 * S)
     router.handle(changed(ListKind.DELTA, servers[0]), 6 * S)
     assert servers[0].id not in asked(router, 60, 7 * S, "c")
@@ -70,7 +70,7 @@
     assert views.cluster(router) == (4, 0)
 
 
-def test_out_before_it_is_listed_is_out_when_it_comes() -> None:
+def test_server_excluded_before_it_is_listed_stays_excluded() -> None:
     router = Router(settings(), 1)
     servers = fleet(3)
     router.handle(ServerExcluded(servers[1].id), 0)
@@ -78,7 +78,7 @@
     assert servers[1].id not in asked(router, 60, S)
 
 
-def test_repeated_calls_are_one_and_one_back_ends_them() -> None:
+def test_repeated_exclusions_end_with_one_readmission() -> None:
     servers = fleet(3)
     router = started(settings(), servers)
     for _ in range(3):
@@ -90,19 +90,21 @@
     assert router.caches.nodes[servers[0].id] is node, "one that is not out is left as it is"
 
 
-def test_all_out_is_answered_as_an_empty_list_is() -> None:
+def test_all_servers_excluded_is_handled_like_an_empty_list() -> None:
     servers = fleet(3)
     router, empty = started(settings(), servers, origin=False), started(settings(), (), origin=False)
     for server in servers:
         router.handle(ServerExcluded(server.id), S)
-    told, as_empty = router.handle(request("r", S), S), empty.handle(request("r", S), S)
-    assert sends(told) == []
+    excluded, as_empty = router.handle(request("r", S), S), empty.handle(request("r", S), S)
+    assert sends(excluded) == []
     assert (
-        [type(action) for action in finals(told)] == [type(action) for action in finals(as_empty)] == [Refuse]
+        [type(action) for action in finals(excluded)]
+        == [type(action) for action in finals(as_empty)]
+        == [Refuse]
     )
 
 
-def test_panic_sends_nothing_to_one_that_is_out() -> None:
+def test_panic_sends_nothing_to_an_excluded_server() -> None:
     servers = fleet(4)
     router = started(settings(), servers)
     router.handle(ServerExcluded(servers[0].id), S)
@@ -118,7 +120,7 @@
     assert views.cluster(router) == (4, 1), "in panic nobody is avoided but by hand"
 
 
-def test_back_is_cold_with_its_bad_marks_gone_until_the_list_knows_better() -> None:
+def test_readmitted_server_has_slow_start_and_a_clean_record() -> None:
     servers = fleet(4)
     router = started(COLD, servers)
     node = router.caches.nodes[servers[0].id]
@@ -132,14 +134,14 @@
     node = router.caches.nodes[servers[0].id]
     assert router.caches.slow_start_factor(node, 3 * S) == pytest.approx(0.25)
     assert router.caches.slow_start_factor(node, 7 * S) == pytest.approx(0.625)
-    router.handle(changed(ListKind.FULL, *servers), 4 * S)  # it knows nothing of a start
+    router.handle(changed(ListKind.FULL, *servers), 4 * S)  # the list has no start time
     assert router.caches.nodes[servers[0].id] is node
     later = replace(servers[0], started=5 * S)
     router.handle(changed(ListKind.DELTA, later), 6 * S)
     assert router.caches.nodes[servers[0].id].entry == later
 
 
-def test_several_back_at_once_get_no_more_than_their_cold_parts() -> None:
+def test_several_readmitted_at_once_get_only_their_slow_start_shares() -> None:
     servers = fleet(8)
     router = started(COLD, servers)
     for server in servers[:4]:
@@ -152,7 +154,7 @@
     assert 0 < cold < 0.5 * warm
 
 
-def test_attempt_that_was_out_ends_where_it_went_and_its_retry_goes_elsewhere() -> None:
+def test_attempt_in_flight_at_an_exclusion_is_retried_elsewhere() -> None:
     servers = fleet(3)
     router = started(settings(), servers)
     send = sends(router.handle(request("r", S), S))[0]
@@ -161,7 +163,7 @@
     assert [entry.server != send.server for entry in again] == [True]
 
 
-def test_only_ids_that_were_listed_are_known_and_the_gone_ones_are_bounded() -> None:
+def test_only_listed_ids_are_known_and_removed_ones_are_bounded() -> None:
     registry = ServerRegistry()
     assert not registry.knows("a")
     registry.apply(ServersChanged(ListKind.FULL, (Server("a"), Server("b", state=ServerState.DRAINING))))
@@ -177,8 +179,8 @@
     assert len(registry._gone) == MAX_REMOVED_IDS
 
 
-def test_roster_and_tables_agree_over_any_news() -> None:
-    """A plain model beside it: ready and not out, by hand and list in any order."""
+def test_registry_and_tables_agree_over_any_changes() -> None:
+    """Compares with a model: the usable servers are the ready ones that are not excluded."""
     rng = random.Random(11)
     router = started(settings(), (), origin=False)
     listed: dict[str, ServerState] = {}
@@ -209,8 +211,8 @@
         assert set(router.caches.nodes) == usable
 
 
-def test_nothing_is_sent_after_the_call_over_many_runs() -> None:
-    """Attempts in any state when the call comes; every later send is counted."""
+def test_nothing_is_sent_after_an_exclusion_over_many_runs() -> None:
+    """Attempts are in any state at the exclusion; no later attempt may go to an excluded server."""
     for seed in range(20):
         rng = random.Random(seed)
         servers = fleet(5)
--- a/tests/decisions/test_slot_table.py
+++ b/tests/decisions/test_slot_table.py
@@ -1,4 +1,4 @@
-"""Placement: balance, minimal moves, the cold ramp, weights."""
+"""The slot table: balance, minimal moves, slow start and weights."""
 
 from __future__ import annotations
 
@@ -34,8 +34,8 @@
 
 
 def test_balance_within_a_fifth_of_the_mean() -> None:
-    held = holders(table_of(fleet(10)), slots=SLOTS)
-    counts = [held.count(server.id) for server in fleet(10)]
+    present = holders(table_of(fleet(10)), slots=SLOTS)
+    counts = [present.count(server.id) for server in fleet(10)]
     assert sum(counts) == SLOTS
     assert max(counts) < 1.2 * SLOTS / 10
     assert min(counts) > 0.8 * SLOTS / 10
@@ -112,7 +112,7 @@
 
 
 def by_the_rule(servers: dict[str, Server], weighted: bool, slot: int) -> list[str]:
-    """The ranking as it was before rows, notes and vectors: every server's weighted hash, highest first."""
+    """The reference ranking without caches or vectors: every server's weighted hash, highest first."""
 
     def score(entry: Server) -> float:
         seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
@@ -138,28 +138,28 @@
         return Server(f"s{number}", weight=rng.choice([1.0, 1.0, 0.5, 3.0, 0.01]))
 
     table = SlotTable(settings(weighted=weighted, vectors=vectors))
-    held: dict[str, Server] = {}
+    present: dict[str, Server] = {}
     slots = [rng.randrange(SLOTS) for _ in range(8)]
     made = 0
     for _ in range(6):
         came = [drawn(made + number) for number in range(rng.choice([0, 1, 3, 60]) if made else size)]
         made += len(came)
-        changed = [drawn(int(name[1:])) for name in rng.sample(sorted(held), min(len(held), 2))]
-        left = rng.sample(sorted(held), rng.choice([0, 1, min(len(held), 30)]) if held else 0)
+        changed = [drawn(int(name[1:])) for name in rng.sample(sorted(present), min(len(present), 2))]
+        left = rng.sample(sorted(present), rng.choice([0, 1, min(len(present), 30)]) if present else 0)
         changed = [entry for entry in changed if entry.id not in left]
         ready = [*came, *changed]
         rng.shuffle(ready)
         table.update(ready, left)
         for name in left:
-            del held[name]
-        held.update({entry.id: entry for entry in ready})
-        for slot in rng.sample(slots, 5):  # the others fall behind
-            told = [node.entry.id for node in table.rank(slot, 0)]
-            assert told == by_the_rule(held, weighted, slot)[: len(told)]
-            assert len(told) == min(RANKING_LENGTH, len(held))
+            del present[name]
+        present.update({entry.id: entry for entry in ready})
+        for slot in rng.sample(slots, 5):  # the others are updated later, over several changes
+            ranking = [node.entry.id for node in table.rank(slot, 0)]
+            assert ranking == by_the_rule(present, weighted, slot)[: len(ranking)]
+            assert len(ranking) == min(RANKING_LENGTH, len(present))
     deep = [node.entry.id for node in table.rank(slots[0], 0, depth=50)]
-    assert deep == by_the_rule(held, weighted, slots[0])[: len(deep)]
-    assert len(deep) >= min(50, len(held))
+    assert deep == by_the_rule(present, weighted, slots[0])[: len(deep)]
+    assert len(deep) >= min(50, len(present))
 
 
 def test_cold_weights_ramp_alike_whatever_the_history() -> None:
--- a/tests/decisions/test_suppressor.py
+++ b/tests/decisions/test_suppressor.py
@@ -1,4 +1,4 @@
-"""The paper's three regimes against figures worked out by hand, and the AIMD limit."""
+"""The three regimes of the Trypema paper against values computed by hand, and the AIMD limit."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Fixed(random.Random):
-    """A random source that always gives the same number."""
+    """A random source that always returns the same number."""
 
     def __init__(self, value: float) -> None:
         super().__init__(0)
@@ -29,7 +29,7 @@
 
 
 def fill(limiter: Suppressor, start: int, count: int, per_s: float, declined: bool = False) -> int:
-    """Count calls at an even rate from `start`; returns the time after the last."""
+    """Count calls at an even rate from `start`; return the time after the last."""
     now = start
     for _ in range(count):
         limiter.count(now, declined)
@@ -45,7 +45,7 @@
 
 
 def test_worked_example_of_the_paper_700_in_the_window_and_12_in_the_last_second() -> None:
-    # 700 / 60 = 11.67 a second on average, 12 in the last 1000 ms: chance 10 / 12.
+    # 700 / 60 = 11.67 per second on average, 12 in the last 1000 ms: the chance is 10 / 12.
     limiter = suppressor()
     fill(limiter, 0, 688, per_s=12.0)
     now = 59 * S
@@ -56,7 +56,7 @@
 
 def test_window_average_is_used_when_it_is_the_higher_rate() -> None:
     limiter = suppressor()
-    now = fill(limiter, 0, 840, per_s=15.0)  # 56 s; 840 / 60 = 14 a second
+    now = fill(limiter, 0, 840, per_s=15.0)  # 56 s; 840 / 60 = 14 per second
     assert limiter.chance(now + 2 * S) == pytest.approx(10 / 14)
 
 
@@ -93,12 +93,12 @@
     assert len(limiter.calls) == 0
 
 
-def test_refusals_alone_do_not_pin_a_tenant_at_the_hard_limit() -> None:
-    # Found on overloaded days: every retry of a refused read counts anew, and nothing ever went again.
+def test_declined_calls_alone_do_not_keep_a_tenant_at_the_hard_limit() -> None:
+    # Guards against a deadlock under overload: retries of declined reads are counted and keep the total high.
     limiter = suppressor(limit=1.0, window_s=10.0, draw=0.05)
     fill(limiter, 0, 100, per_s=20.0, declined=True)
     assert limiter.accepted(5 * S) == 0
-    assert limiter.admit(5 * S)  # the chance, 1 / 20, instead of a denial
+    assert limiter.admit(5 * S)  # admitted with the chance 1 / 20 instead of being denied
     shut = suppressor(limit=1.0, window_s=10.0, draw=0.06)
     fill(shut, 0, 100, per_s=20.0, declined=True)
     assert not shut.admit(5 * S)
@@ -120,7 +120,7 @@
 
 def test_cut_is_from_what_was_used_and_harder_over_the_portion() -> None:
     limiter = Suppressor(Tenant("t", 0.5, 10.0), 1, Fixed(0.5))
-    now = fill(limiter, S, 40, per_s=20.0)  # 8 a second over the window of 5 s
+    now = fill(limiter, S, 40, per_s=20.0)  # 8 per second over the window of 5 s
     limiter.cut(now, total_rate=20.0)
     assert limiter.limit == pytest.approx(8.0 * CUT_FACTOR)
     limiter.cut(now, total_rate=10.0)
--- a/tests/decisions/test_timeliness.py
+++ b/tests/decisions/test_timeliness.py
@@ -1,4 +1,4 @@
-"""The least time worth sending: a quantile that follows how busy a server is, and what comes of it."""
+"""The least worthwhile time as a quantile that follows the server's busy share, and its effects."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def learnt(busy: float, seed: int = 1, count: int = 4_000) -> float:
-    """The least time after so many answers of 0 to 100 ms, evenly drawn: what came by then, in percent."""
+    """Return the mean learnt time in ms after answers uniformly distributed from 0 to 100 ms."""
     timeliness, rng = Timeliness(), random.Random(seed)
     tail = []
     for n in range(count):
@@ -28,11 +28,11 @@
 
 
 @pytest.mark.parametrize("busy", [0.2, 0.5, 0.8])
-def test_least_is_the_time_within_which_as_much_comes_as_the_server_is_busy(busy: float) -> None:
+def test_min_time_is_the_quantile_at_the_busy_share(busy: float) -> None:
     assert learnt(busy) == pytest.approx(100 * busy, abs=6)
 
 
-def test_what_was_given_up_sooner_than_that_tells_nothing() -> None:
+def test_attempts_given_up_before_min_time_are_ignored() -> None:
     timeliness = Timeliness()
     timeliness.learn(50 * MS, True, 1.0, 0)
     before = timeliness.min_time
@@ -42,19 +42,19 @@
     assert timeliness.min_time > before
 
 
-def test_unheard_for_long_one_finds_out() -> None:
+def test_one_request_is_sent_after_long_without_answers() -> None:
     timeliness = Timeliness()
     timeliness.learn(50 * MS, True, 1.0, S)
     assert not timeliness.worth_sending(24 * MS, S + MS)
     later = S + int(TRIAL_AFTER_FACTOR * timeliness.min_time) + 1
     assert timeliness.worth_sending(24 * MS, later)
     assert not timeliness.worth_sending(24 * MS, later + MS), (
-        "one, and no more until an answer or as long again"
+        "one request, then none until an answer or the same time again"
     )
 
 
 @given(st.lists(st.tuples(st.integers(1, 10_000), st.booleans(), st.floats(0, 1)), max_size=200))
-def test_stays_sane_whatever_comes(answers: list[tuple[int, bool, float]]) -> None:
+def test_min_time_stays_within_bounds(answers: list[tuple[int, bool, float]]) -> None:
     timeliness, now = Timeliness(), 0
     for took, answered, busy in answers:
         now += took * MS
@@ -66,7 +66,7 @@
 def test_request_with_too_little_time_is_refused_at_once_and_costs_nobody_work() -> None:
     router = started(settings(retry_after=True), fleet(1))
     now = 0
-    for n in range(40):  # answers that wait: 40 to 200 ms
+    for n in range(40):  # answers with queueing: 40 to 200 ms
         now += S // 4
         send = only_send(router.handle(request(f"a{n}", now), now))
         took = 40 * MS if n % 4 == 0 else 200 * MS
@@ -82,7 +82,7 @@
 
 
 def test_router_whose_own_lag_was_longer_than_the_answer_took_goes_on_sending() -> None:
-    """Less than nothing taken for an answer's time would make a server look busier than can be."""
+    """A negative response time would make a server look busier than possible."""
     router = started(settings(), fleet(1))
     for n in range(300):
         now = n * 20 * MS
@@ -110,7 +110,7 @@
 
 
 def hammered(nodes: int = 12, routers: int = 2, seconds: int = 10) -> tuple[float, float]:
-    """One tenant asks again within 2 ms, seven times with 60 ms; the parts that each tenant got in time."""
+    """Let one tenant retry after 2 ms, up to seven times with 60 ms each; return the tenants' shares in time."""
     world = World(nodes, None, 1, routers, work=50 * MS, spread_work=0.3, kept="k")
 
     def again(read: Read) -> None:
@@ -137,7 +137,9 @@
     return quiet, hammering
 
 
-def test_clients_that_hammer_with_too_little_time_harm_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clients_that_retry_fast_with_too_little_time_harm_no_other_tenant(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     quiet, hammering = hammered()
     monkeypatch.setattr(Timeliness, "worth_sending", lambda *_: True)
     quiet_before, hammering_before = hammered()
@@ -148,16 +150,16 @@
 @pytest.mark.parametrize(
     ("nodes", "routers", "least"), [(12, 1, 0.95), (12, 4, 0.95), (12, 40, 0.8), (48, 200, 0.6)]
 )
-def test_routers_that_hear_little_of_a_node_are_not_hammered_down(
+def test_routers_with_few_answers_per_node_withstand_fast_retries(
     nodes: int, routers: int, least: float
 ) -> None:
-    """By each node's answers alone the quiet tenant gets 0.20 at forty routers, and 0.35 at two hundred."""
+    """With each node's own answers only, the quiet tenant gets 0.20 at 40 routers and 0.35 at 200."""
     quiet, hammering = hammered(nodes, routers)
     assert quiet > least
     assert hammering > least - 0.1
 
 
-def test_a_node_is_known_by_its_own_answers_only_while_they_come_often() -> None:
+def test_estimate_is_reliable_only_with_frequent_answers() -> None:
     timeliness = Timeliness()
     for n in range(16):
         assert not timeliness.reliable
--- a/tests/decisions/test_trials.py
+++ b/tests/decisions/test_trials.py
@@ -1,4 +1,4 @@
-"""Trials as their owner moves them: the detector decides as ever."""
+"""Trials whose times are changed from outside: the detector decides as usual."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.decisions.test_outliers import DetectorRig
 
 
-def test_a_held_trial_waits_a_begun_one_is_the_next_request_and_neither_takes_back() -> None:
+def test_postponed_trial_waits_and_permitted_one_is_the_next_request() -> None:
     rig = DetectorRig()
     rig.record(1, *[Outcome.CONNECT_FAILED] * 3)
     server = rig.node(1).entry.id
@@ -17,7 +17,7 @@
     due = trials.due(detector)[server]
     trials.postpone(detector, server, due + 9 * S)
     assert detector.state(server, due + S) is EjectionState.EJECTED
-    trials.postpone(detector, server, due)  # a hold never brings a trial forward
+    trials.postpone(detector, server, due)  # postponing never makes a trial earlier
     assert trials.due(detector)[server] == due + 9 * S
     trials.allow(detector, server, due + S)
     assert detector.state(server, due + S) is EjectionState.TRIAL
@@ -28,7 +28,7 @@
     assert trials.due(detector) == {}
 
 
-def test_a_server_that_is_not_out_is_left_alone() -> None:
+def test_server_that_is_not_ejected_is_unaffected() -> None:
     rig = DetectorRig()
     server = rig.node(2).entry.id
     trials.postpone(rig.detector, server, 9 * S)
--- a/tests/decisions/test_weight_adjustment.py
+++ b/tests/decisions/test_weight_adjustment.py
@@ -1,4 +1,4 @@
-"""What a server keeps of its reads, by what it reports: alone, and with many routers that each see little."""
+"""The weight factor of a server by its load reports, with one router and with many."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 def report_times(
     adjustment: WeightAdjustment, fleet_nodes: list[Node], times: list[float], seconds: int, begin: int = 0
 ) -> int:
-    """Each node reports its time in milliseconds once a second, in an answer sent after the last change."""
+    """Let each node report its time in ms about once a second, after the last change has settled."""
     now = begin
     for _ in range(seconds):
         now += SETTLING_TIME_NS + MS
@@ -52,21 +52,21 @@
     assert min(node.weight_factor for node in fleet_nodes) > 0.99
 
 
-def test_what_is_prompt_costs_nothing_however_much_quicker_the_others_are() -> None:
+def test_prompt_server_keeps_its_reads_however_fast_the_others_are() -> None:
     adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
     report_times(adjustment, fleet_nodes, [PROMPT_AIM_SHARE * AIM / MS - 1, *[2.0] * 9], 60)
     assert fleet_nodes[0].weight_factor == 1.0
 
 
-def test_some_reads_go_on_finding_out_how_it_is() -> None:
+def test_slow_server_keeps_the_least_share_of_reads() -> None:
     adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(10)
     report_times(adjustment, fleet_nodes, [60_000.0, *[60.0] * 9], 200)
     assert fleet_nodes[0].weight_factor == MIN_WEIGHT_FACTOR
-    kept = sum(keeps_slot(fleet_nodes[0], slot) for slot in range(SLOTS))
-    assert MIN_WEIGHT_FACTOR * SLOTS * 0.7 < kept < MIN_WEIGHT_FACTOR * SLOTS * 1.4
+    kept_slots = sum(keeps_slot(fleet_nodes[0], slot) for slot in range(SLOTS))
+    assert MIN_WEIGHT_FACTOR * SLOTS * 0.7 < kept_slots < MIN_WEIGHT_FACTOR * SLOTS * 1.4
 
 
-def test_answers_that_were_out_at_a_change_are_one_sign_with_it() -> None:
+def test_attempts_in_flight_at_an_adjustment_are_ignored() -> None:
     adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=FIELDS)), nodes(2)
     report_times(adjustment, fleet_nodes, [60.0, 60.0], 40)
     adjustment.learn(fleet_nodes[0], (600.0, 0.0), AIM, 50 * S, 50 * S)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("fields", [(), ("queue",), ("inflight", "util")])
-def test_reports_that_tell_no_time_decide_nothing(fields: tuple[str, ...]) -> None:
+def test_reports_without_a_time_change_nothing(fields: tuple[str, ...]) -> None:
     adjustment, fleet_nodes = WeightAdjustment(settings(load_fields=fields)), nodes(2)
     report_times(adjustment, fleet_nodes, [9_000.0, 1.0], 20)
     assert fleet_nodes[0].weight_factor == 1.0
@@ -86,15 +86,15 @@
 def test_routers_leave_out_the_same_reads_whatever_else_the_server_holds() -> None:
     one, other = nodes(1)[0], nodes(1)[0]
     one.weight_factor, other.weight_factor = 0.6, 0.5
-    kept_by_one = {slot for slot in range(SLOTS) if keeps_slot(one, slot)}
-    kept_by_other = {slot for slot in range(SLOTS) if keeps_slot(other, slot)}
-    assert kept_by_other < kept_by_one
-    assert 0.55 * SLOTS < len(kept_by_one) < 0.65 * SLOTS
+    slots_of_one = {slot for slot in range(SLOTS) if keeps_slot(one, slot)}
+    slots_of_other = {slot for slot in range(SLOTS) if keeps_slot(other, slot)}
+    assert slots_of_other < slots_of_one
+    assert 0.55 * SLOTS < len(slots_of_one) < 0.65 * SLOTS
 
 
 @pytest.mark.parametrize("routers", [1, 4, 40])
 def test_routers_together_send_a_slow_server_no_more_than_it_can_do(routers: int) -> None:
-    """Ten servers at half of their capacity; the slow one's even part is half as much again as it can do."""
+    """Ten servers at half of their capacity; an even share would be 1.5 times what the slow one can serve."""
     work = 50 * MS
     world = World(10, None, 11, routers, work=work, spread_work=0.3, kept="k", reports=True, queue=5)
     slow, node = next(iter(world.nodes.items()))
@@ -111,7 +111,7 @@
     assert world.in_time > 0.85 * world.first_tries
 
 
-def test_the_figure_stands_under_its_old_name_too() -> None:
+def test_weight_factor_is_shown_under_its_old_name_too() -> None:
     node = nodes(1)[0]
     node.weight_factor = 0.5
     shown = views.limit(node)
--- a/tests/decisions/test_zoned.py
+++ b/tests/decisions/test_zoned.py
@@ -1,4 +1,4 @@
-"""Reads by zones: near first, by a plan, past what is ejected; turned away by rank; origins by region."""
+"""Reads across zones: by distance, by a plan, around ejected servers; refusals by rank; origins by region."""
 
 from __future__ import annotations
 
@@ -41,30 +41,30 @@
 
 
 class Rig:
-    """One router, its answers given by hand."""
+    """A router whose attempts are ended by the test."""
 
     def __init__(self, topology: Topology = TOPOLOGY, nodes: int = 12) -> None:
         self.router, self.now, self.count = Router(replace(SETTINGS, topology=topology), 1), S, 0
         servers = [Server(f"{'abc'[n % 3]}{n}", "std", zone="abc"[n % 3]) for n in range(nodes)]
         origins = (Server("ow", "origin", zone="a"), Server("oe", "origin", zone="c"))
-        self.tell(ServersChanged(ListKind.FULL, (*servers, Server("x1", "std", zone="q"), *origins)))
+        self.handle(ServersChanged(ListKind.FULL, (*servers, Server("x1", "std", zone="q"), *origins)))
 
-    def tell(self, event: Any) -> list[Any]:
+    def handle(self, event: Any) -> list[Any]:
         return self.router.handle(event, self.now)
 
     def ask(self, key: str, cls: str = "get", **more: Any) -> list[Any]:
         self.count += 1
         self.now += MS
         write = cls != "get"
-        return self.tell(RequestArrived(f"r{self.count}", cls, self.now + S, "t", key, write, **more))
+        return self.handle(RequestArrived(f"r{self.count}", cls, self.now + S, "t", key, write, **more))
 
     def end(self, actions: list[Any], outcome: Outcome) -> list[Any]:
         send = next(action for action in actions if isinstance(action, Send))
         closed = outcome is Outcome.OK
-        return self.tell(AttemptEnded(send.request, 0, send.server, outcome, closed, 20 * MS))
+        return self.handle(AttemptEnded(send.request, 0, send.server, outcome, closed, 20 * MS))
 
     def ends_well(self, count: int, **more: Any) -> Counter[str]:
-        """Where so many reads go, by zone."""
+        """Return the number of reads by the zone that serves them."""
         found: Counter[str] = Counter()
         for number in range(count):
             actions = self.ask(f"k{number}", **more)
@@ -80,14 +80,14 @@
     rig = Rig()
     assert rig.ends_well(300) == {"a": 300}
     before = {f"k{n}": server(rig, f"k{n}") for n in range(300)}
-    rig.tell(ZonePlan((0.7, 0.3, 0.0)))
+    rig.handle(ZonePlan((0.7, 0.3, 0.0)))
     after = {key: server(rig, key) for key in before}
     moved = {key for key in before if after[key] != before[key]}
     assert 60 < len(moved) < 120
     assert {after[key][0] for key in moved} == {"b"}
-    rig.tell(ZonePlan((0.4, 0.6, 0.0)))
+    rig.handle(ZonePlan((0.4, 0.6, 0.0)))
     later = {key: server(rig, key) for key in before}
-    assert all(later[key] == after[key] for key in moved)  # a share that grows keeps what it had
+    assert all(later[key] == after[key] for key in moved)  # a growing share keeps its slots
 
 
 def server(rig: Rig, key: str) -> str:
@@ -100,7 +100,7 @@
 
 def test_what_moves_comes_to_the_servers_that_the_zone_s_own_reads_use() -> None:
     near_b, far = Rig(replace(TOPOLOGY, here="b")), Rig()
-    far.tell(ZonePlan((0.0, 1.0, 0.0)))
+    far.handle(ZonePlan((0.0, 1.0, 0.0)))
     assert all(server(near_b, f"k{n}") == server(far, f"k{n}") for n in range(100))
     assert (
         0
@@ -115,18 +115,18 @@
 def test_a_full_zone_does_not_spill_by_a_router_s_own_choice_while_a_plan_binds() -> None:
     for binding, there in ((True, {"a"}), (False, {"a", "b", "c", "x"})):
         rig = Rig()
-        rig.tell(ZonePlan((1.0, 0.0, 0.0), binding=binding))
+        rig.handle(ZonePlan((1.0, 0.0, 0.0), binding=binding))
         request = rig.router.requests
         actions = rig.ask("k")
-        held = request[actions[0].request]
-        held.sends = 0  # as before its first attempt
-        found = {node.entry.id[0] for node in rig.router.replication.candidates(held, rig.now)}
+        opened = request[actions[0].request]
+        opened.sends = 0  # as if it had not been sent yet
+        found = {node.entry.id[0] for node in rig.router.replication.candidates(opened, rig.now)}
         assert found == there
 
 
 def test_a_failure_goes_to_the_next_zone_and_an_evacuated_one_gets_nothing() -> None:
     rig = Rig(nodes=6)
-    rig.tell(ZonePlan((1.0, 0.0, 0.0), closed=(1,)))
+    rig.handle(ZonePlan((1.0, 0.0, 0.0), closed=(1,)))
     tried = []
     actions = rig.ask("k")
     for _ in range(3):
@@ -137,20 +137,20 @@
 
 def test_a_bad_zone_is_asked_now_and_then_by_first_tries_of_reads_only() -> None:
     rig = Rig()
-    rig.tell(ZonePlan((0.0, 1.0, 0.0), trials=(0,), trial=0.05))
+    rig.handle(ZonePlan((0.0, 1.0, 0.0), trials=(0,), trial=0.05))
     assert 25 < rig.ends_well(1_000)["a"] < 80
     assert rig.ends_well(500, retry=True) == {"b": 500}
 
 
 def test_what_has_no_room_is_refused_retries_first_then_tenants_beyond_their_portion() -> None:
     rig = Rig()
-    rig.tell(ZonePlan((1.0, 0.0, 0.0), refused=0.25))
+    rig.handle(ZonePlan((1.0, 0.0, 0.0), refused=0.25))
     ends: Counter[tuple[str, bool, bool]] = Counter()
     for number in range(4_000):
         retry, tenant = number % 5 == 0, "u" if number % 2 else "t"
         rig.count, rig.now = rig.count + 1, rig.now + MS
         arrived = RequestArrived(f"r{rig.count}", "get", rig.now + S, tenant, f"k{number}", retry=retry)
-        actions = rig.tell(arrived)
+        actions = rig.handle(arrived)
         refused = isinstance(actions[0], Refuse)
         ends[tenant, retry, refused] += 1
         if not refused:
@@ -161,14 +161,14 @@
     evidence = rig.router.replication.take_evidence()
     assert evidence is not None
     assert (evidence.demand, evidence.refused > 800) == (3_200, True)
-    assert isinstance(rig.ask("k", "put")[0], Send)  # a write is never refused for it
+    assert isinstance(rig.ask("k", "put")[0], Send)  # the plan never refuses writes
 
 
 def test_origins_go_by_region_and_a_write_that_may_have_run_never_changes_its_origin() -> None:
     rig = Rig()
     assert rig.ask("k", "put")[0].server == "ow"
     actions = rig.ask("k", "raw")
-    rig.tell(ZonePlan((1.0, 0.0, 0.0), origins=(1, 0), lost=True))
+    rig.handle(ZonePlan((1.0, 0.0, 0.0), origins=(1, 0), lost=True))
     assert rig.ask("k2", "put")[0].server == "oe"
     again = rig.end(actions, Outcome.RESET)
     assert not any(isinstance(action, Send) and action.server == "oe" for action in again)
