--- a/saltport/decisions/health.py
+++ b/saltport/decisions/health.py
@@ -13,7 +13,7 @@
 from saltport.structures.response_time import ResponseTimeEstimate
 
 ANSWERED, UNANSWERED = (Outcome.OK, Outcome.MISS), (Outcome.TIMEOUT, Outcome.RESET)
-NO_EVIDENCE = (Outcome.CANCELLED, Outcome.MOOT)  # outcomes that say nothing about a server
+NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that say nothing about a server
 
 
 class Node:
--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -344,7 +344,7 @@
         if fetched:
             if event.outcome is Outcome.OK:
                 watched.failures = watched.fetch_after = 0
-            elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT) and not event.connection_reused:
+            elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and not event.connection_reused:
                 # Danger: without a pause each read of a hot key that has no value is fetched in its turn.
                 pause = min(FETCH_PAUSE << min(watched.failures, 8), LONGEST_FETCH_PAUSE)
                 watched.failures += 1
--- a/saltport/decisions/interface.py
+++ b/saltport/decisions/interface.py
@@ -34,7 +34,7 @@
 
 
 class Outcome(Enum):
-    """How an attempt or a probe ended; MOOT means that it was abandoned before it was sent."""
+    """How an attempt or a probe ended; NOT_SENT means that it was abandoned before it was sent."""
 
     OK = "ok"
     MISS = "miss"
@@ -44,12 +44,12 @@
     CONNECT_FAILED = "connect_failed"
     RESET = "reset"
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    NOT_SENT = "moot"
 
     @property
     def never_ran(self) -> bool:
         """Whether this outcome proves that the request had no effect at the server."""
-        return self in (Outcome.MISS, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT)
+        return self in (Outcome.MISS, Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class ListKind(Enum):
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -28,6 +28,7 @@
 
 TIMEOUT_DEVIATIONS = 6  # deviations above the mean response time after which an answer counts as lost
 INFORMATIVE_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT)
+# Shares of a class's aim: the longest attempt time-out; above the second, attempts get no early time-out.
 MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8
 
 
@@ -161,9 +162,13 @@
             self.replication.sent(request, node)
 
     def _attempt_timeout(self, request: Request, node: Node) -> int:
-        known, aim = self.fetches.response_time if request.fetching else self._response_time, request.cls.aim
-        here = node.response_time
-        mean, deviation = max(known.mean, here.mean), max(known.deviation, here.deviation)
+        """Return the time-out of an attempt, 0 for none, and store when its answer counts as lost."""
+        overall, aim = (
+            self.fetches.response_time if request.fetching else self._response_time,
+            request.cls.aim,
+        )
+        of_node = node.response_time
+        mean, deviation = max(overall.mean, of_node.mean), max(overall.deviation, of_node.deviation)
         request.lost_after = int(min(mean + deviation * TIMEOUT_DEVIATIONS, aim * MAX_TIMEOUT_AIM_SHARE))
         slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > aim * SLOW_AIM_SHARE
         first = not request.refetching if request.fetching else request.sends == 1
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -19,7 +19,7 @@
 
 FAILURE_SAMPLES, MAX_FAILURE_SHARE = 8, 0.2
 # Outcomes that are no failure of the origin unless late: an early time-out had too little time left.
-NOT_ORIGIN_FAILURES = (Outcome.MOOT, Outcome.CANCELLED, Outcome.TIMEOUT)
+NOT_ORIGIN_FAILURES = (Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.TIMEOUT)
 
 
 class OriginFetches:
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -21,7 +21,7 @@
 BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S
 EJECTION_JITTER = 0.1  # random share added to each ejection, so that routers do not return together
 EJECTION_MEMORY_NS = 60 * NS_PER_S  # without an ejection, after which one earlier ejection no longer counts
-MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5  # of the listed servers; more than a zone of three
+MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5  # of the listed servers; permits the loss of one zone of three
 DEPARTED_MEMORY_NS = 60 * NS_PER_S  # for which the record of a server that left the list is retained
 
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
@@ -249,8 +249,8 @@
 
     def _readmit(self, server: str, record: Record, now: int) -> StateChange:
         self.ejected.discard(server)
-        out = (now - record.ejected_at) / NS_PER_S
+        ejected_s = (now - record.ejected_at) / NS_PER_S
         record.ejected_until, record.readmitted_at, record.consecutive_failures, record.reason = 0, now, 0, ""
         record.connection_failures = 0
         record.attempts = WindowedCounter(FAILURE_WINDOW_NS, now)
-        return StateChange(f"{server}: back; it was last ejected {out:.1f} s ago", readmitted=True)
+        return StateChange(f"{server}: back; it was last ejected {ejected_s:.1f} s ago", readmitted=True)
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -85,7 +85,7 @@
         self._unknown_zone = _ZoneServers()
         """Servers whose zone is not in the topology, which are used last."""
         self._version = -1
-        near = tuple(float(place == topology.own_zone) for place in range(len(topology.zones)))
+        near = tuple(float(index == topology.own_zone) for index in range(len(topology.zones)))
         self._plan = api.ZonePlan(near, binding=False)
         self._evidence = self._new_evidence()
         self._reads_by_rank = [0.0, 0.0, 0.0]
@@ -185,8 +185,8 @@
         zones: dict[int | None, set[Node]] = {}
         for node in self._caches.nodes.values():
             zones.setdefault(self.topology.zone_index.get(node.entry.zone), set()).add(node)
-        for place, zone in enumerate(self._zones):
-            zone.update(zones.get(place, set()))
+        for index, zone in enumerate(self._zones):
+            zone.update(zones.get(index, set()))
         self._unknown_zone.update(zones.get(None, set()))
 
     def origins(self, ranked: list[Node], request: Request) -> list[Node]:
@@ -194,11 +194,14 @@
         plan, topology = self._plan, self.topology
         if not topology.origins or len(ranked) < 2:
             return ranked
-        mine = topology.region_index(topology.own_zone)
-        ids = [topology.region_origin(area) for area in plan.origins or topology.regions_by_distance(mine)]
-        tries = not request.write and not request.retry
-        if plan.lost and tries and self._rng.random() < ORIGIN_TRIAL_SHARE:
-            ids.insert(0, topology.region_origin(mine))
+        own_region = topology.region_index(topology.own_zone)
+        ids = [
+            topology.region_origin(region)
+            for region in plan.origins or topology.regions_by_distance(own_region)
+        ]
+        may_test = not request.write and not request.retry
+        if plan.lost and may_test and self._rng.random() < ORIGIN_TRIAL_SHARE:
+            ids.insert(0, topology.region_origin(own_region))
         known = {node.entry.id: node for node in ranked}
         first = [known[server] for server in dict.fromkeys(ids) if server in known]
         return first + [node for node in ranked if node not in first]
@@ -218,9 +221,9 @@
         if outcome is Outcome.TIMEOUT and event.latency < _usual_maximum_time(node):
             return  # the client had less time left than answers take
         if fetched:
-            for area in range(len(self.topology.distinct_regions)):
-                if self.topology.region_origin(area) == node.entry.id:
-                    self._evidence.origins[area][silent] += 1
+            for region in range(len(self.topology.distinct_regions)):
+                if self.topology.region_origin(region) == node.entry.id:
+                    self._evidence.origins[region][silent] += 1
             return
         zone = self.topology.zone_index.get(node.entry.zone)
         if zone is None:
--- a/saltport/router/background_requests.py
+++ b/saltport/router/background_requests.py
@@ -50,7 +50,7 @@
 
     def _timed_out(self) -> None:
         # One that waits for a free connection never ran.
-        self.give_up(Outcome.MOOT if self.connection is None else Outcome.TIMEOUT)
+        self.give_up(Outcome.NOT_SENT if self.connection is None else Outcome.TIMEOUT)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Tell the decisions."""
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -412,7 +412,7 @@
             return CopyEnded(action.key, action.server, outcome)
 
         if self._passing is None:
-            self.tell(told(Outcome.MOOT))
+            self.tell(told(Outcome.NOT_SENT))
             return
         key, lease = action.key.encode(), Deadline(time.monotonic_ns() + action.lease)
         copy = ReplicationWrite(self, key, self._passing, lease, self._probe_timeout, told)
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -184,7 +184,7 @@
             source.client_left()
         if self.queued is not None:
             # Danger: left in the queue it would be sent for nobody, and those who wait for it wait as long.
-            self.queued.give_up(Outcome.MOOT)
+            self.queued.give_up(Outcome.NOT_SENT)
         host.settle(self)
         host.tell(ClientGone(self.id))
 
@@ -340,7 +340,7 @@
         if self._begun_at and self._request.deadline.expired(now):
             self.leave(Outcome.TIMEOUT, host.late_s)
         else:
-            self.give_up(Outcome.MOOT if queued else Outcome.TIMEOUT)
+            self.give_up(Outcome.NOT_SENT if queued else Outcome.TIMEOUT)
 
     def begun(self) -> None:
         """Its request is written."""
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -20,7 +20,7 @@
     "refused_conn": api.Outcome.CONNECT_FAILED,
     "severed": api.Outcome.RESET,
     "recalled": api.Outcome.CANCELLED,
-    "superseded": api.Outcome.MOOT,
+    "superseded": api.Outcome.NOT_SENT,
     "lookup_miss": api.Outcome.MISS,
 }
 _LIST_KINDS = (api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED)
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -186,7 +186,7 @@
         self._half_sent_timer = None
         exchange = self.exchange
         if exchange is not None and self.unsent:
-            exchange.give_up(Outcome.MOOT)
+            exchange.give_up(Outcome.NOT_SENT)
 
     def read_held_up(self) -> None:
         """See StreamProtocol."""
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -100,7 +100,7 @@
                 return
             connection.close()
         if not exchange.remaining_ms():
-            exchange.end(Outcome.MOOT)
+            exchange.end(Outcome.NOT_SENT)
             return
         exchange.held_back = server.shortage_pauses.waiting
         server.waiting.append(exchange)
@@ -174,7 +174,7 @@
         if start is Start.STARTED:
             connection.server.shortage_pauses.over()
         elif start is Start.TOO_LATE:
-            exchange.end(Outcome.MOOT)
+            exchange.end(Outcome.NOT_SENT)
         return start
 
     def lost(self, connection: Connection) -> None:
@@ -303,7 +303,7 @@
             if connection is not None:
                 self._held -= 1
             # One that was given up late says more of this router than of the server.
-            self._dial_failed(server, Outcome.MOOT if own_lag else Outcome.CONNECT_FAILED)
+            self._dial_failed(server, Outcome.NOT_SENT if own_lag else Outcome.CONNECT_FAILED)
             return
         server.connections.add(connection)
         connection.retired = not server.open or server.address != address
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -126,7 +126,7 @@
     assert rig.state(1) is EjectionState.HEALTHY
 
 
-@pytest.mark.parametrize("nothing", [Outcome.MOOT, Outcome.CANCELLED])
+@pytest.mark.parametrize("nothing", [Outcome.NOT_SENT, Outcome.CANCELLED])
 def test_inconclusive_outcomes_neither_count_nor_reset(nothing: Outcome) -> None:
     rig = DetectorRig()
     rig.record(1, nothing, nothing, nothing)
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -96,7 +96,7 @@
     assert (again.request, again.server) == ("two", two.server)
 
 
-@pytest.mark.parametrize("end", [Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.MOOT])
+@pytest.mark.parametrize("end", [Outcome.OK, Outcome.ERROR, Outcome.TIMEOUT, Outcome.NOT_SENT])
 def test_fetch_whose_client_left_goes_on_for_the_waiter(end: Outcome) -> None:
     router = started(settings(), fleet(5))
     one, two = (only_send(router.handle(request(name), 0)) for name in ("one", "two"))
--- a/tests/decisions/test_timeliness.py
+++ b/tests/decisions/test_timeliness.py
@@ -110,7 +110,7 @@
 
 
 def hammered(nodes: int = 12, routers: int = 2, seconds: int = 10) -> tuple[float, float]:
-    """Let one tenant retry after 2 ms, up to seven times with 60 ms each; return the tenants' shares in time."""
+    """Let one tenant retry after 2 ms, seven times with 60 ms left; return the tenants' shares in time."""
     world = World(nodes, None, 1, routers, work=50 * MS, spread_work=0.3, kept="k")
 
     def again(read: Read) -> None:
