--- a/saltport/decisions/limits.py
+++ b/saltport/decisions/limits.py
@@ -22,39 +22,29 @@
 class Limit:
     """The concurrency limit of one server."""
 
-    __slots__ = (
-        "_cut_at",
-        "_last_answer_at",
-        "_pause",
-        "_paused_until",
-        "limit",
-        "response_time",
-        "service_time",
-    )
+    __slots__ = ("_answered_at", "_cut_at", "_pause", "_pause_end", "base_time", "limit", "response_time")
 
     def __init__(self, known_at: int = 0) -> None:
         self.limit = math.inf
         """Infinite until the first late answer: the capacity is unknown, and a burst is no overload."""
         self.response_time = 0.0
         """The smoothed response time."""
-        self.service_time = 0.0
+        self.base_time = 0.0
         """The part of the response time without queueing: the least time observed recently."""
-        self._cut_at, self._last_answer_at, self._pause, self._paused_until = 0, known_at, 0, 0
+        self._cut_at, self._answered_at, self._pause, self._pause_end = 0, known_at, 0, 0
 
     def mark_current(self, now: int) -> None:
         """Mark response times that were restored from another process as current."""
-        self._last_answer_at = now
+        self._answered_at = now
 
     def learn(self, took: int, in_flight: int, sent_at: int, now: int, aim: int) -> None:
         """Adapt the limit to one answer's time, with `in_flight` other attempts at the server."""
-        if not self.response_time or now - self._last_answer_at > STALE_AFTER_NS:
-            self.response_time, self.service_time = float(took), float(took)
-        self._last_answer_at, self._pause = now, 0
+        if not self.response_time or now - self._answered_at > STALE_AFTER_NS:
+            self.response_time, self.base_time = float(took), float(took)
+        self._answered_at, self._pause = now, 0
         self.response_time += (took - self.response_time) * SMOOTHING
         # The service time falls at once and rises slowly, so that it does not soon absorb a standing queue.
-        self.service_time = min(
-            float(took), self.service_time + (self.response_time - self.service_time) / 64
-        )
+        self.base_time = min(float(took), self.base_time + (self.response_time - self.base_time) / 64)
         if self.response_time > LATE_AIM_SHARE * aim:
             self.cut(sent_at, now, in_flight, LATE_AIM_SHARE * aim / self.response_time)
         elif self.response_time < PROMPT_AIM_SHARE * aim and in_flight + 1 >= self.limit / 2:
@@ -70,24 +60,19 @@
     @property
     def busy(self) -> float:
         """The estimated busy share: the share of the response time spent queueing (exact for M/M/1)."""
-        return 1.0 - self.service_time / self.response_time if self.response_time else 0.0
+        return 1.0 - self.base_time / self.response_time if self.response_time else 0.0
 
     def refused(self, sent_at: int, now: int, in_flight: int) -> None:
         """Cut the limit and pause after a refusal: with quick refusals nothing is in flight to be limited."""
         self.cut(sent_at, now, in_flight)
-        if sent_at >= self._paused_until:
+        if sent_at >= self._pause_end:
             self._pause = min(max(2 * self._pause, int(self.response_time), MIN_PAUSE_NS), MAX_PAUSE_NS)
-            self._paused_until = now + self._pause
+            self._pause_end = now + self._pause
 
     def timed_out(self, sent_at: int, now: int) -> None:
-        """Pause after a time-out for as long as the server had not answered before.
-
-        A limit on attempts in flight has no effect for a router that rarely sends to this server.
-        """
-        self._paused_until = max(
-            self._paused_until, now + min(max(sent_at - self._last_answer_at, 0), STALE_AFTER_NS)
-        )
+        """Pause for the time without answers, as no limit has an effect for a router that rarely sends."""
+        self._pause_end = max(self._pause_end, now + min(max(sent_at - self._answered_at, 0), STALE_AFTER_NS))
 
     def has_room(self, in_flight: int, now: int) -> bool:
         """Whether one more attempt may be sent."""
-        return in_flight < self.limit and now >= self._paused_until
+        return in_flight < self.limit and now >= self._pause_end
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -28,8 +28,7 @@
 
 TIMEOUT_DEVIATIONS = 6  # deviations above the mean response time after which an answer counts as lost
 INFORMATIVE_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT)
-# Shares of a class's aim: the longest attempt time-out; above the second, attempts get no early time-out.
-MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8
+MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8  # above the second there is no early time-out
 
 
 class Router:
@@ -109,10 +108,7 @@
         self.outliers.update_nodes(self.caches.nodes, self._now)
 
     def _schedule_subscription(self, kind: ListKind) -> None:
-        """Schedule a subscription at the start and after each failure, with jitter and exponential back-off.
-
-        The delays keep routers from overloading the discovery service.
-        """
+        """Schedule a subscription at the start and after failures; back-off and jitter spare discovery."""
         if kind not in (ListKind.CACHED, ListKind.FAILED):
             self._failed_subscriptions = 0
         elif not self._subscription_scheduled:
@@ -162,13 +158,9 @@
             self.replication.sent(request, node)
 
     def _attempt_timeout(self, request: Request, node: Node) -> int:
-        """Return the time-out of an attempt, 0 for none, and store when its answer counts as lost."""
-        overall, aim = (
-            self.fetches.response_time if request.fetching else self._response_time,
-            request.cls.aim,
-        )
+        known, aim = self.fetches.response_time if request.fetching else self._response_time, request.cls.aim
         of_node = node.response_time
-        mean, deviation = max(overall.mean, of_node.mean), max(overall.deviation, of_node.deviation)
+        mean, deviation = max(known.mean, of_node.mean), max(known.deviation, of_node.deviation)
         request.lost_after = int(min(mean + deviation * TIMEOUT_DEVIATIONS, aim * MAX_TIMEOUT_AIM_SHARE))
         slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > aim * SLOW_AIM_SHARE
         first = not request.refetching if request.fetching else request.sends == 1
@@ -287,17 +279,16 @@
         node.record_outcome(outcome, took, request.cls.aim, request.sent_at, self._now)
         if self.caches.nodes.get(node.entry.id) is not node:
             return
-        change = self.outliers.record_outcome(node, request.id, outcome, request.sent_at, self._now)
+        change = self.outliers.learn(node, request.id, outcome, request.sent_at, self._now)
         if change is not None:
             self._actions.append(api.Log(change.message))
             if change.readmitted:
                 node.limit = Limit(self._now)
 
     def _fetch_failed(self, request: Request, outcome: Outcome, late: bool, stale_connection: bool) -> None:
-        """Retry a failed write after a pause; give up a failed read, which the client may retry.
+        """Retry a failed write after a pause; leave reads to the client's retry, to spare the origin.
 
-        Not retrying reads limits the load on the origin. A lost attempt (a stale connection or an early
-        time-out) is repeated once without a pause, as it shows no fault of the origin.
+        A lost attempt, which is no fault of the origin, is repeated once immediately.
         """
         if (stale_connection or (outcome is Outcome.TIMEOUT and not late)) and not request.refetching:
             request.refetching = True
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -1,8 +1,7 @@
 """Admission of calls to the origin, coalescing of fetches, and the origin's concurrency limit.
 
-Each tenant has a rate limit (suppression.py). A concurrency limit with additive increase and multiplicative
-decrease delays writes until another call has ended. Reads of one key share their leader's fetch. Times are in
-nanoseconds.
+Each tenant has a rate limit (suppression.py). An AIMD concurrency limit delays writes until another call has
+ended. Reads of one key share their leader's fetch. Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -45,10 +44,7 @@
             self.rate_limiters[tenant.name] = limiter or Suppressor(tenant, settings.routers, self._rng)
 
     def admit(self, request: Request, origin: Node, now: int) -> Reason | None:
-        """Return why a request may not be sent to the origin now, or None.
-
-        A write that gets ORIGIN_BUSY is queued, and `releasable_writes` yields it later.
-        """
+        """Return why a request may not go to the origin now; an ORIGIN_BUSY write is queued for later."""
         if request.write:
             if origin.load >= self._concurrency_limit:
                 self._waiting_writes.append(request)
@@ -78,10 +74,7 @@
         return self._coalesced.pop(request.key or "", [])
 
     def ended(self, node: Node, event: AttemptEnded, late: bool, now: int) -> None:
-        """Raise the limits after a successful call; on repeated failures cut them.
-
-        Tenants above their portion are cut harder.
-        """
+        """Raise the limits after a successful call; cut them on repeated failures."""
         if event.outcome is Outcome.TIMEOUT:
             self.response_time.learn(event.latency)
         if event.outcome is Outcome.OK and not late:
@@ -112,6 +105,5 @@
             if waiter.waiting:
                 yield waiter
             if self._waiting_writes and self._waiting_writes[-1] is waiter:
-                # Danger: after a change of the origin's entry, `node` is the old one and stays below the
-                # limit while the new one is full; without this check the loop never ends.
+                # Danger: endless after a change of the entry, if the new node is full but `node` is not.
                 break
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -16,10 +16,10 @@
 from saltport.structures.windowed_counter import WindowedCounter
 
 CONSECUTIVE_FAILURES = 3  # at 1 % random failures a wrong ejection has a probability of one in a million
-FAILURE_WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
+WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
 MIN_ATTEMPTS, EXCESS_FAILURE_SHARE = 10, 0.5  # the share above the failure rate of all servers
 BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S
-EJECTION_JITTER = 0.1  # random share added to each ejection, so that routers do not return together
+JITTER = 0.1  # random share added to each ejection, so that routers do not return together
 EJECTION_MEMORY_NS = 60 * NS_PER_S  # without an ejection, after which one earlier ejection no longer counts
 MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5  # of the listed servers; permits the loss of one zone of three
 DEPARTED_MEMORY_NS = 60 * NS_PER_S  # for which the record of a server that left the list is retained
@@ -54,14 +54,14 @@
 
     started: int
     attempts: WindowedCounter
-    consecutive_failures: int = 0
+    unanswered: int = 0
     """Unanswered attempts in a row."""
-    connection_failures: int = 0
+    conn_failures: int = 0
     """Failed dials and resets among them, each of an attempt sent after the previous one was known."""
-    last_connection_failure_at: int = 0
-    first_failure_sent_at: int = 0
+    conn_failed_at: int = 0
+    unanswered_since: int = 0
     """When the first of the consecutive failures was sent."""
-    last_failure_at: int = 0
+    failed_at: int = 0
     ejections: int = 0
     ejected_at: int = 0
     ejected_until: int = 0
@@ -73,33 +73,25 @@
     left_at: int | None = None
 
     def reason_to_eject(self, usual: float, silence: int) -> str:
-        """Return why the server should be ejected, or an empty string.
-
-        `usual` is the failure rate of all servers, `silence` the least duration of consecutive time-outs.
-        """
-        if self.connection_failures >= CONSECUTIVE_FAILURES:
-            return f"{self.connection_failures} broken or refused connections in a row"
+        """Return why to eject, or ""; `usual`: the fleet's failure rate, `silence`: least time-out span."""
+        if self.conn_failures >= CONSECUTIVE_FAILURES:
+            return f"{self.conn_failures} broken or refused connections in a row"
         # Danger: an overloaded server may exceed the attempt time-out; ejecting it would overload the next.
-        silent = self.last_failure_at - self.first_failure_sent_at
-        if self.consecutive_failures >= CONSECUTIVE_FAILURES and silent >= silence:
-            return f"{self.consecutive_failures} failures in a row over {silent / NS_PER_S:.1f} s"
+        silent = self.failed_at - self.unanswered_since
+        if self.unanswered >= CONSECUTIVE_FAILURES and silent >= silence:
+            return f"{self.unanswered} failures in a row over {silent / NS_PER_S:.1f} s"
         attempts, failures = self.attempts.totals()
         if attempts >= MIN_ATTEMPTS and failures >= attempts * (usual + EXCESS_FAILURE_SHARE):
             return f"{failures} of {attempts} attempts failed"
         return ""
 
-    def recent_ejections(self, now: int) -> int:
+    def repeats(self, now: int) -> int:
         """Return the number of ejections that still lengthen the next one."""
         return max(self.ejections - max(now - self.readmitted_at, 0) // EJECTION_MEMORY_NS, 0)
 
     def has_no_evidence(self, now: int) -> bool:
         """Whether the record contains no evidence any more."""
-        return not (
-            self.consecutive_failures
-            or self.attempts.totals()[1]
-            or self.ejected_until
-            or self.recent_ejections(now)
-        )
+        return not (self.unanswered or self.attempts.totals()[1] or self.ejected_until or self.repeats(now))
 
 
 class OutlierDetector:
@@ -112,7 +104,7 @@
         self.ejected: set[str] = set()
         self.suspects: set[str] = set()  # would be ejected but for the ceiling
         self.listed = 0
-        self._all_attempts = WindowedCounter(FAILURE_WINDOW_NS)
+        self._all_attempts = WindowedCounter(WINDOW_NS)
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings; the evidence is preserved."""
@@ -143,10 +135,9 @@
         return len(self.ejected) + len(self.suspects) > self.listed * PANIC_SHARE
 
     def state(self, server: str, now: int, first: bool = True) -> EjectionState:
-        """Return a server's state for a request; `first` says that this is the request's first attempt.
+        """Return a server's state for a request's first or further attempt.
 
-        In panic, the first attempt goes to the slot's own server whatever its record, and further attempts
-        only to servers without suspicion.
+        In panic, suspects receive first attempts only.
         """
         if server not in self.ejected and server not in self.suspects:
             return EjectionState.HEALTHY
@@ -161,9 +152,7 @@
         """Test an ejected server with one request; no other request is sent there until it has ended."""
         self.records[server].trial = request
 
-    def record_outcome(
-        self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int
-    ) -> StateChange | None:
+    def learn(self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int) -> StateChange | None:
         """Record an attempt's outcome; return the change of the server's state, if any."""
         server = node.entry.id
         record = self.records.get(server)
@@ -172,9 +161,7 @@
         if record is None:
             if outcome not in NO_ANSWER and outcome not in FAILURES:
                 return None
-            record = self.records[server] = Record(
-                node.entry.started, WindowedCounter(FAILURE_WINDOW_NS, now)
-            )
+            record = self.records[server] = Record(node.entry.started, WindowedCounter(WINDOW_NS, now))
         is_trial = record.trial == request
         if is_trial:
             record.trial = None
@@ -206,43 +193,26 @@
     def _count(self, record: Record, outcome: Outcome, sent_at: int, now: int) -> None:
         record.attempts.count(outcome in FAILURES, now)
         if outcome not in NO_ANSWER:
-            record.consecutive_failures = record.connection_failures = 0
+            record.unanswered = record.conn_failures = 0
             return
-        if not record.consecutive_failures or sent_at - record.last_failure_at > FAILURE_WINDOW_NS:
-            # Failures far apart are not consecutive.
-            record.consecutive_failures, record.connection_failures, record.first_failure_sent_at = (
-                0,
-                0,
-                sent_at,
-            )
-        record.consecutive_failures, record.last_failure_at = record.consecutive_failures + 1, now
-        if outcome in CONNECTION_FAILURES and (
-            not record.connection_failures or sent_at >= record.last_connection_failure_at
-        ):
+        if not record.unanswered or sent_at - record.failed_at > WINDOW_NS:
+            record.unanswered, record.conn_failures, record.unanswered_since = 0, 0, sent_at  # a new row
+        record.unanswered, record.failed_at = record.unanswered + 1, now
+        if outcome in CONNECTION_FAILURES and (not record.conn_failures or sent_at >= record.conn_failed_at):
             # Danger: all attempts in flight at one fault count as one failure, however many it ended.
-            record.connection_failures, record.last_connection_failure_at = (
-                record.connection_failures + 1,
-                now,
-            )
+            record.conn_failures, record.conn_failed_at = record.conn_failures + 1, now
 
     def _eject(self, server: str, record: Record, reason: str, now: int) -> StateChange | None:
         record.reason = reason
         if server not in self.ejected and len(self.ejected) >= max(1, int(self.listed * MAX_EJECTED_SHARE)):
-            already_suspected = server in self.suspects
+            known = server in self.suspects
             self.suspects.add(server)
-            return (
-                None
-                if already_suspected
-                else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
-            )
+            return None if known else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
         if server not in self.ejected:
-            record.ejections = record.recent_ejections(now)
+            record.ejections = record.repeats(now)
         record.ejections += 1
         duration = min(BASE_EJECTION_NS << min(record.ejections - 1, 8), MAX_EJECTION_NS)
-        record.ejected_at, record.ejected_until = (
-            now,
-            now + int(duration * (1 + self._rng.random() * EJECTION_JITTER)),
-        )
+        record.ejected_at, record.ejected_until = now, now + int(duration * (1 + self._rng.random() * JITTER))
         self.ejected.add(server)
         self.suspects.discard(server)
         return StateChange(f"{server}: ejected for {(record.ejected_until - now) / NS_PER_S:.1f} s: {reason}")
@@ -250,7 +220,7 @@
     def _readmit(self, server: str, record: Record, now: int) -> StateChange:
         self.ejected.discard(server)
         ejected_s = (now - record.ejected_at) / NS_PER_S
-        record.ejected_until, record.readmitted_at, record.consecutive_failures, record.reason = 0, now, 0, ""
-        record.connection_failures = 0
-        record.attempts = WindowedCounter(FAILURE_WINDOW_NS, now)
+        record.ejected_until, record.readmitted_at, record.unanswered, record.reason = 0, now, 0, ""
+        record.conn_failures = 0
+        record.attempts = WindowedCounter(WINDOW_NS, now)
         return StateChange(f"{server}: back; it was last ejected {ejected_s:.1f} s ago", readmitted=True)
--- a/saltport/decisions/suppression.py
+++ b/saltport/decisions/suppression.py
@@ -1,8 +1,4 @@
-"""One tenant's rate limit on calls to the origin: the three regimes of Trypema with an AIMD limit.
-
-Below the limit all fetches are admitted, above HARD_LIMIT_FACTOR times the limit none, between them a share.
-Times are in nanoseconds.
-"""
+"""One tenant's rate limit on calls to the origin: Trypema's three regimes with an AIMD limit; times in ns."""
 
 from __future__ import annotations
 
@@ -17,7 +13,7 @@
 WINDOW_CALLS = 8  # calls that the sliding window should contain at the cap
 WINDOW_MIN_S, WINDOW_MAX_S = 5.0, 20.0
 DEFAULT_LIMIT_PER_S = 1000.0  # for all routers together where the tenant has no quota
-CUT_FACTOR, RISE_S, IN_USE_SHARE = 0.7, 15.0, 0.5  # from IN_USE_SHARE on the allowance is in use
+CUT_FACTOR, RISE_S, IN_USE = 0.7, 15.0, 0.5  # from IN_USE on the allowance is in use
 
 
 class Suppressor:
@@ -69,7 +65,7 @@
 
     def rise(self, now: int) -> None:
         """Raise the limit additively after a successful fetch, up to the cap, while the limit is in use."""
-        if self.in_use(now) >= IN_USE_SHARE:
+        if self.in_use(now) >= IN_USE:
             idle = min((now - self._last_rise) / NS_PER_S, self.window_s)
             self.limit = min(self.cap, self.limit + self.cap / RISE_S * idle)
         self._last_rise = now
@@ -83,10 +79,7 @@
         return self.accepted(now) / self.window_s
 
     def cut(self, now: int, total_rate: float) -> None:
-        """Cut the limit to a fraction of the actual rate, a smaller one for a tenant above its portion.
-
-        `total_rate` is the rate of all tenants together.
-        """
+        """Cut the limit to a fraction of the rate, a smaller one above the portion of all tenants' rate."""
         self._last_rise = now
         rate = self.call_rate(now)
         factor = CUT_FACTOR * CUT_FACTOR if rate > self.portion * total_rate else CUT_FACTOR
--- a/saltport/decisions/table.py
+++ b/saltport/decisions/table.py
@@ -12,8 +12,7 @@
 from saltport.structures.slot_rankings import SlotRankings
 
 RANKING_DEPTH = 8
-# A ranking always has this length, so that it is equal at routers with different histories.
-RANKING_LENGTH = 2 * RANKING_DEPTH
+RANKING_LENGTH = 2 * RANKING_DEPTH  # fixed, so that rankings are equal at routers with different histories
 STORED_RANKING_LENGTH = 3 * RANKING_DEPTH  # with a reserve for servers that leave
 
 
@@ -63,10 +62,7 @@
         return cold + (1 - cold) * age / self._settings.cold_time
 
     def rank(self, slot: int, now: int, depth: int = RANKING_DEPTH) -> list[Node]:
-        """Return the slot's best servers, at least `depth` where there are as many, best first.
-
-        Servers in slow start have a reduced weight.
-        """
+        """Return at least `depth` of the slot's servers, best first, with reduced weights in slow start."""
         shown = RANKING_LENGTH if depth <= RANKING_LENGTH else 2 * depth
         cold = now < self._cold_until
         if shown == RANKING_LENGTH and not cold:
--- a/tests/crossings/test_slow_start.py
+++ b/tests/crossings/test_slow_start.py
@@ -52,5 +52,5 @@
 
 
 def test_without_the_ramp_they_would_not(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(SlotTable, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(SlotTable, "slow_start_factor", lambda *_: 1.0)
     assert fullest(200, "stricter", "a zone") > 1.0
