--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -22,7 +22,7 @@
 from saltport.decisions.interface import NS_PER_S, Fill, Outcome
 from saltport.decisions.replication import Replication
 from saltport.decisions.request import Request
-from saltport.decisions.table import DEPTH, SlotTable
+from saltport.decisions.table import RANKING_DEPTH, SlotTable
 
 SWEEP_INTERVAL_NS = NS_PER_S // 4
 SWEEP_TIMER_TOKEN = "hot keys"  # cannot collide with a request id, which contains no space
@@ -65,7 +65,7 @@
         self._replicated: dict[str, ReplicatedKey] = {}
         self._fills_by_write = limits.fill is Fill.WRITES
         self._invalidations = Invalidations(limits.lease, 0)
-        self.follow_settings(settings)
+        self.apply_settings(settings)
         self._delayed_writes: dict[str, str] = {}
         """By request id, the keys of writes whose replies are delayed until invalidations have ended."""
         self._copies_in_flight: dict[str, dict[str, int]] = {}
@@ -90,7 +90,7 @@
 
     # Detection
 
-    def follow_settings(self, settings: api.Settings) -> None:
+    def apply_settings(self, settings: api.Settings) -> None:
         """Apply the deadlines of new settings; the tenants' portions of the keys are fixed at the start."""
         self._invalidations.max_read_time = max(c.deadline for c in settings.classes) + min(
             c.aim for c in settings.classes
@@ -111,7 +111,7 @@
         watched = self._meter.add(tenant, key, request.slot, now)
         if watched is None:
             return
-        request.replication = watched
+        request.replication_state = watched
         if not self._sweep_scheduled:
             self._schedule_sweep()
         replicated = watched.replicated
@@ -130,7 +130,7 @@
         self._update_total_weight(now)
         min_weight = min((node.weight for node in nodes.values()), default=1.0)
         self._meter.threshold = replication_threshold(
-            min_weight / (sum(node.weight for node in nodes.values()) or 1.0), self._limits.promise
+            min_weight / (sum(node.weight for node in nodes.values()) or 1.0), self._limits.fair_shares
         )
         self._actions += self._invalidations.retain_servers(nodes, now)
         for key in list(self._replicated):
@@ -143,7 +143,7 @@
 
     def _weight(self, node: Node, now: int) -> float:
         """Return a node's weight, reduced while the node is cold."""
-        return node.weight * self._caches.warmth(node, now)
+        return node.weight * self._caches.slow_start_factor(node, now)
 
     # Choice of nodes
 
@@ -172,7 +172,7 @@
                 self._weight(node, now) / total,
                 hot_share,
                 share_by_node.get(node, 0.0) - own_shares.get(node, 0.0),
-                self._limits.promise,
+                self._limits.fair_shares,
             )
             for node in candidates
         )
@@ -289,17 +289,17 @@
 
         A read that fills nodes visits a member without a copy before these.
         """
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         doubtful = (
             self._invalidations.in_doubt(request.key)
             if self._fills_by_write and request.key is not None
             else None
         )
         if replicated is None:
-            ranking = self._caches.rank(request.slot, now, DEPTH)
+            ranking = self._caches.rank(request.slot, now, RANKING_DEPTH)
             return [node for node in ranking if node.entry.id not in doubtful] if doubtful else ranking
         if replicated.list_version != self._caches.version:
-            self._review(request.replication, replicated, now)
+            self._review(request.replication_state, replicated, now)
         chosen: list[Node] = []
         if not self._fills_by_write and replicated.absent:
             chosen = self._next_node_to_fill(request, replicated, now)
@@ -309,7 +309,7 @@
             if self._expected_load(second, now) < self._expected_load(first, now):
                 first, second = second, first
             chosen += (first, second, replicated.members[0])
-        chosen += self._caches.rank(replicated.slot, now, DEPTH)[:DEPTH]
+        chosen += self._caches.rank(replicated.slot, now, RANKING_DEPTH)[:RANKING_DEPTH]
         return [node for node in chosen if node.entry.id not in doubtful] if doubtful else chosen
 
     def _next_node_to_fill(self, request: Request, replicated: ReplicatedKey, now: int) -> list[Node]:
@@ -350,7 +350,7 @@
         A read that fills nodes visits the rest of those that it is to fill; any other read tries at most one
         more node, if another member has a copy.
         """
-        watched = request.replication
+        watched = request.replication_state
         replicated = watched.replicated if watched is not None else None
         if replicated is None or not replicated.members:
             return False
@@ -363,14 +363,14 @@
         # Only one more node: if all nodes have lost the key, trying each of them would delay the read.
         return not request.failed and any(other is not node for other in replicated.ready)
 
-    def fetches_itself(self, request: Request) -> bool:
+    def bypasses_coalescing(self, request: Request) -> bool:
         """Whether a read fills nodes, so that it asks the origin even while its key is being fetched."""
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         return replicated is not None and request.id in replicated.filling_reads
 
-    def turns_away(self, request: Request, now: int) -> api.Reason | None:
+    def refusal_reason(self, request: Request, now: int) -> api.Reason | None:
         """Return why a read that no node answered is not fetched from the origin, or None if it is."""
-        paused = request.replication is not None and request.replication.fetch_after > now
+        paused = request.replication_state is not None and request.replication_state.fetch_after > now
         return api.Reason.FETCH_PAUSED if paused else None
 
     # Ends of attempts, requests and copies
@@ -381,13 +381,13 @@
             if fetched and self._fills_by_write and request.key is not None:
                 self._write_ended(request, event, now)
             return
-        watched = request.replication
+        watched = request.replication_state
         if watched is None:
             return
         if fetched:
             if event.outcome is Outcome.OK:
                 watched.fetch_failures = watched.fetch_after = 0
-            elif event.outcome not in (Outcome.CANCELLED, Outcome.MOOT) and not event.kept:
+            elif event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT) and not event.connection_reused:
                 # Danger: without a pause, each read of a hot key that has no value causes a fetch.
                 pause = min(MIN_FETCH_PAUSE_NS << min(watched.fetch_failures, 8), MAX_FETCH_PAUSE_NS)
                 watched.fetch_failures += 1
@@ -446,7 +446,7 @@
                     self._invalidations.cancel_answer(request.key, request.id)
                 self._invalidations.write_ends(request.key, now)
             return
-        replicated = request.replication.replicated if request.replication is not None else None
+        replicated = request.replication_state.replicated if request.replication_state is not None else None
         visited = replicated.filling_reads.pop(request.id, None) if replicated is not None else None
         if replicated is None or visited is None:
             return
@@ -497,7 +497,7 @@
 
     # Writes
 
-    def holds(self, request: Request) -> bool:
+    def defers_answer(self, request: Request) -> bool:
         """Whether the reply to a write is delayed until the copies of its key are invalidated."""
         return self._fills_by_write and request.key is not None
 
--- a/saltport/decisions/hotkeys/invalidation.py
+++ b/saltport/decisions/hotkeys/invalidation.py
@@ -144,20 +144,20 @@
         self.invalidated += confirmed
         pending = self._pending.get(key)
         awaited = pending is not None and server in pending.unconfirmed and server not in pending.behind_copy
-        if awaited and pending is not None and event.turn < pending.number:
+        if awaited and pending is not None and event.sequence < pending.number:
             return []  # only the result of the later invalidation counts
         doubt = self._doubts.get(key, {}).get(server)
         if doubt is not None:
             doubt.in_flight = False
         if not confirmed:
-            doubt = self._doubt(key, server, now, event.turn)
+            doubt = self._doubt(key, server, now, event.sequence)
             doubt.retry_at, doubt.retry_pause = (
                 now + doubt.retry_pause,
                 min(2 * doubt.retry_pause, MAX_RETRY_PAUSE_NS),
             )
         elif doubt is not None and now < doubt.copy_possible_until:
             doubt.retry_at = now + doubt.retry_pause
-        elif doubt is not None and event.turn >= doubt.number:
+        elif doubt is not None and event.sequence >= doubt.number:
             self._remove_doubt(key, server)
         if pending is None or not awaited:
             return []
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -31,8 +31,8 @@
     RequestArrived,
     Router,
     Send,
-    ServerBack,
-    ServerOut,
+    ServerExcluded,
+    ServerReadmitted,
     ServersChanged,
     ServerState,
     SetTimer,
@@ -122,7 +122,7 @@
             "ready": self.ready,
             "owed": owed,
             "lag": lag,
-            **views.whole(self._router, time.monotonic_ns()),
+            **views.summary(self._router, time.monotonic_ns()),
         }
 
     def learnt(self) -> dict[str, object]:
@@ -279,7 +279,7 @@
                 is_origin = server.kind == self.settings.origin_kind
                 place = listing.addresses[server.id], OriginConnection if is_origin else CacheConnection
                 self._places[server.id] = place
-                if server.id not in self._router.registry.out:
+                if server.id not in self._router.registry.excluded:
                     self._pool.list_server(server.id, *place)
             else:
                 gone.add(server.id)
@@ -294,18 +294,18 @@
     @property
     def out(self) -> frozenset[str]:
         """The servers that are out by hand."""
-        return frozenset(self._router.registry.out)
+        return frozenset(self._router.registry.excluded)
 
     def take_out(self, server_id: str) -> None:
         """Send nothing more to a server, whatever the list says, until it is put back."""
-        self.tell(ServerOut(server_id))
+        self.tell(ServerExcluded(server_id))
         self._pool.unlist_server(server_id)
 
     def put_back(self, server_id: str) -> None:
         """Use a server again, if it is listed as ready."""
         if server_id in self._places:
             self._pool.list_server(server_id, *self._places[server_id])
-        self.tell(ServerBack(server_id))
+        self.tell(ServerReadmitted(server_id))
 
     def trials_due(self) -> dict[str, int]:
         """The ejected servers, and when each may be tried."""
@@ -313,11 +313,11 @@
 
     def hold_trial(self, server: str, until: int) -> None:
         """Try an ejected server no sooner than this."""
-        trials.hold(self._router.outliers, server, until)
+        trials.postpone(self._router.outliers, server, until)
 
     def begin_trial(self, server: str) -> None:
         """Let the next request try an ejected server."""
-        trials.begin(self._router.outliers, server, time.monotonic_ns())
+        trials.allow(self._router.outliers, server, time.monotonic_ns())
 
     def take_evidence(self) -> Evidence | None:
         """What was found of the zones since the last call."""
@@ -412,7 +412,7 @@
             return CopyEnded(action.key, action.server, outcome)
 
         if self._passing is None:
-            self.tell(told(Outcome.MOOT))
+            self.tell(told(Outcome.NOT_SENT))
             return
         key, lease = action.key.encode(), Deadline(time.monotonic_ns() + action.lease)
         copy = ReplicationWrite(self, key, self._passing, lease, self._probe_timeout, told)
@@ -420,7 +420,7 @@
 
     def _invalidate(self, action: Invalidate) -> None:
         def told(outcome: Outcome) -> Event:
-            return InvalidationEnded(action.key, action.server, outcome, action.turn)
+            return InvalidationEnded(action.key, action.server, outcome, action.sequence)
 
         invalidation = Invalidation(self, action.key.encode(), self._probe_timeout, told)
         self._pool.submit(action.server, invalidation)
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -12,14 +12,14 @@
 from saltport.deadline import NS_PER_MS, Deadline, Received
 from saltport.decisions import (
     AttemptEnded,
-    CacheNote,
+    CacheStatus,
     ClientGone,
     Outcome,
     RequestArrived,
     Send,
     StreamStarted,
 )
-from saltport.decisions.ordering import NOTHING, KeyOrder
+from saltport.decisions.ordering import NONE_RELEASED, KeyOrder
 from saltport.downstream.replies import Reply
 from saltport.handover.choice import ValueProgress
 from saltport.handover.record import PartialValue
@@ -111,7 +111,7 @@
     def arrived(self) -> None:
         """Begin, or wait for the commands ahead of its connection that touch its key."""
         asked = self.asked
-        if self._order.arrives(self, asked.key, asked.value is not None):
+        if self._order.enqueue(self, asked.key, asked.value is not None):
             self._stage = Stage.BEGUN
             self._begin()
         else:
@@ -158,13 +158,13 @@
         if stage is Stage.OVER:
             return
         if stage is Stage.WAITING:
-            released = self._order.left(self, key)
+            released = self._order.cancel(self, key)
             self._stop_waiting()
         else:
             released = self._order.ended(key, self.asked.value is not None, may_have_run)
-            if released is NOTHING:
+            if released is NONE_RELEASED:
                 return
-        for request in released.turn_down:
+        for request in released.rejected:
             request._dismissed()
         for request in released.begin:
             request._released()
@@ -184,7 +184,7 @@
             source.client_left()
         if self.queued is not None:
             # Danger: left in the queue it would be sent for nobody, and those who wait for it wait as long.
-            self.queued.give_up(Outcome.MOOT)
+            self.queued.give_up(Outcome.NOT_SENT)
         host.settle(self)
         host.tell(ClientGone(self.id))
 
@@ -282,7 +282,7 @@
 
     def __init__(self, host: RequestHost, request: OpenRequest, told: Send) -> None:
         super().__init__(host, request.reply, request.asked.request_class)
-        self._request, self._server, self._hold = request, told.server, told.hold
+        self._request, self._server, self._hold = request, told.server, told.defer_answer
         self._not_after_ns = told.not_after or request.deadline.at_ns
         self.request = request.asked
         self._number = request.attempts
@@ -342,7 +342,7 @@
         if self._begun_at and self._request.deadline.expired(now):
             self.leave(Outcome.TIMEOUT, host.late_s)
         else:
-            self.give_up(Outcome.MOOT if queued else Outcome.TIMEOUT)
+            self.give_up(Outcome.NOT_SENT if queued else Outcome.TIMEOUT)
 
     def begun(self) -> None:
         """Its request is written."""
@@ -383,7 +383,7 @@
     def _moved(self) -> None:
         self._host.count(self._request, None)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """The first OK is the client's answer; the module is told of every end."""
         if self._timer is not None:
             self._timer.cancel()
@@ -456,7 +456,7 @@
             self._counted = True
             self._host.figures.ended(self._class, None)
 
-    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
+    def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """The first end is the request's."""
         if self._timer is not None:
             self._timer.cancel()
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -20,12 +20,12 @@
     "refused_conn": api.Outcome.CONNECT_FAILED,
     "severed": api.Outcome.RESET,
     "recalled": api.Outcome.CANCELLED,
-    "superseded": api.Outcome.MOOT,
+    "superseded": api.Outcome.NOT_SENT,
     "lookup_miss": api.Outcome.MISS,
 }
 _LIST_KINDS = (api.ListKind.DELTA, api.ListKind.FULL, api.ListKind.CACHED, api.ListKind.FAILED)
 _STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
-_NOTES = {1: api.CacheNote.HIT, 2: api.CacheNote.MISS, 3: api.CacheNote.FETCH_OUT}
+_NOTES = {1: api.CacheStatus.HIT, 2: api.CacheStatus.MISS, 3: api.CacheStatus.FETCH_PENDING}
 
 
 def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
@@ -75,7 +75,7 @@
         outcome=choice("reply.verdict", _OUTCOMES, fields["verdict"]),
         closed=fields["terminal"],
         latency=fields["timeTakenNs"],
-        note=_NOTES.get(fields.get("note") or 0),
+        cache_status=_NOTES.get(fields.get("note") or 0),
         load=_load(fields.get("feedback")),
     )
 
--- a/tests/crossings/test_slow_start.py
+++ b/tests/crossings/test_slow_start.py
@@ -53,5 +53,5 @@
 
 
 def test_budget_is_exceeded_without_the_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(SlotTable, "warmth", lambda *_: 1.0)
+    monkeypatch.setattr(SlotTable, "slow_start_factor", lambda *_: 1.0)
     assert highest_load(200, "stricter", "a zone") > 1.0
--- a/tests/decisions/replay/codec.py
+++ b/tests/decisions/replay/codec.py
@@ -1,6 +1,6 @@
-"""The simulator's wire, widened by the events, actions and settings that only the real router has.
+"""The simulator's protocol, extended by the events, actions and settings that only the real router has.
 
-The recordings hold JSON of this form, so that a renamed class or module needs a change here and not there.
+The recordings contain JSON in this format, so that a renamed class or field needs a change here only.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def read_widened_settings(facts: Fields) -> api.Settings:
-    """Read settings as the adapter does, and the optional parts under the key `widened`."""
+    """Return settings read as by the adapter, with the optional parts under the key `widened`."""
     widened = facts.get("widened") or {}
     base = read_settings(facts)
     changes: dict[str, Any] = {}
@@ -50,7 +50,7 @@
         latency=fields["timeTakenNs"],
         load=tuple(fields["feedback"]) if fields.get("feedback") else None,
         lag=fields.get("lag", 0),
-        kept=fields.get("kept", False),
+        connection_reused=fields.get("kept", False),
         size=fields.get("size", 0),
     )
 
@@ -65,8 +65,8 @@
 EVENTS = {
     "reply": _attempt_ended,
     "loop": lambda fields: api.LoopReport(**fields),
-    "takeOut": lambda fields: api.ServerOut(fields["server"]),
-    "putBack": lambda fields: api.ServerBack(fields["server"]),
+    "takeOut": lambda fields: api.ServerExcluded(fields["server"]),
+    "putBack": lambda fields: api.ServerReadmitted(fields["server"]),
     "settings": lambda fields: api.SettingsChanged(read_widened_settings(fields)),
     "copied": lambda fields: api.CopyEnded(fields["key"], fields["server"], _OUTCOMES[fields["verdict"]]),
     "dropped": lambda fields: api.InvalidationEnded(
@@ -78,7 +78,7 @@
 
 def _send(action: api.Send) -> Fields:
     fields: Fields = {"corr": action.request, "server": action.server, "patienceNs": action.timeout}
-    return {"transmit": {**fields, "hold": action.hold, "notAfterNs": action.not_after}}
+    return {"transmit": {**fields, "hold": action.defer_answer, "notAfterNs": action.not_after}}
 
 
 ACTIONS = {
@@ -93,14 +93,14 @@
         }
     },
     api.Invalidate: lambda action: {
-        "drop": {"key": action.key, "server": action.server, "turn": action.turn}
+        "drop": {"key": action.key, "server": action.server, "turn": action.sequence}
     },
 }
 
 
 @contextmanager
 def widened() -> Iterator[adapter.Adapter]:
-    """An adapter that speaks the widened wire."""
+    """An adapter that speaks the extended protocol."""
     with (
         mock.patch.dict(adapter._EVENTS, EVENTS),
         mock.patch.dict(adapter._ACTIONS, ACTIONS),
--- a/tests/decisions/test_inheritance.py
+++ b/tests/decisions/test_inheritance.py
@@ -1,4 +1,4 @@
-"""What one process has learnt, taken up by the next, and messages that are no good."""
+"""Transfer of the learnt state to the next process, and rejection of invalid messages."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def experienced(now: int) -> Router:
-    """A router with calls in its window, a limit that was cut, and a server that it ejected."""
+    """Return a router with calls in its window, a reduced limit and an ejected server."""
     router = started(settings(), fleet(4), now=now - 5 * S)
     for i in range(30):
         at = now - S + i * 10 * MS
@@ -24,14 +24,14 @@
     limiter.count(now - 200 * MS, declined=True)
     node = router.caches.nodes[fleet(4)[0].id]
     for i in range(3):
-        router.outliers.judge(
+        router.outliers.learn(
             node, f"x{i}", Outcome.CONNECT_FAILED, now - 50 * MS + i * MS, now - 49 * MS + i * MS
         )
     return router
 
 
 def test_next_process_goes_on_where_the_old_one_stood() -> None:
-    old, begun = experienced(100 * S), 7 * S  # on a clock of its own
+    old, begun = experienced(100 * S), 7 * S  # the new process has its own clock
     message = json.loads(json.dumps(inheritance.export(old, 100 * S)))
     new = started(settings(), fleet(4), now=begun)
     inheritance.restore(new, message, begun)
@@ -44,12 +44,18 @@
     assert limiter.accepted(int(begun + was.window_s * S)) == 0
     bad = fleet(4)[0].id
     assert new.outliers.ejected == old.outliers.ejected == {bad}
-    left = old.outliers.records[bad].until - 100 * S
-    assert new.outliers.records[bad].until == begun + left
+    left = old.outliers.records[bad].ejected_until - 100 * S
+    assert new.outliers.records[bad].ejected_until == begun + left
     for server in fleet(4):
-        held, told = new.caches.nodes[server.id], old.caches.nodes[server.id]
-        assert (held.limit.limit, held.limit.took) == (told.limit.limit, told.limit.took)
-        assert (held.response_time.mean, held.weight_factor) == (told.response_time.mean, told.weight_factor)
+        restored, exported = new.caches.nodes[server.id], old.caches.nodes[server.id]
+        assert (restored.limit.limit, restored.limit.response_time) == (
+            exported.limit.limit,
+            exported.limit.response_time,
+        )
+        assert (restored.response_time.mean, restored.weight_factor) == (
+            exported.response_time.mean,
+            exported.weight_factor,
+        )
 
 
 def test_ejection_that_was_inherited_ends_with_a_trial() -> None:
@@ -66,7 +72,7 @@
     assert bad not in new.outliers.ejected
 
 
-def test_strangers_are_passed_over_and_bounds_are_this_process_s() -> None:
+def test_unknown_entries_are_ignored_and_local_bounds_apply() -> None:
     old, begun = experienced(100 * S), 7 * S
     message = inheritance.export(old, 100 * S)
     message["tenants"]["nobody"] = message["tenants"]["a"]
@@ -78,7 +84,7 @@
     assert new.fetches.rate_limiters["a"].limit == 20.0
     assert set(new.fetches.rate_limiters) == {"a", ""}
     assert len(new.outliers.ejected) == 2, "half of the servers at the most"
-    assert all(record.until <= begun + 60 * S for record in new.outliers.records.values())
+    assert all(record.ejected_until <= begun + 60 * S for record in new.outliers.records.values())
 
 
 GOOD = inheritance.export(experienced(100 * S), 100 * S)
@@ -113,6 +119,6 @@
 
 
 @pytest.mark.parametrize("message", [None, 3, [], "x", {}])
-def test_what_is_no_message_is_told(message: Any) -> None:
+def test_invalid_message_raises(message: Any) -> None:
     with pytest.raises(ValueError, match=r".+"):
         inheritance.restore(started(settings(), fleet(1)), message, S)
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -1,4 +1,4 @@
-"""Placement asked by itself: one request and a time give a server or a reason."""
+"""Placement in isolation: a request and a time give a server or a reason."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 from saltport.decisions import Fail, Outcome, Refuse, RequestArrived, Router, Send, views
 from saltport.decisions.health import Node
 from saltport.decisions.interface import Reason
-from saltport.decisions.placement import CROWDED, OVERFLOW, Suspected
+from saltport.decisions.placement import CROWDED, MAX_OVERFLOW, Suspected
 from saltport.decisions.request import Request
 from tests.decisions.helpers import MS, S, ended, fleet, given_up, only_send, request, settings, started
 
 
 def asked(router: Router, name: str = "r", cls: str = "read", deadline: int = S) -> Request:
-    """A request that the router knows of, but has sent nowhere."""
+    """Return a request that has not been sent yet."""
     event = request(name, cls=cls, deadline=deadline)
     limiter = router.fetches.rate_limiters["a"]
     made = Request(event, router._classes[event.request_class], limiter, 4)
@@ -55,7 +55,7 @@
     router = started(settings(origin_kind=None), servers, origin=False)
     wanted = asked(router, cls="zonal")
     first = ranking(router)[0]
-    wanted.ran, wanted.failed, wanted.not_after = first, (first,), S
+    wanted.possible_effect_node, wanted.failed, wanted.not_after = first, (first,), S
     chosen = router.placement.place(wanted, 0)
     assert isinstance(chosen, Node)
     assert chosen.entry.zone == first.entry.zone
@@ -76,7 +76,7 @@
 def eject(router: Router, server: str) -> None:
     node = router.caches.nodes[server]
     for n in range(3):
-        router.outliers.judge(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
+        router.outliers.learn(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
     assert server in router.outliers.ejected
 
 
@@ -85,14 +85,14 @@
     first, second = ranking(router)[:2]
     eject(router, first.entry.id)
     shown = views.outliers(router.outliers, S // 2)["servers"][first.entry.id]  # type: ignore[index]
-    assert shown["state"] == shown["standing"] == "ejected"  # the second is the old name of the figure
+    assert shown["state"] == shown["standing"] == "ejected"  # `standing` is the old name
     assert router.placement.place(asked(router), S // 2) is second
     later = 10 * S
     assert router.placement.place(asked(router, "one"), later) == Suspected(first)
     assert router.placement.place(asked(router, "two"), later) is second
 
 
-def test_a_request_whose_repeat_would_do_harm_finds_nothing_out() -> None:
+def test_request_that_must_not_be_repeated_is_not_used_for_trials() -> None:
     router = started(settings(origin_kind=None), fleet(6), origin=False)
     first, second = ranking(router)[:2]
     eject(router, first.entry.id)
@@ -104,8 +104,8 @@
     nodes = ranking(router)
     fill(nodes[0])
     assert router.placement.place(asked(router), 0) is nodes[1]
-    assert (router.placement.overflowed, router.placement.crowded > 0) == (1, True)
-    for node in nodes[1 : OVERFLOW + 1]:
+    assert (router.placement.overflowed, router.placement.crowding > 0) == (1, True)
+    for node in nodes[1 : MAX_OVERFLOW + 1]:
         fill(node)
     assert router.placement.place(asked(router), 0) is Reason.SERVERS_FULL
 
@@ -113,7 +113,7 @@
 def test_no_further_server_is_asked_for_room_when_all_are_crowded() -> None:
     router = started(settings(), fleet(8))
     fill(ranking(router)[0])
-    router.placement.crowded = 2 * CROWDED
+    router.placement.crowding = 2 * CROWDED
     assert router.placement.place(asked(router), 0) is Reason.SERVERS_FULL
 
 
@@ -127,7 +127,7 @@
     assert router.placement.place(asked(router), 0) is first
 
 
-def test_figures_refusals_and_failures_tell_the_same_reason() -> None:
+def test_metrics_refusals_and_failures_have_the_same_reason() -> None:
     router = started(settings(), ())
     router.handle(RequestArrived("late", "read", 0, "a", "k"), S)
     (refused,) = router.handle(request("r", S, cls="edit", deadline=S), S)
@@ -138,4 +138,4 @@
     (failed,) = single.handle(ended(send, Outcome.ERROR), 0)
     assert isinstance(failed, Fail)
     assert failed.reason is Reason.TRIES_SPENT
-    assert given_up(views.whole(single, 0)) == {Reason.TRIES_SPENT.value: 1}
+    assert given_up(views.summary(single, 0)) == {Reason.TRIES_SPENT.value: 1}
--- a/tests/hotkeys/test_invalidation.py
+++ b/tests/hotkeys/test_invalidation.py
@@ -15,7 +15,7 @@
 
 
 def ended(invalidate: Invalidate, outcome: Outcome = Outcome.OK) -> InvalidationEnded:
-    return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.turn)
+    return InvalidationEnded(invalidate.key, invalidate.server, outcome, invalidate.sequence)
 
 
 def begin(
