--- a/saltport/decisions/weight_adjustment.py
+++ b/saltport/decisions/weight_adjustment.py
@@ -45,4 +45,7 @@
 
 def keeps_slot(node: Node, slot: int) -> bool:
     """Whether a server keeps the reads of this slot, given its weight factor."""
-    return node.weight_factor >= 1.0 or slot_hash(slot + SLOT_HASH_OFFSET, node.seed) < node.weight_factor * MAX_UINT64
+    return (
+        node.weight_factor >= 1.0
+        or slot_hash(slot + SLOT_HASH_OFFSET, node.seed) < node.weight_factor * MAX_UINT64
+    )
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -65,7 +65,9 @@
                 :depth
             ]
         if any(now < node.slow_start_ends_at for node in row):
-            return sorted(row, key=lambda node: -rendezvous_score(slot, node) * table.slow_start_factor(node, now))
+            return sorted(
+                row, key=lambda node: -rendezvous_score(slot, node) * table.slow_start_factor(node, now)
+            )
         return row
 
 
