--- a/benchmarks/scale/connections.py
+++ b/benchmarks/scale/connections.py
@@ -35,7 +35,7 @@
     router,
 )
 from saltport.standins.profile import Profile
-from saltport.upstream.pool import IDLE_SHARE, PER_SERVER
+from saltport.upstream.pool import IDLE_SHARE, MAX_CONNECTIONS_PER_SERVER
 
 RATE_PER_S = 594.0
 PAUSE_MS = (35.0, 64.0)
@@ -64,7 +64,7 @@
     """Open connections and handshakes of one router whose requests spread evenly over so many servers."""
     rate = rate_per_s / servers
     work, is_open, handshakes = rate * answer_s, 0.0, 0.0
-    for stage in range(PER_SERVER):
+    for stage in range(MAX_CONNECTIONS_PER_SERVER):
         reaching = rate * overflow(stage, work)
         gap = math.exp(-reaching * idle_s)  # nothing reached it for as long as it may stand idle
         handshakes += reaching * gap
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -83,7 +83,7 @@
         dial, idle = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
         self._pool = Pool(loop, descriptors - for_clients, dial, idle)
         self._host = RouterHost(loop, config.settings, config.seed, self._pool, config.max_open)
-        self._pool.touched = self._host.touched
+        self._pool.on_event = self._host.touched
         self._memcached = _memcached(config.memcached) if config.memcached.on else None
         budget = int(config.memory * BUDGET_SHARE)
         self._clients = ClientServer(loop, self._host, self._dialect(), for_clients, budget)
@@ -209,7 +209,7 @@
         """Another process of this router has come or gone."""
         assert self._takeover is not None
         log.info("another process of this router %s", "runs beside" if self._takeover.shared else "has ended")
-        self._pool.share(self._takeover.shared)
+        self._pool.set_shared(self._takeover.shared)
 
     # The list of servers
 
@@ -255,7 +255,7 @@
             "shared": self._takeover is not None and self._takeover.shared,
             "taken_over": self._takeover.taken if self._takeover is not None else 0,
             "servers_may_hold": self._pool.limit,
-            "late": self._pool.late,
+            "late": self._pool.late_connection_count,
         }
         known = {"generation": self._discovery.generation, "peers": self.peers(), "owners": self.owners()}
         return {**about, **now, **known, **self._host.view()}
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -168,7 +168,7 @@
 
     def dialing(self, server_id: str) -> bool:
         """Whether a connection to this server is coming up."""
-        return self._pool.dialing(server_id)
+        return self._pool.is_dialing(server_id)
 
     # Clients
 
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -208,7 +208,7 @@
         self._came_at = self._begun_relay = self._host.loop.time()
         self._timer = self._host.loop.call_later(STALL_S, self._check_stall)
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         """Pass a part of a long value on."""
         if self._source is not None:
             # Danger: what was on its way when the client was full says nothing of what follows; counted, a
@@ -307,7 +307,7 @@
 
     def _wait_anew(self, now: int) -> None:
         """Its server has not been asked yet, as this machine could not: from now on it has its whole time."""
-        self.held_back, self._was_held_back = False, True
+        self.waits_for_resources, self._was_held_back = False, True
         self._due = min(now + self._patience, self._request.deadline.at_ns)
         self._timer = self._host.call_at(self._due, self._timed_out)
 
@@ -319,7 +319,7 @@
         """
         host, now = self._host, time.monotonic_ns()
         host.touched()
-        if self.held_back and not self._request.deadline.expired(now):
+        if self.waits_for_resources and not self._request.deadline.expired(now):
             self._wait_anew(now)
             return
         late = now - self._due
@@ -336,17 +336,17 @@
                 self._timer = host.loop.call_later(LOOK_S, self._timed_out)
                 return
         # One that waits for a free connection never ran, and tells nothing of its server.
-        queued = not self._begun_at and (self.held_back or not host.dialing(self._server))
+        queued = not self._begun_at and (self.waits_for_resources or not host.dialing(self._server))
         if self._begun_at and self._request.deadline.expired(now):
-            self.leave(Outcome.TIMEOUT, host.late_s)
+            self.abandon(Outcome.TIMEOUT, host.late_s)
         else:
             self.give_up(Outcome.MOOT if queued else Outcome.TIMEOUT)
 
-    def begun(self) -> None:
+    def request_written(self) -> None:
         """Its request is written."""
         self._begun_at = time.monotonic_ns()
         self._request.queued = None
-        if self.held_back or self._was_held_back:
+        if self.waits_for_resources or self._was_held_back:
             if self._timer is not None:
                 self._timer.cancel()
             # Danger: counted in, the wait for this machine would pass for the server's slowness.
@@ -361,7 +361,7 @@
         """How long it took until now, and this router's own part of that."""
         now = time.monotonic_ns()
         took = now - self._sent_at
-        return took, min(self._lag() + self._host.lag.unread(now) + self.unread_ns, took)
+        return took, min(self._lag() + self._host.lag.unread(now) + self.read_delay_ns, took)
 
     def value_started(self, length: int, source: ValueSource) -> None:
         """Begin the client's answer with a long value."""
@@ -417,7 +417,7 @@
             note,
             read_report(self.report, self._host.settings.load_fields) if self.report else None,
             lag,
-            self.kept,
+            self.connection_reused,
             self._size if value is None else len(value),
             unsent,
         )
--- a/saltport/upstream/__init__.py
+++ b/saltport/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""Cache servers and the origin: the pool, its connections, and one dialect for each kind."""
+"""Connections to cache servers and the origin: the pool, and one dialect for each kind of server."""
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -1,4 +1,4 @@
-"""Exchanges with cache servers and the origin, the connections that carry them, and where those lead."""
+"""Exchanges with cache servers and the origin, the connections that carry them, and their servers."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from saltport.messages import Request, ValueSource
 from saltport.transport.readiness import Readiness
 from saltport.transport.stream import StreamProtocol, TcpStream
-from saltport.upstream.second_connection import SecondConnection
-from saltport.upstream.shortage_pauses import ShortagePauses
+from saltport.upstream.second_connection import SecondConnectionPolicy
+from saltport.upstream.shortage_backoff import ShortageBackoff
 
-HALF_SENT_S = 0.1
-"""For which a request may stand half written for want of memory here: the time that it tells grows old."""
+HALF_SENT_TIMEOUT_S = 0.1
+"""Limit for a request that is half written because this machine lacks memory: its stated time goes stale."""
 
 log = logging.getLogger("saltport")
 
 
-class Start(Enum):
-    """What came of the start of an exchange."""
+class StartResult(Enum):
+    """Result of an attempt to start an exchange."""
 
     STARTED = "started"
     TOO_LATE = "its time is over, and nothing was done"
@@ -37,114 +37,114 @@
 
 
 class ConnectionOwner(Protocol):
-    """What connections need of the pool that they belong to."""
+    """The part of the pool that connections use."""
 
     loop: asyncio.AbstractEventLoop
     sends: int
-    """Attempts whose last byte the kernel has taken."""
+    """Number of attempts whose last byte has been passed to the kernel."""
     idle_limit: float
-    """Seconds after which a connection that carries nothing is closed."""
+    """Seconds after which an idle connection is closed."""
 
     @property
-    def touched(self) -> Callable[[], None]:
-        """Called at each event that the kernel had for a connection, before it is dealt with."""
+    def on_event(self) -> Callable[[], None]:
+        """Called for each event that the kernel reports for a connection, before the event is handled."""
 
-    def released(self, connection: Connection) -> None:
-        """A connection is free."""
+    def release(self, connection: Connection) -> None:
+        """Take back a connection whose exchange has ended."""
 
-    def lost(self, connection: Connection) -> None:
-        """A connection has ended."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a connection that has closed."""
 
     def descriptor_freed(self) -> None:
-        """A descriptor is free, or can be had."""
+        """Use a descriptor that is free or can be freed."""
 
 
 class Exchange:
-    """One command or HTTP request to a server and what comes of it; told of its end exactly once."""
+    """One command or HTTP request to a server and its answer; `ended` is called exactly once."""
 
     connection: Connection | None = None
     over = False
     request: Request | None = None
-    """What is asked; None: a probe, or a plain command."""
+    """The client's request; None for a probe or a plain command."""
     wants_load = False
-    """Whether a probe asks for the load report, and not only for a sign of life."""
+    """Whether a probe asks for the load report, and not only whether the server is alive."""
     report: bytes | None = None
-    """The load report that came with the answer, as it came."""
-    kept = False
-    """Whether the connection had carried others before."""
-    held_back = False
-    """Whether it waits because this machine has no resources to ask its server, which knows nothing of it."""
-    unread_ns = 0
-    """For how long its answer may have lain in the kernel, as this machine had no memory for a read."""
+    """The raw load report from the answer, if there was one."""
+    connection_reused = False
+    """Whether the connection had carried another exchange before this one."""
+    waits_for_resources = False
+    """Whether the exchange waits, unsent, as this machine lacks resources for a connection or a write."""
+    read_delay_ns = 0
+    """Time for which the answer may have been in the kernel while this machine lacked memory to read it."""
 
     @abstractmethod
     def remaining_ms(self) -> int:
-        """What is left of its time in whole milliseconds, rounded down; 0: its request may not leave.
+        """Return the time left in milliseconds, rounded down; 0 if the request must not be sent.
 
-        Danger: what decided on it was told of another moment; a dial or a queue may take its whole time.
-        So it is asked where the bytes leave, and they tell what it says.
+        Danger: a dial or a queue may use up all of the time since the decision to send. So this is called
+        when the request is written, and the request carries the result.
         """
 
     def plain_command(self, remaining_ms: int) -> tuple[bytes, ...]:
-        """The words of a command of the node's own, which no client sent; empty: it is none."""
+        """Return the words of a command that the router itself issues; empty for any other exchange."""
         return ()
 
-    def begun(self) -> None:
-        """Its request is written to a connection."""
+    def request_written(self) -> None:
+        """Called when the request has been written to a connection."""
 
     @abstractmethod
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """Take the end."""
+        """Called once, when the exchange ends, with its outcome and the answer's value, if it has one."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
-        """Take the start of a value over 64 KiB."""
+        """Called when a value over 64 KiB begins, with its length and the source that can pause it."""
 
-    def value_came(self, data: bytes) -> None:
-        """Take a part of it."""
+    def value_received(self, data: bytes) -> None:
+        """Called with each part of a value that `value_started` announced."""
 
     def end(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """Take the first end; later ones are dropped."""
+        """End the exchange, unless it has ended already."""
         if not self.over:
             self.over, self.connection = True, None
             self.ended(outcome, value, note)
 
     def give_up(self, outcome: Outcome) -> None:
-        """Stop waiting."""
+        """End the exchange and close its connection."""
         connection = self.connection
         if connection is not None:
             connection.close()
             connection.exchange = None
         self.end(outcome)
 
-    def leave(self, outcome: Outcome, wait_s: float) -> None:
-        """Stop waiting, and leave the connection to the late answer for so many seconds.
+    def abandon(self, outcome: Outcome, wait_s: float) -> None:
+        """End the exchange, and keep its connection open for the late answer for `wait_s` seconds.
 
-        Danger: only for a request that is over; another attempt would be a second copy while this one is out.
+        Danger: only for a request that is over: another attempt would run beside this one, as a second copy.
         """
         connection = self.connection
         if connection is None or connection.unsent or not connection.usable:
             self.give_up(outcome)
             return
-        connection.leave(LateAnswer(self), wait_s)
+        connection.await_late_answer(LateAnswer(self), wait_s)
         self.end(outcome)
 
 
 class LateAnswer(Exchange):
-    """Takes the answer to an attempt whose request is over: it is nobody's, but its connection is good."""
+    """Discards the late answer to an attempt whose request is over, so that its connection can be reused."""
 
     def __init__(self, late: Exchange) -> None:
         self.request = late.request
 
     def remaining_ms(self) -> int:
-        """It is never sent: its request left long ago."""
+        """Return 0: the request was sent before, and is never sent again."""
         return 0
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """Nobody waits for it."""
+        """Discard the answer."""
 
 
 class Connection(StreamProtocol):
-    """One connection, with at most one exchange on it: an answer never waits behind another's."""
+    """One connection to a server, with at most one exchange at a time."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -152,35 +152,39 @@
         self.transport: TcpStream | None = None
         self.idle_since = 0.0
         self.started_at = 0.0
-        """When its last exchange began, by the loop's clock."""
-        self._arrivals: Readiness | None = None
-        self.kept = False
+        """Start time of the latest exchange, on the loop's clock; 0 before the first one."""
+        self._readiness: Readiness | None = None
+        self.used_before = False
         self.unsent = False
         self.retired = False
         self._paused = False
-        self._within = False
-        """Whether a part of an answer is being read just now."""
+        self._is_reading = False
+        """Whether `data_received` is running."""
         self._late_timer: asyncio.TimerHandle | None = None
         self._half_sent_timer: asyncio.TimerHandle | None = None
         self._unread_since_ns = 0
-        self._counts = 0  # 1: what is written is an attempt, and counts once the kernel has its last byte
+        self._counts_as_send = (
+            0  # 1 for an attempt, which is counted once the kernel has its last byte, else 0
+        )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport; a limit of 0 tells precisely whether the kernel has taken every byte."""
+        """Store the transport; its write limit of 0 shows exactly whether the kernel has taken every byte."""
         self.transport = cast(TcpStream, transport)
         self.transport.set_write_buffer_limits(high=0)
-        end = transport.get_extra_info("socket")
-        self._arrivals = Readiness(end, select.POLLIN | select.POLLRDHUP)
+        sock = transport.get_extra_info("socket")
+        self._readiness = Readiness(sock, select.POLLIN | select.POLLRDHUP)
 
     def pause_writing(self) -> None:
-        """The kernel has not taken every byte yet."""
+        """Note that the kernel has not taken every byte yet."""
         self.unsent = True
-        self.server.pool.sends -= self._counts
+        self.server.pool.sends -= self._counts_as_send
 
     def write_held_up(self) -> None:
-        """See StreamProtocol; a request that stands half written never ran, and may begin anew elsewhere."""
+        """Start a timeout for the request: half written, it has not run, and may be sent elsewhere."""
         if self._half_sent_timer is None:
-            self._half_sent_timer = self.server.pool.loop.call_later(HALF_SENT_S, self._give_up_half_sent)
+            self._half_sent_timer = self.server.pool.loop.call_later(
+                HALF_SENT_TIMEOUT_S, self._give_up_half_sent
+            )
 
     def _give_up_half_sent(self) -> None:
         self._half_sent_timer = None
@@ -189,98 +193,99 @@
             exchange.give_up(Outcome.MOOT)
 
     def read_held_up(self) -> None:
-        """See StreamProtocol."""
+        """Note since when this machine lacks the memory to read."""
         self._unread_since_ns = self._unread_since_ns or time.monotonic_ns()
 
-    def _read_again(self) -> None:
-        """Reading goes on, or is over: what lay in the kernel meanwhile is none of the server's time."""
+    def _end_read_delay(self) -> None:
+        """Add the time since reading failed to the exchange, which does not count it as the server's time."""
         if self._unread_since_ns:
             if self.exchange is not None:
-                self.exchange.unread_ns += time.monotonic_ns() - self._unread_since_ns
+                self.exchange.read_delay_ns += time.monotonic_ns() - self._unread_since_ns
             self._unread_since_ns = 0
 
     def resume_writing(self) -> None:
-        """The kernel has every byte."""
+        """Note that the kernel has taken every byte."""
         if self._half_sent_timer is not None:
             self._half_sent_timer.cancel()
             self._half_sent_timer = None
         self.unsent = False
-        self.server.pool.sends += self._counts
+        self.server.pool.sends += self._counts_as_send
 
     @property
     def usable(self) -> bool:
-        """Whether another exchange may start here."""
+        """Whether the connection is open and not retired."""
         return not self.retired and self.transport is not None and not self.transport.is_closing()
 
     @property
     def reusable(self) -> bool:
-        """Whether nothing has come since the last answer.
+        """Whether another exchange may start: the connection is usable and nothing is unread.
 
-        Danger: the loop may not have seen yet that the server has closed, and a request written then counts
-        as one that may have run; or that a second answer came, which the next request would take for its own.
+        Danger: the loop may not have seen yet that the server has closed the connection, and a request
+        written then counts as one that may have run; or that a surplus answer came, which would be taken for
+        that of the next request.
         """
         return self.usable and not self.unread
 
     @property
     def unread(self) -> bool:
-        """Whether the kernel has something that the loop has not read yet, be it an end."""
-        if self._arrivals is None or self.transport is None or self.transport.is_closing():
+        """Whether the kernel has data, or the end of the connection, that the loop has not read yet."""
+        if self._readiness is None or self.transport is None or self.transport.is_closing():
             return False
-        return self._arrivals.now()
+        return self._readiness.now()
 
-    def start(self, exchange: Exchange) -> Start:
+    def start(self, exchange: Exchange) -> StartResult:
         """Write the exchange's request.
 
-        The kernel has the bytes within this call, or its buffer is full: none waits here for a turn's end.
+        The bytes go to the kernel within this call, except those that its buffer has no room for.
         """
         assert self.transport is not None
         remaining_ms = exchange.remaining_ms()
         if not remaining_ms:
-            return Start.TOO_LATE
+            return StartResult.TOO_LATE
         request_bytes = self.request_bytes(exchange, remaining_ms)
-        self._counts = int(exchange.request is not None)
-        self.server.pool.sends += self._counts
+        self._counts_as_send = int(exchange.request is not None)
+        self.server.pool.sends += self._counts_as_send
         if not self.transport.write_whole_or_later(request_bytes):
-            self.server.pool.sends -= self._counts
-            return Start.SHORTAGE
-        self.exchange, exchange.connection, exchange.kept = exchange, self, self.kept
+            self.server.pool.sends -= self._counts_as_send
+            return StartResult.SHORTAGE
+        self.exchange, exchange.connection, exchange.connection_reused = exchange, self, self.used_before
         self.started_at = self.server.pool.loop.time()
         if self.transport.is_closing() and not self.unsent:
-            # The kernel refused the first byte, and so all; the connection's end is told in a moment.
+            # The kernel refused the first byte, so none was sent; `connection_lost` follows.
             self.pause_writing()
-        exchange.begun()
-        return Start.STARTED
+        exchange.request_written()
+        return StartResult.STARTED
 
-    def leave(self, late: LateAnswer, wait_s: float) -> None:
-        """Wait for an answer that nobody wants any more, to carry others after it."""
-        self._read_again()
+    def await_late_answer(self, late: LateAnswer, wait_s: float) -> None:
+        """Wait up to `wait_s` seconds for the answer to an abandoned exchange, then close."""
+        self._end_read_delay()
         self.exchange, late.connection = late, self
-        self.server.late[self] = None
+        self.server.late_connections[self] = None
         self.server.pool.descriptor_freed()
         self._late_timer = self.server.pool.loop.call_later(wait_s, self.close)
 
     def flow(self) -> Flow | None:
-        """Where it stands within a long value; None: within none."""
+        """Return the state of the long value that is being read; None if there is none."""
         return None
 
-    def go_on(self, flow: Flow) -> None:
-        """Read on from where another process has stopped."""
+    def resume_value(self, flow: Flow) -> None:
+        """Continue to read a long value from the state in which another process stopped."""
         raise NotImplementedError
 
     @property
     def movable(self) -> bool:
-        """Whether another process could read on here."""
-        # Danger: within a read, the part of it that is not passed on yet would be in nobody's hands.
-        alive = self.transport is not None and not self.transport.is_closing() and not self._within
+        """Whether another process can take over this connection within a long value."""
+        # Danger: during `data_received`, the part not yet passed on would be lost to both processes.
+        alive = self.transport is not None and not self.transport.is_closing() and not self._is_reading
         return alive and not self.unsent and self.exchange is not None and self.flow() is not None
 
     def copy_descriptor(self) -> int:
-        """A descriptor of its socket that is the caller's. Raises OSError where there is none to be had."""
+        """Return a duplicate of the socket's descriptor for the caller. Raises OSError if none is free."""
         assert self.transport is not None
         return os.dup(self.transport.get_extra_info("socket").fileno())
 
     def suspend(self) -> Flow:
-        """Read no more, for whoever has a copy of its descriptor; returns where it stands."""
+        """Close this copy of the connection, and return the state from which another process reads on."""
         flow = self.flow()
         assert flow is not None
         self.exchange = None
@@ -288,43 +293,43 @@
         return flow
 
     def close(self) -> None:
-        """Close at once; what is unsent is dropped."""
+        """Close at once; unsent bytes are dropped."""
         self.retired = True
-        self._read_again()
-        self._no_longer_late()
+        self._end_read_delay()
+        self._clear_late()
         if self.transport is not None:
             self.transport.abort()
 
     def pause(self) -> None:
-        """Read no more for now."""
+        """Pause reading."""
         if not self._paused:
             self._paused = True
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.pause_reading()
 
     def resume(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self._paused:
             self._paused = False
             if self.transport is not None and not self.transport.is_closing():
                 self.transport.resume_reading()
 
-    def _no_longer_late(self) -> None:
-        if self.server.late.pop(self, self) is None and self._late_timer is not None:
+    def _clear_late(self) -> None:
+        if self.server.late_connections.pop(self, self) is None and self._late_timer is not None:
             self._late_timer.cancel()
 
     def finish(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """End the exchange on this connection, which may take another."""
-        exchange, self.exchange, self.kept = self.exchange, None, True
-        self._no_longer_late()
-        # Danger: the last part of a value may find its client full; the next exchange would never be read.
+        """End the exchange with its outcome, and give the connection back to the pool."""
+        exchange, self.exchange, self.used_before = self.exchange, None, True
+        self._clear_late()
+        # Danger: a slow client may have paused reading at a value's end; the next answer would not be read.
         self.resume()
-        self.server.pool.released(self)
+        self.server.pool.release(self)
         if exchange is not None:
             exchange.end(outcome, value, note)
 
-    def spoil(self, reason: str) -> None:
-        """End a connection whose answers can't be followed; its request may have run."""
+    def close_with_error(self, reason: str) -> None:
+        """Log the reason, close the connection, and end its exchange as failed; its request may have run."""
         log.warning("%s: %s", self.server.id, reason)
         exchange, self.exchange = self.exchange, None
         self.close()
@@ -332,63 +337,63 @@
             exchange.end(Outcome.ERROR)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the answer under way."""
-        self.server.pool.touched()
-        self._read_again()
+        """Read a part of the current answer."""
+        self.server.pool.on_event()
+        self._end_read_delay()
         if self.exchange is None:
             if self.usable:
-                self.spoil("sent an answer that nobody asked for")
+                self.close_with_error("sent an answer without a request")
             return
-        self._within = True
+        self._is_reading = True
         try:
-            self.answer_came(data)
+            self.answer_received(data)
         except Exception:
             log.exception("%s: reading an answer failed", self.server.id)
-            self.spoil("reading an answer failed")
+            self.close_with_error("reading an answer failed")
         finally:
-            self._within = False
+            self._is_reading = False
 
     @abstractmethod
     def request_bytes(self, exchange: Exchange, remaining_ms: int) -> bytes:
-        """Write the exchange's request or probe down as the server reads it, with so much time left to it."""
+        """Return the request or probe in the server's protocol, with `remaining_ms` as its time left."""
 
     @abstractmethod
-    def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer."""
+    def answer_received(self, data: bytes) -> None:
+        """Parse a part of the answer."""
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the exchange: it never ran if a byte of it was still unsent."""
+        """End the exchange; if a byte of its request was still unsent, it did not run."""
         self.retired = True
-        self._read_again()
-        self._no_longer_late()
+        self._end_read_delay()
+        self._clear_late()
         if self._half_sent_timer is not None:
             self._half_sent_timer.cancel()
         exchange, self.exchange = self.exchange, None
-        self.server.pool.lost(self)
+        self.server.pool.remove(self)
         if exchange is not None:
             exchange.end(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET)
 
 
 class Server:
-    """One listed server as the pool sees it."""
+    """One server, with its connections, dials and queued exchanges."""
 
     def __init__(
         self, pool: ConnectionOwner, server_id: str, address: Address, connect: Callable[[Server], Connection]
     ):
         self.pool, self.id, self.address, self.connect = pool, server_id, address, connect
-        self.open = True
+        self.is_listed = True
         self.idle: list[Connection] = []
         self.connections: set[Connection] = set()
         self.dials: set[asyncio.Task[None]] = set()
-        self.shortage_pauses = ShortagePauses(pool.loop)
-        self.second = SecondConnection(pool.idle_limit)
-        self.dial_held: asyncio.TimerHandle | None = None
-        """Runs while the only request in the queue waits for the only connection."""
-        self.late: dict[Connection, None] = {}
-        """Those that wait for an answer that nobody wants, the oldest first."""
-        self.waiting: deque[Exchange] = deque()
+        self.shortage_backoff = ShortageBackoff(pool.loop)
+        self.second_connection = SecondConnectionPolicy(pool.idle_limit)
+        self.dial_delay_timer: asyncio.TimerHandle | None = None
+        """Delays a second dial while the only queued exchange waits for the only connection."""
+        self.late_connections: dict[Connection, None] = {}
+        """Connections that wait for the answer to an abandoned exchange, the oldest first."""
+        self.queue: deque[Exchange] = deque()
 
     @property
-    def held(self) -> int:
-        """Descriptors in use."""
+    def descriptor_count(self) -> int:
+        """Number of descriptors in use, by connections and dials."""
         return len(self.connections) + len(self.dials)
--- a/saltport/upstream/http.py
+++ b/saltport/upstream/http.py
@@ -1,4 +1,4 @@
-"""Connections to the origin, which speaks HTTP/1.1."""
+"""Connections to the origin, over HTTP/1.1."""
 
 from __future__ import annotations
 
@@ -11,58 +11,64 @@
 from saltport.wire.resp import LARGE, MAX_VALUE, info_with
 
 _NEVER_RAN = (503, 504)
-KEY_SAFE = "/:@!$&'()*+,;=-._~"  # what a path may hold as it is
+KEY_SAFE = "/:@!$&'()*+,;=-._~"  # characters that a path may contain unescaped
 
 
 class OriginConnection(Connection, HttpReader):
-    """Speaks HTTP with the origin, one request at a time."""
+    """An HTTP connection to the origin, with one request at a time."""
 
     def __init__(self, server: Server) -> None:
         Connection.__init__(self, server)
         HttpReader.__init__(self)
         self._body = bytearray()
         self._streaming = False
-        self._length = self._left = 0  # of a long value
+        self._length = self._left = 0  # bytes of a long value, in all and left to read
 
     def flow(self) -> Flow | None:
-        """See Connection."""
+        """Return the state of the long value that is being read; None if there is none."""
         if not self._streaming:
             return None
         server = self.server
         closes = self.retired or not self.stays_open
         return Flow("origin", server.id, server.address, self._length, self._left, "", closes=closes)
 
-    def go_on(self, flow: Flow) -> None:
-        """See Connection: the parser is told of an answer that has just what is left."""
+    def resume_value(self, flow: Flow) -> None:
+        """Continue a long value: the parser gets the head of an answer whose length is the part left."""
         self._streaming = True
         self._length, self._left = flow.length, flow.left
         self.read(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % flow.left)
 
     def request_bytes(self, exchange: Exchange, remaining_ms: int) -> bytes:
-        """A read as GET, a write as PUT, with the client's list, whose `d` tells what is left; or a probe."""
-        asked, (host, port) = exchange.request, self.server.address
-        if asked is None:
+        """Return a GET for a read, a PUT for a write, or a probe; `d` in Request-Info is the time left."""
+        client_request, (host, port) = exchange.request, self.server.address
+        if client_request is None:
             return request("GET", "/stats" if exchange.wants_load else "/health/live", f"{host}:{port}")
-        method = "GET" if asked.value is None else "PUT"
+        method = "GET" if client_request.value is None else "PUT"
         headers = b"Request-Id: %b\r\nRequest-Info: %b\r\n" % (
-            asked.id,
-            info_with(asked.info, remaining_ms),
+            client_request.id,
+            info_with(client_request.info, remaining_ms),
+        )
+        return request(
+            method,
+            "/" + quote(client_request.key, safe=KEY_SAFE),
+            f"{host}:{port}",
+            headers,
+            client_request.value,
         )
-        return request(method, "/" + quote(asked.key, safe=KEY_SAFE), f"{host}:{port}", headers, asked.value)
 
-    def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer."""
+    def answer_received(self, data: bytes) -> None:
+        """Parse a part of the answer."""
         try:
-            whole = self.read(data)
+            complete = self.read(data)
         except HttpError as error:
-            self.spoil(f"broke the protocol: {error}")
+            self.close_with_error(f"broke the protocol: {error}")
             return
-        if whole:
+        if complete:
             self._answered()
 
     def eof_received(self) -> bool:
-        """The origin has ended, which is the end of an answer that names none."""
-        self.server.pool.touched()
+        """Finish an answer without a stated length when the origin closes its side."""
+        self.server.pool.on_event()
         if self.exchange is not None and self.ended():
             self._answered()
         return False
@@ -82,9 +88,9 @@
             self.finish(Outcome.ERROR)
 
     def body_starts(self, length: int | None) -> None:
-        """Pass a long value on as it comes; a short one, or one of unknown length, is gathered."""
+        """Stream a long value to the exchange; buffer a short one, or one of unknown length."""
         if self._streaming:
-            return  # goes on
+            return  # continues a value from another process
         if length is not None and length > MAX_VALUE:
             raise HttpError("value too long")
         if length is not None and length > LARGE and self.status == 200 and self.exchange is not None:
@@ -93,11 +99,11 @@
             self.exchange.value_started(length, self)
 
     def body_came(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Pass on or buffer a part of the body."""
         if self._streaming:
             self._left -= len(data)
             if self.exchange is not None:
-                self.exchange.value_came(data)
+                self.exchange.value_received(data)
             return
         self._body += data
         if len(self._body) > MAX_VALUE:
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to cache servers and the origin: what runs on which, and who is dialed."""
+"""The pool of connections to cache servers and the origin: assigns exchanges to connections, and dials."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 from saltport.transport import shortage
 from saltport.transport.dialing import dial
 from saltport.transport.stream import TcpStream
-from saltport.upstream.connection import Connection, Exchange, Server, Start
+from saltport.upstream.connection import Connection, Exchange, Server, StartResult
 
-PER_SERVER = 16
-IDLE_SHARE = 0.6
-SWEEP_S = 0.5
-LATE_NOTICE_S = 0.02  # a timer this late means that the loop was held up, and news may wait in the kernel
+MAX_CONNECTIONS_PER_SERVER = 16
+IDLE_SHARE = 0.6  # part of `idle_close` after which an idle connection is closed
+SWEEP_INTERVAL_S = 0.5
+MAX_TIMER_DELAY_S = 0.02  # a later timer means a blocked loop, with unread events in the kernel
 
 
 class Pool:
-    """Deals exchanges out to connections, within the share of descriptors that servers have."""
+    """Assigns exchanges to connections, within the limit on descriptors for server connections."""
 
     def __init__(
         self,
@@ -32,59 +32,62 @@
         dial_timeout: float,
         idle_close: float,
     ) -> None:
-        self.touched: Callable[[], None] = lambda: None
-        """Called at each event that the kernel had for a connection, before it is dealt with."""
+        self.on_event: Callable[[], None] = lambda: None
+        """Called for each event that the kernel reports for a connection, before the event is handled."""
         self.loop, self.limit, self._dial_timeout = loop, limit, dial_timeout
-        self._whole_limit = limit
+        self._full_limit = limit
         self.idle_limit = idle_close * IDLE_SHARE
         self._servers: dict[str, Server] = {}
         self.sends = 0
-        """Attempts whose last byte the kernel has taken."""
-        self._held = 0
-        self._short: dict[Server, None] = {}
-        """Servers that could not be dialed for want of a descriptor, the first one first."""
-        self._sweep_timer = loop.call_later(SWEEP_S, self._sweep)
+        """Number of attempts whose last byte has been passed to the kernel."""
+        self._descriptor_count = 0
+        self._waiting_for_descriptor: dict[Server, None] = {}
+        """Servers that could not be dialed because no descriptor was free, in order of arrival."""
+        self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def list_server(self, server_id: str, address: Address, connect: Callable[[Server], Connection]) -> None:
-        """A server may be sent to, at this address."""
+        """Add a server that may receive requests, or change its address."""
         server = self._servers.get(server_id)
         if server is None:
             self._servers[server_id] = Server(self, server_id, address, connect)
             return
         if server.address != address:
-            # Danger: connections to the old address would go on carrying what is meant for the new one.
+            # Danger: connections to the old address would still carry requests meant for the new one.
             server.address = address
             self._retire(server)
-        server.open = True
+        server.is_listed = True
 
     def unlist_server(self, server_id: str) -> None:
-        """A server drains or is gone: it finishes what it has, and nothing waits for it any longer."""
+        """Stop sending to a server that drains or was removed.
+
+        Exchanges on its connections finish; queued exchanges fail at once.
+        """
         server = self._servers.get(server_id)
         if server is not None:
-            server.open = False
+            server.is_listed = False
             self._retire(server)
-            # Danger: what waits for a connection would be sent after the drain's grace, when one is free.
-            waiting, server.waiting = server.waiting, deque()
-            for exchange in waiting:
+            # Danger: queued exchanges would be sent once a connection is free, after the drain's grace.
+            queued, server.queue = server.queue, deque()
+            for exchange in queued:
                 exchange.end(Outcome.CONNECT_FAILED)
-            self._forget(server)
+            self._remove_if_unused(server)
 
     def _retire(self, server: Server) -> None:
-        """Use the server's connections no more: idle ones close now, busy ones after their answer."""
+        """Stop reusing the server's connections: idle ones close now, busy ones after their answer."""
         for connection in server.connections:
             connection.retired = True
         while server.idle:
             server.idle.pop().close()
 
-    def dialing(self, server_id: str) -> bool:
-        """Whether a connection to this server is coming up, so that what waits does so for the server."""
+    def is_dialing(self, server_id: str) -> bool:
+        """Whether a connection to this server is being established."""
         server = self._servers.get(server_id)
         return server is not None and bool(server.dials)
 
     def submit(self, server_id: str, exchange: Exchange) -> None:
-        """Start an exchange on an idle connection, or have it wait for one."""
+        """Start an exchange on an idle connection, or queue it until a connection is free."""
         server = self._servers.get(server_id)
-        if server is None or not server.open:
+        if server is None or not server.is_listed:
             exchange.end(Outcome.CONNECT_FAILED)
             return
         oldest = self.loop.time() - self.idle_limit
@@ -92,183 +95,192 @@
             connection = server.idle.pop()
             if connection.reusable and connection.idle_since >= oldest:
                 start = self._start(connection, exchange)
-                if start is not Start.STARTED:
+                if start is not StartResult.STARTED:
                     server.idle.append(connection)
-                if start is Start.SHORTAGE:
-                    server.waiting.append(exchange)
-                    self._try_later(server)
+                if start is StartResult.SHORTAGE:
+                    server.queue.append(exchange)
+                    self._retry_after_pause(server)
                 return
             connection.close()
         if not exchange.remaining_ms():
             exchange.end(Outcome.MOOT)
             return
-        exchange.held_back = server.shortage_pauses.waiting
-        server.waiting.append(exchange)
-        if not self._waits_for_the_only_connection(server):
+        exchange.waits_for_resources = server.shortage_backoff.is_backing_off
+        server.queue.append(exchange)
+        if not self._wait_for_only_connection(server):
             self._dial_for(server)
 
-    def _waits_for_the_only_connection(self, server: Server) -> bool:
-        """Whether the request that came last waits a moment before a second connection is made for it."""
-        if len(server.connections) != 1 or len(server.waiting) != 1 or server.dials or server.late:
+    def _wait_for_only_connection(self, server: Server) -> bool:
+        """Whether the latest exchange waits for the only connection before a second one is dialed for it."""
+        if len(server.connections) != 1 or len(server.queue) != 1 or server.dials or server.late_connections:
             return False
-        wait_s = server.second.wait_s(self.loop.time())
+        wait_s = server.second_connection.dial_delay_s(self.loop.time())
         if wait_s:
-            server.dial_held = self.loop.call_later(wait_s, self._dial_after_all, server)
+            server.dial_delay_timer = self.loop.call_later(wait_s, self._dial_after_delay, server)
         return wait_s > 0
 
-    def _dial_after_all(self, server: Server) -> None:
-        server.dial_held = None
+    def _dial_after_delay(self, server: Server) -> None:
+        server.dial_delay_timer = None
         self._dial_for(server)
 
     def adopt(
         self, flow: Flow, descriptor: int, connect: Callable[[Server], Connection], exchange: Exchange
     ) -> Connection:
-        """Go on with a value that another process began; its server need not be listed any more."""
+        """Continue a value that another process began to read, on the connection's descriptor.
+
+        The server may have left the list since; the connection then closes after the value.
+        """
         server = self._servers.get(flow.server)
         if server is None:
             server = self._servers[flow.server] = Server(self, flow.server, flow.address, connect)
-            server.open = False
+            server.is_listed = False
         connection = connect(server)
-        connection.retired = flow.closes or not server.open or server.address != flow.address
-        connection.kept = True
+        connection.retired = flow.closes or not server.is_listed or server.address != flow.address
+        connection.used_before = True
         connection.exchange, exchange.connection = exchange, connection
-        connection.go_on(flow)
-        self._held += 1
+        connection.resume_value(flow)
+        self._descriptor_count += 1
         server.connections.add(connection)
-        # Danger: with its family told, no call is needed that may fail for a moment.
-        end = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
-        end.setblocking(False)
-        TcpStream(self.loop, end, connection)
+        # Danger: without the address family Python makes calls to find it, which can fail transiently.
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, fileno=descriptor)
+        sock.setblocking(False)
+        TcpStream(self.loop, sock, connection)
         return connection
 
-    def released(self, connection: Connection) -> None:
-        """Give a connection that is free to whoever waits, or keep it."""
+    def release(self, connection: Connection) -> None:
+        """Give a free connection to the next queued exchange, or keep it idle for reuse."""
         server = connection.server
         if connection.started_at:
-            server.second.answered(self.loop.time() - connection.started_at)
-        if not (connection.reusable if server.waiting else connection.usable):
+            server.second_connection.record_answer(self.loop.time() - connection.started_at)
+        if not (connection.reusable if server.queue else connection.usable):
             connection.close()
             return
-        while server.waiting:
-            exchange = server.waiting.popleft()
+        while server.queue:
+            exchange = server.queue.popleft()
             if exchange.over:
                 continue
             start = self._start(connection, exchange)
-            if start is Start.STARTED:
+            if start is StartResult.STARTED:
                 return
-            if start is Start.SHORTAGE:
-                server.waiting.appendleft(exchange)
-                self._try_later(server)
+            if start is StartResult.SHORTAGE:
+                server.queue.appendleft(exchange)
+                self._retry_after_pause(server)
                 break
-        if self._held >= self.limit and (short := self._next_short()) is not None:
-            self._drop(connection)
-            self._dial_for(short)
+        if (
+            self._descriptor_count >= self.limit
+            and (waiting_server := self._next_waiting_for_descriptor()) is not None
+        ):
+            self._close_and_free(connection)
+            self._dial_for(waiting_server)
             return
-        # Danger: without the time every connection counts as too old, and each request dials anew.
+        # Danger: without this time every connection counts as too old, and each request dials a new one.
         connection.idle_since = self.loop.time()
         server.idle.append(connection)
 
-    def _start(self, connection: Connection, exchange: Exchange) -> Start:
-        """Start an exchange, or end one whose time is over; one that can't be written now is the caller's."""
+    def _start(self, connection: Connection, exchange: Exchange) -> StartResult:
+        """Start an exchange, or end one whose time is over; after SHORTAGE the caller must queue it."""
         start = connection.start(exchange)
-        if start is Start.STARTED:
-            connection.server.shortage_pauses.over()
-        elif start is Start.TOO_LATE:
+        if start is StartResult.STARTED:
+            connection.server.shortage_backoff.reset()
+        elif start is StartResult.TOO_LATE:
             exchange.end(Outcome.MOOT)
         return start
 
-    def lost(self, connection: Connection) -> None:
-        """Count a connection out."""
+    def remove(self, connection: Connection) -> None:
+        """Remove a closed connection from the pool."""
         server = connection.server
         if connection not in server.connections:
             return
         server.connections.discard(connection)
-        self._held -= 1
+        self._descriptor_count -= 1
         if connection in server.idle:
             server.idle.remove(connection)
         self._dial_for(server)
-        self._forget(server)
+        self._remove_if_unused(server)
         self.descriptor_freed()
 
     def descriptor_freed(self) -> None:
-        """A descriptor is free, or can be had: a server that is short of one is dialed.
+        """Dial the next server that lacks a descriptor, as one is free or can be freed.
 
-        Danger: left to the sweep, a router whose share is full would dial so many times in each SWEEP_S, and
-        the rest of its requests would run out of time.
+        Danger: if only the sweep did this, a router at its descriptor limit would dial too few times in each
+        SWEEP_INTERVAL_S, and its other requests would reach their deadlines.
         """
-        if self._short and (short := self._next_short()) is not None:
-            self._dial_for(short)
-
-    def _next_short(self) -> Server | None:
-        """The first server that is short of a descriptor and still wanted."""
-        while self._short:
-            server = next(iter(self._short))
-            del self._short[server]
-            while server.waiting and server.waiting[0].over:
-                server.waiting.popleft()
-            if len(server.waiting) > len(server.dials):
+        if (
+            self._waiting_for_descriptor
+            and (waiting_server := self._next_waiting_for_descriptor()) is not None
+        ):
+            self._dial_for(waiting_server)
+
+    def _next_waiting_for_descriptor(self) -> Server | None:
+        """Remove and return the first server that lacks a descriptor and still has more queued than dials."""
+        while self._waiting_for_descriptor:
+            server = next(iter(self._waiting_for_descriptor))
+            del self._waiting_for_descriptor[server]
+            while server.queue and server.queue[0].over:
+                server.queue.popleft()
+            if len(server.queue) > len(server.dials):
                 return server
         return None
 
     @property
-    def late(self) -> int:
-        """Connections that wait for an answer that nobody wants any more."""
-        return sum(len(server.late) for server in self._servers.values())
+    def late_connection_count(self) -> int:
+        """Number of connections that wait for the answer to an abandoned exchange."""
+        return sum(len(server.late_connections) for server in self._servers.values())
 
-    def share(self, shared: bool) -> None:
-        """Leave half of the descriptors to another process of this router, while there is one."""
-        self.limit = self._whole_limit // 2 if shared else self._whole_limit
+    def set_shared(self, shared: bool) -> None:
+        """Halve the descriptor limit while another process of this router runs (`shared`), or restore it."""
+        self.limit = self._full_limit // 2 if shared else self._full_limit
 
     def close(self) -> None:
-        """Close everything."""
+        """Cancel all dials and close all connections."""
         self._sweep_timer.cancel()
         for server in list(self._servers.values()):
-            for under_way in server.dials:
-                under_way.cancel()
+            for dial_task in server.dials:
+                dial_task.cancel()
             for connection in list(server.connections):
                 connection.close()
 
     def _dial_for(self, server: Server) -> None:
-        while server.waiting and server.waiting[0].over:
-            server.waiting.popleft()
-        if server.dial_held is not None:
-            if len(server.waiting) <= 1 and server.connections:
+        while server.queue and server.queue[0].over:
+            server.queue.popleft()
+        if server.dial_delay_timer is not None:
+            if len(server.queue) <= 1 and server.connections:
                 return
-            server.dial_held.cancel()
-            server.dial_held = None
-        while len(server.waiting) > len(server.dials):
-            if not server.shortage_pauses.allow(len(server.dials)):
+            server.dial_delay_timer.cancel()
+            server.dial_delay_timer = None
+        while len(server.queue) > len(server.dials):
+            if not server.shortage_backoff.allows_dial(len(server.dials)):
                 return
-            # Danger: a silent server's late answers must not keep the next attempts from finding out.
-            if server.held >= PER_SERVER and not self._drop_late(server):
+            # Danger: connections that wait for a silent server's late answers must not block new attempts.
+            if server.descriptor_count >= MAX_CONNECTIONS_PER_SERVER and not self._close_late(server):
                 return
-            if self._held >= self.limit and not self._evict():
-                self._short[server] = None
+            if self._descriptor_count >= self.limit and not self._evict():
+                self._waiting_for_descriptor[server] = None
                 return
-            self._held += 1
+            self._descriptor_count += 1
             server.dials.add(self.loop.create_task(self._dial(server)))
 
-    def _drop_late(self, server: Server) -> bool:
-        if not server.late:
+    def _close_late(self, server: Server) -> bool:
+        if not server.late_connections:
             return False
-        self._drop(next(iter(server.late)))
+        self._close_and_free(next(iter(server.late_connections)))
         return True
 
-    def _drop(self, connection: Connection) -> None:
-        """Close a connection that makes room at once."""
+    def _close_and_free(self, connection: Connection) -> None:
+        """Close a connection, and free its descriptor in the count at once."""
         connection.server.connections.discard(connection)
-        self._held -= 1
+        self._descriptor_count -= 1
         connection.close()
 
     def _evict(self) -> bool:
-        if any(map(self._drop_late, self._servers.values())):
+        if any(map(self._close_late, self._servers.values())):
             return True
         idle = [server.idle[0] for server in self._servers.values() if server.idle]
         if not idle:
             return False
         oldest = min(idle, key=lambda connection: connection.idle_since)
         oldest.server.idle.remove(oldest)
-        self._drop(oldest)
+        self._close_and_free(oldest)
         return True
 
     async def _dial(self, server: Server) -> None:
@@ -281,9 +293,9 @@
         try:
             due = self.loop.time() + self._dial_timeout
             await asyncio.wait((connecting,), timeout=self._dial_timeout)
-            own_lag = self.loop.time() - due > LATE_NOTICE_S
+            own_lag = self.loop.time() - due > MAX_TIMER_DELAY_S
             if not connecting.done() and own_lag:
-                await asyncio.wait((connecting,), timeout=LATE_NOTICE_S)
+                await asyncio.wait((connecting,), timeout=MAX_TIMER_DELAY_S)
             if connecting.done():
                 own_lag = False
                 connection = cast(Connection, connecting.result().get_protocol())
@@ -293,56 +305,57 @@
             server.dials.discard(task)
             if connection is None:
                 connecting.cancel()
-                self._held -= 1
+                self._descriptor_count -= 1
         if out_of_resources:
-            self._try_later(server)
-            self._forget(server)
+            self._retry_after_pause(server)
+            self._remove_if_unused(server)
             return
-        server.shortage_pauses.over()
+        server.shortage_backoff.reset()
         if connection is None or not connection.usable:
             if connection is not None:
-                self._held -= 1
-            # One that was given up late says more of this router than of the server.
+                self._descriptor_count -= 1
+            # A dial that was given up late points to a delay in this router, not in the server.
             self._dial_failed(server, Outcome.MOOT if own_lag else Outcome.CONNECT_FAILED)
             return
         server.connections.add(connection)
-        connection.retired = not server.open or server.address != address
-        self.released(connection)
+        connection.retired = not server.is_listed or server.address != address
+        self.release(connection)
         self._dial_for(server)
 
-    def _try_later(self, server: Server) -> None:
-        """This machine could not ask the server, which says nothing of that: what waits goes on waiting.
+    def _retry_after_pause(self, server: Server) -> None:
+        """Leave the exchanges queued and retry after a pause, as this machine lacks resources.
 
-        Danger: ended here, it would move to servers that do not hold its key, and on to the origin.
+        The failure is no sign of a fault of the server. Danger: if the exchanges ended here, the router would
+        retry them at servers that do not cache their keys, and then at the origin.
         """
-        for exchange in server.waiting:
-            exchange.held_back = True
-        server.shortage_pauses.begin(lambda: self._try_again(server))
+        for exchange in server.queue:
+            exchange.waits_for_resources = True
+        server.shortage_backoff.start_pause(lambda: self._retry_queued(server))
 
-    def _try_again(self, server: Server) -> None:
-        """Give what waits to the connections that are idle, and make others for the rest."""
+    def _retry_queued(self, server: Server) -> None:
+        """Start queued exchanges on idle connections, and dial for the rest."""
         for _ in range(len(server.idle)):
-            if server.waiting and server.idle and not server.shortage_pauses.paused:
-                self.released(server.idle.pop())
+            if server.queue and server.idle and not server.shortage_backoff.is_paused:
+                self.release(server.idle.pop())
         self._dial_for(server)
 
     def _dial_failed(self, server: Server, outcome: Outcome) -> None:
-        while server.waiting:
-            exchange = server.waiting.popleft()
+        while server.queue:
+            exchange = server.queue.popleft()
             if not exchange.over:
-                # Danger: one that is only dropped here would count as under way until its deadline.
+                # Danger: an exchange dropped without its end would count as running until its deadline.
                 exchange.end(outcome)
                 break
         self._dial_for(server)
-        self._forget(server)
+        self._remove_if_unused(server)
         self.descriptor_freed()
 
-    def _forget(self, server: Server) -> None:
-        if not server.open and not server.held:
+    def _remove_if_unused(self, server: Server) -> None:
+        if not server.is_listed and not server.descriptor_count:
             self._servers.pop(server.id, None)
 
     def _sweep(self) -> None:
-        self._sweep_timer = self.loop.call_later(SWEEP_S, self._sweep)
+        self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = self.loop.time() - self.idle_limit
         for server in self._servers.values():
             while server.idle and server.idle[0].idle_since < oldest:
--- a/saltport/upstream/resp.py
+++ b/saltport/upstream/resp.py
@@ -1,4 +1,4 @@
-"""Connections to cache servers: one command, one answer, read whole or passed on as it comes."""
+"""Connections to cache servers over RESP2; long values are streamed."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 
 
 class CacheConnection(Connection):
-    """Speaks RESP2 with one cache server."""
+    """A RESP2 connection to one cache server."""
 
     def __init__(self, server: Server) -> None:
         super().__init__(server)
         self._reader = AnswerReader()
 
     def flow(self) -> Flow | None:
-        """See Connection."""
+        """Return the state of the long value that is being read; None if there is none."""
         reader, server = self._reader, self.server
         if not reader.length:
             return None
@@ -47,12 +47,12 @@
             self.retired,
         )
 
-    def go_on(self, flow: Flow) -> None:
-        """See Connection."""
+    def resume_value(self, flow: Flow) -> None:
+        """Continue to read a long value from the state in which another process stopped."""
         self._reader.resume(flow.length, flow.left, flow.rest)
 
     def request_bytes(self, exchange: Exchange, remaining_ms: int) -> bytes:
-        """The client's command again, with what is left of its time; or a probe."""
+        """Return the client's command with its time left, a command of the router's own, or a probe."""
         request = exchange.request
         if request is None:
             if words := exchange.plain_command(remaining_ms):
@@ -61,21 +61,21 @@
         info = info_with(request.info, remaining_ms)
         if request.value is None:
             key, name = request.key, request.id
-            # The most common command, in one step.
+            # The most common command, formatted directly for speed.
             return b"*4\r\n$6\r\nKV.GET\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n$%d\r\n%b\r\n" % (
                 len(key), key, len(name), name, len(info), info
             )  # fmt: skip
         return command(b"KV.SET", request.key, request.id, info, request.value)
 
-    def answer_came(self, data: bytes) -> None:
-        """Read a part of the answer; one that breaks the protocol ends the connection."""
+    def answer_received(self, data: bytes) -> None:
+        """Parse a part of the answer; a protocol error closes the connection."""
         try:
             messages = self._reader.feed(data)
         except FramingError as error:
-            self.spoil(f"broke the protocol: {error}")
+            self.close_with_error(f"broke the protocol: {error}")
             return
-        # Danger: more bytes after the answer would be taken for the next request's answer. They are not
-        # read: noise there does not spoil the answer before it.
+        # Danger: bytes after the answer would be taken for the next request's answer, so the connection is
+        # not reused. They are not parsed: garbage there does not invalidate the answer before it.
         self.retired = self.retired or self._reader.trailing
         for message in messages:
             self._take(message)
@@ -87,7 +87,7 @@
             self._answered(outcome, message.value, message)
         elif isinstance(message, ValuePart):
             if exchange is not None:
-                exchange.value_came(message.data)
+                exchange.value_received(message.data)
         elif isinstance(message, ValueStarted):
             if exchange is not None:
                 exchange.value_started(message.length, self)
@@ -98,7 +98,7 @@
         elif exchange is not None and exchange.request is None:
             self.finish(Outcome.OK)
         else:
-            self.spoil("sent an answer of an unknown form")
+            self.close_with_error("sent an answer of an unexpected type")
 
     def _answered(self, outcome: Outcome, value: bytes | None, answer: Answer | ValueEnded) -> None:
         if self.exchange is not None and answer.report is not None:
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -105,7 +105,7 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         self.parts.append(b"")
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         self.parts.append(data)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
--- a/tests/crossings/test_gone_clients.py
+++ b/tests/crossings/test_gone_clients.py
@@ -13,7 +13,7 @@
 import pytest
 
 from saltport.downstream.clients import MAX_PIPELINE
-from saltport.upstream.pool import PER_SERVER
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER
 from tests.sockets import (
     MISS,
     PATIENCE_S,
@@ -69,8 +69,8 @@
 def fill(router: Routed, cache: HeldBack) -> Client:
     """Take every connection that the one server may have."""
     busy = router.client()
-    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
-    eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are taken")
+    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(MAX_CONNECTIONS_PER_SERVER)))
+    eventually(lambda: len(cache.peer.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are taken")
     return busy
 
 
@@ -82,13 +82,15 @@
     with routed(tmp_path, {"s1": cache.peer}) as router:
         busy, leaver, stayer = fill(router, cache), router.client(), router.client()
         leaver.send(get("gone1", "g", LONG))
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         stayer.send(get("stays", "s", LONG))
-        router.until("current", PER_SERVER + 2)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 2)
         leave(leaver)
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         cache.let_go.set()
-        assert [busy.answer() for _ in range(PER_SERVER)] == [b"busy%d" % i for i in range(PER_SERVER)]
+        assert [busy.answer() for _ in range(MAX_CONNECTIONS_PER_SERVER)] == [
+            b"busy%d" % i for i in range(MAX_CONNECTIONS_PER_SERVER)
+        ]
         assert stayer.answer() == b"stays", "it waited behind the one that left"
         assert cache.asked_for("gone") == []
 
@@ -102,13 +104,13 @@
         leaver = router.client()
         many = MAX_PIPELINE + 10  # past which the router reads no more until it has answered
         leaver.send(b"".join(get(f"gone{i}", f"g{i}", LONG) for i in range(many)))
-        eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are taken")
+        eventually(lambda: len(cache.peer.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are taken")
         leave(leaver)
         router.until("current", 0)
         cache.let_go.set()
         other = router.client()
         assert other.ask(get("other")) == b"other"
-        assert len(cache.asked_for("gone")) == PER_SERVER
+        assert len(cache.asked_for("gone")) == MAX_CONNECTIONS_PER_SERVER
 
 
 def test_fetch_of_a_client_that_left_goes_on_for_those_who_wait_for_it(tmp_path: Path) -> None:
@@ -137,15 +139,15 @@
     cache, origin = Peer(lambda _, words: MISS), held_origin(let_go)
     with routed(tmp_path, {"s1": cache}, origin) as router:
         busy, leader, waiter = router.client(), router.client(), router.client()
-        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(PER_SERVER)))
-        eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are taken")
+        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG) for i in range(MAX_CONNECTIONS_PER_SERVER)))
+        eventually(lambda: len(origin.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are taken")
         leader.send(get("leader", "k", LONG))
-        eventually(lambda: len(cache.seen) == PER_SERVER + 1, "the leader's miss")
+        eventually(lambda: len(cache.seen) == MAX_CONNECTIONS_PER_SERVER + 1, "the leader's miss")
         waiter.send(get("waiter", "k", LONG))
-        eventually(lambda: len(cache.seen) == PER_SERVER + 2, "the waiter's miss")
-        router.until("current", PER_SERVER + 2)
+        eventually(lambda: len(cache.seen) == MAX_CONNECTIONS_PER_SERVER + 2, "the waiter's miss")
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 2)
         leader.close()
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         let_go.set()
         assert waiter.answer() == b"k"
         assert not [m for m in origin.seen if b"Request-Id: leader" in m[2]]
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -97,7 +97,7 @@
         pool = Pool(asyncio.get_running_loop(), 64, PATIENCE_S, PATIENCE_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
-        pool.touched = host.touched
+        pool.on_event = host.touched
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
             async with asyncio.timeout(PATIENCE_S):
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -16,7 +16,7 @@
 
 from saltport.lifecycle.drain import KILL_SLACK_S, LONGEST_S, at_the_end
 from saltport.lifecycle.service import LAST_ANSWERS_S, STEP_S
-from saltport.upstream.pool import PER_SERVER
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
 from tests.binary import FRONT
 from tests.sockets import (
@@ -81,14 +81,18 @@
     with routed(tmp_path, {"s1": cache}, facts=SHORT) as router:
         unsafe, reads = router.client(), router.client()
         unsafe.send(put("once1", cls="once", d=LONG))
-        reads.send(b"".join(get(f"r{i}", f"k{i}", LONG) for i in range(PER_SERVER)))
-        eventually(lambda: len(cache.seen) == PER_SERVER, "all connections are taken")
-        queued = [i for i in range(PER_SERVER) if not any(words[2] == b"r%d" % i for words in cache.seen)]
-        router.until("current", PER_SERVER + 1)
+        reads.send(b"".join(get(f"r{i}", f"k{i}", LONG) for i in range(MAX_CONNECTIONS_PER_SERVER)))
+        eventually(lambda: len(cache.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are taken")
+        queued = [
+            i
+            for i in range(MAX_CONNECTIONS_PER_SERVER)
+            if not any(words[2] == b"r%d" % i for words in cache.seen)
+        ]
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         router.terminate()
         begun = time.monotonic()
         assert unsafe.answer() == b"-ERR failed", "it may have run, and nobody knows"
-        answers = [reads.answer() for _ in range(PER_SERVER)]
+        answers = [reads.answer() for _ in range(MAX_CONNECTIONS_PER_SERVER)]
         assert all(answer.startswith(b"-") for answer in answers)
         assert all(answers[i].startswith(b"-BUSY") for i in queued), "it never left"
         assert unsafe.at_end()
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -80,7 +80,7 @@
         loop = asyncio.get_running_loop()
         pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
         host = RouterHost(loop, Settings(classes=CLASSES), 1, pool, 1000)
-        pool.touched, host.ready = host.touched, True
+        pool.on_event, host.ready = host.touched, True
         addresses = {"s1": ("127.0.0.1", cache.port)}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, (Server("s1"),)), addresses))
         clients = ClientServer(loop, host, RespDialect, 64, 1 << 20)
--- a/tests/router/test_descriptors.py
+++ b/tests/router/test_descriptors.py
@@ -17,7 +17,7 @@
 from saltport.messages import Request
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.connection import Exchange
-from saltport.upstream.pool import PER_SERVER, Pool
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER, Pool
 from saltport.upstream.resp import CacheConnection
 from tests.sockets import (
     PATIENCE_S,
@@ -103,7 +103,9 @@
     return pool
 
 
-@pytest.mark.parametrize(("servers", "limit", "each"), [(20, 1, 3), (20, 7, 3), (40, 16, 2 * PER_SERVER)])
+@pytest.mark.parametrize(
+    ("servers", "limit", "each"), [(20, 1, 3), (20, 7, 3), (40, 16, 2 * MAX_CONNECTIONS_PER_SERVER)]
+)
 def test_servers_beyond_the_share_get_their_turn_without_a_sweep(servers: int, limit: int, each: int) -> None:
     async def scene() -> None:
         fleet, pool = Servers(), pool_without_sweep(limit)
@@ -111,7 +113,7 @@
         reads = [Read(f"r{turn}x{name}") for turn in range(each) for name in names]
         for number, read in enumerate(reads):
             pool.submit(names[number % servers], read)
-            assert pool._held <= limit
+            assert pool._descriptor_count <= limit
         assert {await read.outcome for read in reads} == {Outcome.OK}
         assert sorted(fleet.asked.values()) == [each] * servers
         pool.close()
@@ -132,7 +134,7 @@
         again = Read("again")
         pool.submit(first, again)
         assert await again.outcome is Outcome.OK
-        assert again.kept, "on the connection of before"
+        assert again.connection_reused, "on the connection of before"
         assert len(fleet.asked) == 1
         pool.close()
         fleet.close()
@@ -150,7 +152,7 @@
         while not slow.asked:
             await asyncio.sleep(0.001)
         pool.submit("well", wanted)
-        late.leave(Outcome.TIMEOUT, 10 * PATIENCE_S)
+        late.abandon(Outcome.TIMEOUT, 10 * PATIENCE_S)
         assert await wanted.outcome is Outcome.OK
         pool.close()
         slow.close()
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -83,7 +83,7 @@
         settings = Settings(classes=(RequestClass("get", aim=NS_PER_S, deadline=20 * NS_PER_S),))
         pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
         host = RouterHost(loop, settings, 1, pool, 100)
-        pool.touched = host.touched
+        pool.on_event = host.touched
         decisions = Decisions()
         host._router = decisions  # type: ignore[assignment]
         servers = tuple(Server(name) for name in peers)
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -21,7 +21,7 @@
 from saltport.transport.loop import on_router_loop
 from saltport.upstream.connection import Exchange
 from saltport.upstream.http import OriginConnection
-from saltport.upstream.pool import PER_SERVER, Pool
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER, Pool
 from saltport.upstream.resp import CacheConnection
 from tests.sockets import (
     FACTS,
@@ -364,7 +364,7 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         self.source, self.left = source, length
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         self.left -= len(data)
         if not self.left:
             self.source.pause()
@@ -388,7 +388,7 @@
         assert await first.came == (Outcome.OK, None)
         pool.submit("s1", second)
         assert await second.came == (Outcome.OK, b"short")
-        assert second.kept
+        assert second.connection_reused
         pool.close()
 
     answered: list[list[bytes]] = []
@@ -476,15 +476,23 @@
     with routed(tmp_path, {"s1": old}) as router:
         client = router.client()
         client.send(b"".join(get(f"r{i}", f"k{i}", 15_000) for i in range(40)))
-        eventually(lambda: len(old.seen) >= PER_SERVER, "as many attempts as a server may have at a time")
+        eventually(
+            lambda: len(old.seen) >= MAX_CONNECTIONS_PER_SERVER,
+            "as many attempts as a server may have at a time",
+        )
         watches = len(router.discovery.peer.seen)
         router.discovery.change(entry(old, "s1", lifecycle="draining"), entry(new, "s2"))
         eventually(lambda: len(router.discovery.peer.seen) > watches, "the watch after the change")
-        eventually(lambda: len(new.seen) == 40 - PER_SERVER, "those that waited, at the other server")
+        eventually(
+            lambda: len(new.seen) == 40 - MAX_CONNECTIONS_PER_SERVER, "those that waited, at the other server"
+        )
         release.set()
         answers = [client.answer() for _ in range(40)]
-        assert (answers.count(b"old"), answers.count(b"new")) == (PER_SERVER, 40 - PER_SERVER)
-        assert len(old.seen) == PER_SERVER
+        assert (answers.count(b"old"), answers.count(b"new")) == (
+            MAX_CONNECTIONS_PER_SERVER,
+            40 - MAX_CONNECTIONS_PER_SERVER,
+        )
+        assert len(old.seen) == MAX_CONNECTIONS_PER_SERVER
 
 
 def test_server_is_found_at_its_new_address(tmp_path: Path) -> None:
@@ -674,22 +682,22 @@
         loop = asyncio.get_running_loop()
         pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
         pool.list_server("s1", ("127.0.0.1", peer.port), CacheConnection)
-        for _ in range(2 * PER_SERVER):
+        for _ in range(2 * MAX_CONNECTIONS_PER_SERVER):
             exchange = Ask()
             pool.submit("s1", exchange)
             while exchange.connection is None:
                 await asyncio.sleep(0.001)
-            exchange.leave(Outcome.TIMEOUT, PATIENCE_S)
+            exchange.abandon(Outcome.TIMEOUT, PATIENCE_S)
             assert await exchange.came == (Outcome.TIMEOUT, None)
             server = pool._servers["s1"]
-            assert server.held <= PER_SERVER
-            assert len(server.late) <= PER_SERVER
+            assert server.descriptor_count <= MAX_CONNECTIONS_PER_SERVER
+            assert len(server.late_connections) <= MAX_CONNECTIONS_PER_SERVER
         pool.unlist_server("s1")
         assert all(connection.retired for connection in server.connections)
         pool.close()
         await asyncio.sleep(0.05)
-        assert not server.late
-        assert pool._held == 0
+        assert not server.late_connections
+        assert pool._descriptor_count == 0
 
     never = threading.Event()
     peer = Peer(lambda *_: (never.wait(PATIENCE_S) and b"") or b"")
@@ -706,11 +714,11 @@
         pool.submit("s1", exchange)
         while exchange.connection is None:
             await asyncio.sleep(0.001)
-        exchange.leave(Outcome.TIMEOUT, 0.05)
+        exchange.abandon(Outcome.TIMEOUT, 0.05)
         server = pool._servers["s1"]
         while server.connections:
             await asyncio.sleep(0.01)
-        assert not server.late
+        assert not server.late_connections
         pool.close()
 
     never = threading.Event()
--- a/tests/router/test_second_connection.py
+++ b/tests/router/test_second_connection.py
@@ -9,7 +9,7 @@
 import pytest
 
 from saltport.decisions import Outcome
-from saltport.upstream.second_connection import LONGEST_WAIT_S, MEETINGS, SecondConnection
+from saltport.upstream.second_connection import FREQUENT_OVERLAPS, MAX_WAIT_S, SecondConnectionPolicy
 from tests.router.test_descriptors import Read, Servers, pool_without_sweep, run
 from tests.sockets import PATIENCE_S, Peer, eventually, get, hit, routed
 
@@ -17,19 +17,21 @@
 
 
 def test_wait_is_twice_the_usual_answer_until_requests_meet_often() -> None:
-    second = SecondConnection(IDLE_S)
-    assert second.wait_s(0.0) == LONGEST_WAIT_S, "nothing is known yet"
-    second.answered(ANSWER_S)
-    waits = [second.wait_s(turn * IDLE_S / MEETINGS) for turn in range(1, MEETINGS + 1)]
-    assert waits == [2 * ANSWER_S] * (MEETINGS - 2) + [0.0, 0.0]
-    assert second.wait_s(3 * IDLE_S) == 2 * ANSWER_S, "they don't any more"
+    second = SecondConnectionPolicy(IDLE_S)
+    assert second.dial_delay_s(0.0) == MAX_WAIT_S, "nothing is known yet"
+    second.record_answer(ANSWER_S)
+    waits = [
+        second.dial_delay_s(turn * IDLE_S / FREQUENT_OVERLAPS) for turn in range(1, FREQUENT_OVERLAPS + 1)
+    ]
+    assert waits == [2 * ANSWER_S] * (FREQUENT_OVERLAPS - 2) + [0.0, 0.0]
+    assert second.dial_delay_s(3 * IDLE_S) == 2 * ANSWER_S, "they don't any more"
 
 
 @pytest.mark.parametrize(("waits_s", "connections"), [(PATIENCE_S, 1), (0.0, 2)])
 def test_read_that_meets_another_waits_for_the_only_connection_as_long_as_it_pays(
     monkeypatch: pytest.MonkeyPatch, waits_s: float, connections: int
 ) -> None:
-    monkeypatch.setattr(SecondConnection, "wait_s", lambda *_: waits_s)
+    monkeypatch.setattr(SecondConnectionPolicy, "dial_delay_s", lambda *_: waits_s)
 
     async def scene() -> None:
         fleet, pool = Servers(), pool_without_sweep(8)
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -13,7 +13,7 @@
 from benchmarks.scale.connections import expected, fleet, overflow
 from benchmarks.scale.connections import measure as measure_connections
 from benchmarks.scale.data_path import busiest, fit, measure, share_over, skew, zipf_shares
-from saltport.upstream.pool import PER_SERVER
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER
 from saltport.wire.resp import MAX_VALUE
 from tests.sockets import MISS, Peer, bulk, get, hit, http_answer, routed
 
@@ -44,7 +44,7 @@
     row = asyncio.run(measure_connections(servers=10, seconds=0.5, rate_per_s=100.0, warm_s=0.5))
     assert row.others == 0
     assert row.served > 0
-    assert 1 <= row.most_at_a_server <= PER_SERVER
+    assert 1 <= row.most_at_a_server <= MAX_CONNECTIONS_PER_SERVER
     assert row.first_handshakes >= row.most_at_a_server
 
 
@@ -55,7 +55,7 @@
 
 def test_a_busy_server_keeps_its_connections_and_an_idle_one_has_a_handshake_each_time() -> None:
     busy = expected(servers=1, rate_per_s=1000.0, answer_s=0.001, idle_s=6.0)
-    assert 1.0 <= busy.open <= PER_SERVER
+    assert 1.0 <= busy.open <= MAX_CONNECTIONS_PER_SERVER
     idle = expected(servers=1000, rate_per_s=1.0, answer_s=0.001, idle_s=6.0)
     assert idle.handshakes_per_s == pytest.approx(1.0, rel=0.01)
     assert idle.open == pytest.approx(6.0, rel=0.01)
--- a/tests/wire/mutations.py
+++ b/tests/wire/mutations.py
@@ -45,11 +45,11 @@
 class _Pool:
     """What a connection asks of its pool."""
 
-    def touched(self) -> None: ...
+    def on_event(self) -> None: ...
 
-    def released(self, _: Connection) -> None: ...
+    def release(self, _: Connection) -> None: ...
 
-    def lost(self, _: Connection) -> None: ...
+    def remove(self, _: Connection) -> None: ...
 
 
 class _Server:
@@ -57,7 +57,7 @@
 
     def __init__(self) -> None:
         self.pool = _Pool()
-        self.late: dict[Connection, None] = {}
+        self.late_connections: dict[Connection, None] = {}
 
 
 class Received(Exchange):
@@ -79,7 +79,7 @@
         assert self.length is None
         self.length = length
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         self.parts += data
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
@@ -144,7 +144,7 @@
             connection.data_received(piece)
             if case.moves and not connection.retired and (flow := connection.flow()) is not None:
                 connection = wire.connect(server)
-                connection.go_on(flow)
+                connection.resume_value(flow)
                 connection.exchange = received
         connection.eof_received()
         connection.connection_lost(None)
