--- a/saltport/downstream/arrivals.py
+++ b/saltport/downstream/arrivals.py
@@ -65,7 +65,7 @@
         Danger: with its listener closed, the kernel resets what waits there, and the requests in it are lost.
         """
         for acceptor in list(self._acceptors):
-            if self._listener_is_shared or acceptor.accept_rest():
+            if self._listener_is_shared or acceptor.accept_pending():
                 acceptor.close()
                 self._acceptors.remove(acceptor)
 
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -310,7 +310,7 @@
             self._leave(CloseReason.NOTHING_OWED)
             self.server.lingering.begin(self.transport)
 
-    def read_held_up(self) -> None:
+    def read_out_of_memory(self) -> None:
         """See StreamProtocol: what the client has sent goes on growing older."""
         self._receive_times.held_up(time.monotonic_ns())
 
@@ -351,7 +351,7 @@
 
     @property
     def _is_held_up(self) -> bool:
-        return self.transport is not None and self.transport.is_held_up
+        return self.transport is not None and self.transport.is_out_of_memory
 
     @property
     def has_just_come(self) -> bool:
@@ -448,7 +448,7 @@
 
     def client_has_left(self) -> bool:
         """See Channel."""
-        return self._departures is not None and self._departures.now()
+        return self._departures is not None and self._departures.is_ready()
 
     def client_left(self) -> None:
         """The client has ended or reset the connection while nothing was read on it."""
@@ -505,7 +505,7 @@
         assert self.transport is not None
         if not self.idle or self.has_just_come or waiting_for(self.transport):
             return False
-        return not Readiness(self.transport.get_extra_info("socket"), select.POLLIN).now()
+        return not Readiness(self.transport.get_extra_info("socket"), select.POLLIN).is_ready()
 
 
 def _least_timeout_ms(commands: Sequence[tuple[Message, Answers]]) -> int:
--- a/saltport/downstream/received.py
+++ b/saltport/downstream/received.py
@@ -133,4 +133,4 @@
 
 def _all_read(end: Socket) -> bool:
     """Whether nothing has come since the last read."""
-    return not Readiness(end, select.POLLIN).now()
+    return not Readiness(end, select.POLLIN).is_ready()
--- a/saltport/downstream/unread.py
+++ b/saltport/downstream/unread.py
@@ -6,7 +6,7 @@
 import select
 from typing import Protocol
 
-from saltport.transport.readiness import ready_now
+from saltport.transport.readiness import poll_now
 
 # A client that left has nothing sent for it from 0.1 s on: one look, and as much again for a late loop.
 LOOK_S = 0.04
@@ -56,7 +56,7 @@
             if descriptor >= 0:
                 by_descriptor[descriptor] = connection
                 looking.register(descriptor, select.POLLRDHUP)
-        for descriptor, events in ready_now(looking) or ():
+        for descriptor, events in poll_now(looking) or ():
             if events & _LEFT:
                 by_descriptor[descriptor].client_left()
         if self._held and self._timer is None:
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -34,7 +34,7 @@
 from saltport.router.config import Config, ConfigError, ConfigUnreadError, reload_config
 from saltport.router.features import MemcachedFeatures
 from saltport.router.host import RouterHost
-from saltport.transport.shortage import outlast
+from saltport.transport.shortage import retry_on_shortage
 from saltport.upstream.pool import Pool
 
 if TYPE_CHECKING:
@@ -145,12 +145,12 @@
             from saltport.admin.listener import AdminListener  # only where operators call
 
             admin = AdminListener(self)
-            await outlast(partial(admin.listen, config.admin), START_PATIENCE_S)
+            await retry_on_shortage(partial(admin.listen, config.admin), START_PATIENCE_S)
         if config.listen_fd is None:
-            await outlast(partial(self._clients.listen, config.listen), START_PATIENCE_S)
+            await retry_on_shortage(partial(self._clients.listen, config.listen), START_PATIENCE_S)
         if self._memcached is not None and config.memcached.listen:
             address = parse_address("memcached.listen", config.memcached.listen)
-            await outlast(partial(self._clients.listen, address, self._memcached), START_PATIENCE_S)
+            await retry_on_shortage(partial(self._clients.listen, address, self._memcached), START_PATIENCE_S)
         log.info("listening, after %.2f s of processor time", time.process_time())
         if not config.settings.must_subscribe:
             self._discovery.start()
@@ -182,7 +182,7 @@
 
     async def _stand_beside(self, descriptor: int) -> None:
         """Accept at the platform's socket, beside the process before this one, once it is of use."""
-        listener = await outlast(partial(_listening, descriptor), START_PATIENCE_S)
+        listener = await retry_on_shortage(partial(_listening, descriptor), START_PATIENCE_S)
         if self._takeover is not None:
             await self._takeover.open()
         self._follow_bans()
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -34,7 +34,7 @@
 from saltport.handover.record import MAX_STREAMS, VERSION, ConnectionRecord, RecordError
 from saltport.transport.acceptor import Acceptor
 from saltport.transport.packets import Packet, PacketLink
-from saltport.transport.shortage import OF_DIALS, outlast
+from saltport.transport.shortage import DIAL_ERRORS, retry_on_shortage
 
 NAME = "saltport.takeover"
 MAX_PATH = 107  # bytes that the kernel takes
@@ -104,11 +104,11 @@
         # Danger: a process that can't join for a moment would start as if it were alone, and the other one's
         # connections would all end with it. And its own place would then be taken for the other's.
         with suppress(OSError):  # nobody is there, or has died, or is a stranger
-            link = await outlast(partial(_join, path), PATIENCE_S, OF_DIALS)
+            link = await retry_on_shortage(partial(_join, path), PATIENCE_S, DIAL_ERRORS)
             self._before = PacketLink(self._loop, link, self._receive, MAX_MESSAGE, 1 + MAX_STREAMS)
             self._changed()
         try:
-            listener = await outlast(partial(_listen, path), PATIENCE_S)
+            listener = await retry_on_shortage(partial(_listen, path), PATIENCE_S)
         except OSError as error:
             log.warning("%s: %s; connections will not outlive this process", path, error.strerror or error)
             return
@@ -117,7 +117,7 @@
     def accept_rest(self) -> None:
         """Take the next process that has joined by now, be it that nobody has looked yet."""
         if self._acceptor is not None:
-            self._acceptor.accept_rest()
+            self._acceptor.accept_pending()
 
     # Towards the process after this one
 
@@ -208,7 +208,7 @@
             self.inherited = self._taker.learn(message) or self.inherited
             self._has_learnt = kind == LEARNT
         elif kind in (PART, LAST):
-            self._take(message, descriptors, packet.is_cut)
+            self._take(message, descriptors, packet.is_truncated)
             return
         elif kind == CONNECTION and len(descriptors) == 1:
             with suppress(RecordError):
--- a/saltport/router/__main__.py
+++ b/saltport/router/__main__.py
@@ -16,7 +16,7 @@
 from saltport.router.config import Config, ConfigError, ConfigUnreadError, load_config
 from saltport.router.log import make_logger
 from saltport.transport import shortage
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 
 GC_THRESHOLD = 20_000  # young objects; requests leave hardly any cycles, and each pass stalls all of them
 
@@ -44,7 +44,7 @@
         except ConfigUnreadError:
             if time.monotonic() >= given_up:
                 raise
-        time.sleep(shortage.PAUSE_S)
+        time.sleep(shortage.RETRY_PAUSE_S)
 
 
 def main() -> int:
@@ -65,7 +65,7 @@
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD)
     try:
-        on_router_loop(serve(config, with_files))
+        run_on_router_loop(serve(config, with_files))
     except OSError as error:
         print(f"saltport: {error}", file=sys.stderr)
         return 1
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -96,7 +96,7 @@
             failover=features.failover.on,
         )
     except OSError as error:
-        kind = ConfigUnreadError if error.errno in shortage.OF_RESOURCES else ConfigError
+        kind = ConfigUnreadError if error.errno in shortage.RESOURCE_ERRORS else ConfigError
         raise kind(f"LB_CONFIG: {error}") from None
     except KeyError as error:
         raise ConfigError(f"{path}: missing field {error.args[0]!r}") from None
--- a/saltport/router/features.py
+++ b/saltport/router/features.py
@@ -354,7 +354,7 @@
         try:
             sections = tomllib.loads(path.read_text())
         except OSError as error:
-            if error.errno in shortage.OF_RESOURCES:
+            if error.errno in shortage.RESOURCE_ERRORS:
                 raise
             raise FeatureError(f"{path}: can't be read: {error.strerror or error}") from None
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
--- a/saltport/transport/__init__.py
+++ b/saltport/transport/__init__.py
@@ -1,1 +1,1 @@
-"""The router's own sockets: which are watched, what is read and written, and what a call that fails means."""
+"""Sockets of the router: polling, reading and writing, and the handling of failed system calls."""
--- a/saltport/transport/acceptor.py
+++ b/saltport/transport/acceptor.py
@@ -1,8 +1,8 @@
-"""Accepting connections at a listening socket, through the failures that accept(2) documents.
+"""Accepts connections at a listening socket, and retries after the failures that accept(2) documents.
 
-A connection that can't be accepted yet stays in the kernel's queue with whatever was sent on it, and is
-accepted as soon as the system allows. libuv's own listeners accept and close all that waits where descriptors
-run out, so none of them is used.
+A connection that can't be accepted yet stays in the kernel's queue, with the data sent on it, and is accepted
+as soon as the system allows. libuv's listeners are not used: they accept and close all pending connections
+when descriptors run out.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 import socket
 from collections.abc import Callable
 
-from saltport.transport.readiness import ready_now
+from saltport.transport.readiness import poll_now
 
-RETRY_S = 0.01  # until the next try, where the system is short of descriptors or memory
+RETRY_DELAY_S = 0.01  # until the next attempt when the system lacks descriptors or memory
 
-_THIS_CONNECTION = frozenset({
+_CONNECTION_ERRORS = frozenset({
     errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN,
     errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.ETIMEDOUT,
 })  # fmt: skip
-"""What accept(2) passes on of the connection that came: the next one may be accepted at once."""
+"""Errors of the incoming connection that accept(2) reports; the next one may be accepted at once."""
 
 log = logging.getLogger("saltport")
 
@@ -32,38 +32,39 @@
 
 
 class Acceptor:
-    """Accepts connections for as long as it is open."""
+    """Accepts connections at a listening socket until it is closed."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         listener: socket.socket,
         accepted: Callable[[socket.socket], None],
-        until_room: Callable[[], float] = _no_wait,
+        seconds_until_room: Callable[[], float] = _no_wait,
     ) -> None:
-        """Begin; the listening socket is owned from here on.
+        """Start accepting, and take ownership of the listening socket.
 
-        `accepted` takes over each connection. `until_room`, asked only while somebody waits, makes room for
-        one more and returns the seconds until there is some, 0 for now.
+        `accepted` receives each connection and owns it. `seconds_until_room` is called only while a
+        connection is pending; it tries to make room for one more, and returns the seconds until there is
+        room, 0 for now.
         """
         self._loop, self._listener = loop, listener
-        self._accepted, self._until_room = accepted, until_room
+        self._accepted, self._seconds_until_room = accepted, seconds_until_room
         self._retry: asyncio.TimerHandle | None = None
         self._is_failing = False
         listener.setblocking(False)
         self._resume()
 
-    def accept_rest(self) -> bool:
-        """Accept what still waits in the kernel; whether nothing is left there."""
-        arrivals = select.poll()
-        arrivals.register(self._listener.fileno(), select.POLLIN)
-        while found := ready_now(arrivals):
+    def accept_pending(self) -> bool:
+        """Accept all pending connections; return whether none is left in the kernel's queue."""
+        poll = select.poll()
+        poll.register(self._listener.fileno(), select.POLLIN)
+        while events := poll_now(poll):
             if self._accept_one() > 0:
                 return False
-        return found is not None
+        return events is not None
 
     def close(self) -> None:
-        """Accept nothing more."""
+        """Stop accepting and close the listening socket."""
         if self._retry is None:
             self._loop.remove_reader(self._listener.fileno())
         else:
@@ -75,31 +76,31 @@
         self._loop.add_reader(self._listener.fileno(), self._accept)
 
     def _accept(self) -> None:
-        """Accept one connection; the loop calls again as long as others wait."""
+        """Accept one connection; the loop calls again while others are pending."""
         if (wait := self._accept_one()) > 0:
             self._loop.remove_reader(self._listener.fileno())
             self._retry = self._loop.call_later(wait, self._resume)
 
     def _accept_one(self) -> float:
-        """Accept a connection, for which somebody waits; returns the seconds until the next try."""
-        if (wait := self._until_room()) > 0:
+        """Accept one pending connection; return the seconds to wait before the next attempt."""
+        if (wait := self._seconds_until_room()) > 0:
             return wait
         try:
             connection, _ = self._listener.accept()
         except BlockingIOError:
-            return 0.0  # nobody waits: another process with the same listener was faster
+            return 0.0  # another process with the same listener accepted it first
         except OSError as error:
-            if error.errno in _THIS_CONNECTION:
+            if error.errno in _CONNECTION_ERRORS:
                 return 0.0
-            # Danger: the socket stays readable, so a try at once would be made again without end.
-            self._note_failure(error)
-            return RETRY_S
+            # Danger: the socket stays readable, so an immediate retry would be a busy loop.
+            self._log_failure(error)
+            return RETRY_DELAY_S
         self._is_failing = False
         connection.setblocking(False)
         self._accepted(connection)
         return 0.0
 
-    def _note_failure(self, error: OSError) -> None:
+    def _log_failure(self, error: OSError) -> None:
         if not self._is_failing:
             self._is_failing = True
-            log.warning("connections can't be accepted for now: %s", error.strerror or error)
+            log.warning("can't accept connections, retrying: %s", error.strerror or error)
--- a/saltport/transport/dialing.py
+++ b/saltport/transport/dialing.py
@@ -1,4 +1,4 @@
-"""Connections that this router makes."""
+"""Outgoing TCP connections."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from saltport.address import Address
 from saltport.transport.stream import StreamProtocol, TcpStream
 
-_UNDER_WAY = frozenset({errno.EINPROGRESS, errno.EALREADY})
-"""connect(2): the connection comes up, and the socket will tell."""
-_UP = frozenset({0, errno.EISCONN})
-TRIES = 3
-"""Of a connect(2) that is interrupted: the next one says whether the connection comes up."""
+_IN_PROGRESS = frozenset({errno.EINPROGRESS, errno.EALREADY})
+"""connect(2): the connection is being established; the socket becomes writable at the end."""
+_CONNECTED = frozenset({0, errno.EISCONN})
+CONNECT_ATTEMPTS = 3
+"""For an interrupted connect(2): the next call returns whether the connection is being established."""
 
 
 async def dial(
-    loop: asyncio.AbstractEventLoop, made: Callable[[], StreamProtocol], address: Address
+    loop: asyncio.AbstractEventLoop, make_protocol: Callable[[], StreamProtocol], address: Address
 ) -> TcpStream:
-    """Connect, with a protocol made once the connection is up. Raises OSError."""
-    family, place = await _resolve(loop, address)
-    end = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+    """Connect, and return a stream; its protocol is created once it is connected. Raises OSError."""
+    family, sockaddr = await _resolve(loop, address)
+    sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     try:
-        await _connect(loop, end, place)
-        return TcpStream(loop, end, made())
+        await _connect(loop, sock, sockaddr)
+        return TcpStream(loop, sock, make_protocol())
     except BaseException:
-        end.close()
+        sock.close()
         raise
 
 
 async def _resolve(loop: asyncio.AbstractEventLoop, address: Address) -> tuple[int, Address]:
-    """Family and numeric address; only a name asks the resolver, in a thread of its own."""
+    """Return the family and the numeric address; only a host name needs the resolver, in a thread."""
     host, port = address
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
@@ -41,31 +41,31 @@
         except OSError:
             continue
         return family, address
-    found = await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM)
-    family, _, _, _, place = found[0]
-    return family, (str(place[0]), int(place[1]))
+    results = await loop.getaddrinfo(host, port, type=socket.SOCK_STREAM)
+    family, _, _, _, sockaddr = results[0]
+    return family, (str(sockaddr[0]), int(sockaddr[1]))
 
 
-async def _connect(loop: asyncio.AbstractEventLoop, end: socket.socket, place: Address) -> None:
-    for _ in range(TRIES):
-        number = end.connect_ex(place)
-        if number != errno.EINTR:
+async def _connect(loop: asyncio.AbstractEventLoop, sock: socket.socket, sockaddr: Address) -> None:
+    for _ in range(CONNECT_ATTEMPTS):
+        error = sock.connect_ex(sockaddr)
+        if error != errno.EINTR:
             break
-    if number in _UP:
+    if error in _CONNECTED:
         return
-    if number not in _UNDER_WAY:
-        raise OSError(number, os.strerror(number))
-    up = loop.create_future()
-    loop.add_writer(end.fileno(), _settle, up)
+    if error not in _IN_PROGRESS:
+        raise OSError(error, os.strerror(error))
+    connected = loop.create_future()
+    loop.add_writer(sock.fileno(), _set_connected, connected)
     try:
-        await up
+        await connected
     finally:
-        loop.remove_writer(end.fileno())
-    number = end.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
-    if number:
-        raise OSError(number, os.strerror(number))
+        loop.remove_writer(sock.fileno())
+    error = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
+    if error:
+        raise OSError(error, os.strerror(error))
 
 
-def _settle(up: asyncio.Future[None]) -> None:
-    if not up.done():
-        up.set_result(None)
+def _set_connected(connected: asyncio.Future[None]) -> None:
+    if not connected.done():
+        connected.set_result(None)
--- a/saltport/transport/listening.py
+++ b/saltport/transport/listening.py
@@ -1,4 +1,4 @@
-"""Sockets that listen."""
+"""Creation of listening sockets."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 
 def listening_socket(address: Address, backlog: int) -> socket.socket:
-    """Listen at an address, also one whose last connections the kernel still remembers. Raises OSError.
+    """Return a socket that listens at an address, even if old connections are in TIME_WAIT. Raises OSError.
 
     Danger: without SO_REUSEADDR a restart at the same address fails for a minute. An option that can't be set
-    is an error here, of a kind that is worth another try; `socket.create_server` goes on without it.
+    is therefore an error that the caller can retry; `socket.create_server` ignores it.
     """
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     listener = socket.socket(family, socket.SOCK_STREAM)
--- a/saltport/transport/loop.py
+++ b/saltport/transport/loop.py
@@ -1,7 +1,7 @@
-"""asyncio's event loop on this package's poller.
+"""The router's event loop: asyncio's own, with this package's poller.
 
-uvloop is not used for the router: libuv ends the process where a descriptor can't be watched, and its streams
-end a connection at any error of a read or write (docs/design/transport.md).
+uvloop is not used for the router: libuv aborts the process when a descriptor can't be watched, and its
+streams close a connection after any failed read or write (docs/design/transport.md).
 """
 
 from __future__ import annotations
@@ -14,31 +14,31 @@
 from saltport.transport import shortage
 from saltport.transport.poller import Poller
 
-PATIENCE_S = 10.0  # for a loop that the machine has no descriptors for
-PAUSE_S = 0.01
+CREATION_TIMEOUT_S = 10.0  # for a loop that the machine has no descriptors for
+RETRY_PAUSE_S = 0.01
 
 T = TypeVar("T")
 
 
 class RouterEventLoop(asyncio.SelectorEventLoop):
-    """The loop of the standard library, told the time without a call of Python's in between."""
+    """The standard library's loop, with a `time` that calls the C function directly."""
 
     time = staticmethod(time.monotonic)
 
 
 def new_event_loop() -> asyncio.AbstractEventLoop:
-    """Make a loop; waits while the machine is short of what it needs. Raises OSError."""
-    given_up = time.monotonic() + PATIENCE_S
+    """Create an event loop; waits while the machine lacks the resources. Raises OSError after a timeout."""
+    give_up_at = time.monotonic() + CREATION_TIMEOUT_S
     while True:
         try:
             return RouterEventLoop(Poller())
         except OSError as error:
-            if error.errno not in shortage.OF_RESOURCES or time.monotonic() >= given_up:
+            if error.errno not in shortage.RESOURCE_ERRORS or time.monotonic() >= give_up_at:
                 raise
-        time.sleep(PAUSE_S)
+        time.sleep(RETRY_PAUSE_S)
 
 
-def on_router_loop(main: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine as the router's process does, to its end. Raises what it raises."""
+def run_on_router_loop(main: Coroutine[Any, Any, T]) -> T:
+    """Run a coroutine to its end on the router's event loop, and return its result."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         return runner.run(main)
--- a/saltport/transport/packets.py
+++ b/saltport/transport/packets.py
@@ -1,4 +1,4 @@
-"""A link of messages that keep their bounds and bring descriptors (SOCK_SEQPACKET, SCM_RIGHTS)."""
+"""A message link to another process that can pass descriptors (SOCK_SEQPACKET, SCM_RIGHTS)."""
 
 from __future__ import annotations
 
@@ -10,87 +10,87 @@
 
 from saltport.transport import shortage
 
-PAUSE_S = 0.01
-"""Before a call is made again that this machine was short of something for, or the link full."""
+RETRY_PAUSE_S = 0.01
+"""Pause before a call is repeated that failed for lack of resources or because the link was full."""
 
 
 @dataclass(frozen=True, slots=True)
 class Packet:
-    """One message that came."""
+    """One received message."""
 
     data: bytes
-    """Empty: the link has ended."""
+    """The message; empty when the link has ended."""
     descriptors: Sequence[int] = ()
-    """Those of the taker from now on."""
-    is_cut: bool = False
-    """Whether data or descriptors are missing."""
+    """Received descriptors, owned by the receiver."""
+    is_truncated: bool = False
+    """Whether data or descriptors were truncated."""
 
 
 class PacketLink:
-    """One end of a link, which is owned from the beginning on."""
+    """One end of a message link; owns its socket."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
-        end: socket.socket,
-        came: Callable[[Packet], None],
+        sock: socket.socket,
+        on_packet: Callable[[Packet], None],
         max_size: int,
         max_descriptors: int = 0,
     ) -> None:
-        """`came` takes each message, and one without data at the link's end."""
-        self._loop, self._end, self._came = loop, end, came
+        """`on_packet` is called with each message, and with an empty one at the end of the link."""
+        self._loop, self._sock, self._on_packet = loop, sock, on_packet
         self._max_size, self._max_descriptors = max_size, max_descriptors
-        self._answers: deque[bytes] = deque()
-        self._reading_again: asyncio.TimerHandle | None = None
-        self._answering_again: asyncio.TimerHandle | None = None
-        end.setblocking(False)
-        self._read_on()
+        self._unsent_answers: deque[bytes] = deque()
+        self._read_retry: asyncio.TimerHandle | None = None
+        self._answer_retry: asyncio.TimerHandle | None = None
+        sock.setblocking(False)
+        self._resume_reading()
 
     def send(self, data: bytes, descriptors: Sequence[int] = ()) -> bool:
-        """Whether the link has taken a message; it takes it whole or not at all."""
+        """Send a message; return whether the link took it, which is all or nothing."""
         try:
-            socket.send_fds(self._end, [data], descriptors)
-        except OSError:  # its buffer is full, this machine is short of memory, or it has gone, which is read
+            socket.send_fds(self._sock, [data], descriptors)
+        except OSError:  # buffer full, no memory, or the link has ended, which the next read reports
             return False
         return True
 
     def answer(self, data: bytes) -> None:
-        """Send a message behind the answers before it, as soon as the link takes it."""
-        self._answers.append(data)
-        if self._answering_again is None:
+        """Queue an answer behind earlier ones; it is sent as soon as the link takes it."""
+        self._unsent_answers.append(data)
+        if self._answer_retry is None:
             self._send_answers()
 
     def close(self) -> None:
-        """Close this end at once."""
-        if self._reading_again is None:
-            self._loop.remove_reader(self._end.fileno())
-        for timer in (self._reading_again, self._answering_again):
+        """Close this end at once; queued answers are dropped."""
+        if self._read_retry is None:
+            self._loop.remove_reader(self._sock.fileno())
+        for timer in (self._read_retry, self._answer_retry):
             if timer is not None:
                 timer.cancel()
-        self._end.close()
+        self._sock.close()
 
     def _send_answers(self) -> None:
-        self._answering_again = None
-        while self._answers:
-            if not self.send(self._answers[0]):
-                # Danger: an answer that is lost leaves the other side with what it gave away, or without it.
-                self._answering_again = self._loop.call_later(PAUSE_S, self._send_answers)
+        self._answer_retry = None
+        while self._unsent_answers:
+            if not self.send(self._unsent_answers[0]):
+                # Danger: without the answer the peer can't know whether what it handed over was taken.
+                self._answer_retry = self._loop.call_later(RETRY_PAUSE_S, self._send_answers)
                 return
-            self._answers.popleft()
+            self._unsent_answers.popleft()
 
-    def _read_on(self) -> None:
-        self._reading_again = None
-        self._loop.add_reader(self._end.fileno(), self._read)
+    def _resume_reading(self) -> None:
+        self._read_retry = None
+        self._loop.add_reader(self._sock.fileno(), self._read)
 
     def _read(self) -> None:
         try:
-            data, descriptors, flags, _ = socket.recv_fds(self._end, self._max_size, self._max_descriptors)
+            data, descriptors, flags, _ = socket.recv_fds(self._sock, self._max_size, self._max_descriptors)
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
-            if error.errno in shortage.OF_RESOURCES:
-                self._loop.remove_reader(self._end.fileno())
-                self._reading_again = self._loop.call_later(PAUSE_S, self._read_on)
+            if error.errno in shortage.RESOURCE_ERRORS:
+                self._loop.remove_reader(self._sock.fileno())
+                self._read_retry = self._loop.call_later(RETRY_PAUSE_S, self._resume_reading)
                 return
             data, descriptors, flags = b"", [], 0
-        self._came(Packet(data, descriptors, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC))))
+        self._on_packet(Packet(data, descriptors, bool(flags & (socket.MSG_TRUNC | socket.MSG_CTRUNC))))
--- a/saltport/transport/readiness.py
+++ b/saltport/transport/readiness.py
@@ -1,4 +1,4 @@
-"""Whether the kernel has something for a socket at this moment, asked outside the event loop."""
+"""Checks whether a socket is ready at this moment, outside the event loop."""
 
 from __future__ import annotations
 
@@ -7,39 +7,39 @@
 import socket
 from typing import Protocol
 
-TRIES = 3
+POLL_ATTEMPTS = 3
 
 
-class Asked(Protocol):
-    """What is asked of a socket."""
+class PollableSocket(Protocol):
+    """The part of a socket that `Readiness` uses."""
 
     def fileno(self) -> int:
-        """Its descriptor."""
+        """Return the descriptor."""
 
     def recv(self, size: int, flags: int) -> bytes:
-        """What has come."""
+        """Return received data, up to `size` bytes."""
 
 
 class Readiness:
-    """Asks about one socket, any number of times."""
+    """Checks one socket for events, any number of times."""
 
-    __slots__ = ("_end", "_events", "_poll")
+    __slots__ = ("_events", "_poll", "_sock")
 
-    def __init__(self, end: Asked, events: int) -> None:
-        """`events`: of poll(2), POLLIN or POLLRDHUP or both."""
-        self._end, self._events = end, events
+    def __init__(self, sock: PollableSocket, events: int) -> None:
+        """`events`: the poll(2) events to check for, POLLIN or POLLRDHUP or both."""
+        self._sock, self._events = sock, events
         self._poll = select.poll()
-        self._poll.register(end.fileno(), events)
+        self._poll.register(sock.fileno(), events)
 
-    def now(self) -> bool:
-        """Whether one of the events has come, or the connection is over."""
-        found = ready_now(self._poll)
+    def is_ready(self) -> bool:
+        """Whether one of the events has occurred, or the connection has ended."""
+        found = poll_now(self._poll)
         return self._peek() if found is None else bool(found)
 
     def _peek(self) -> bool:
-        """The same, as far as a read can tell: not of an end behind unread bytes."""
+        """Whether a read returns data or an error; misses the end of a connection behind unread data."""
         try:
-            data = self._end.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
+            data = self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
@@ -47,11 +47,11 @@
         return not data or bool(self._events & select.POLLIN)
 
 
-def ready_now(asked: select.poll) -> list[tuple[int, int]] | None:
-    """The events that have come; None: poll(2) had no memory to tell, several times in a row."""
-    for _ in range(TRIES):
+def poll_now(poll: select.poll) -> list[tuple[int, int]] | None:
+    """Return the events that have occurred; None if poll(2) lacked memory POLL_ATTEMPTS times in a row."""
+    for _ in range(POLL_ATTEMPTS):
         try:
-            return asked.poll(0)
+            return poll.poll(0)
         except OSError as error:
             if error.errno != errno.ENOMEM:
                 raise
--- a/saltport/transport/shortage.py
+++ b/saltport/transport/shortage.py
@@ -1,4 +1,4 @@
-"""Errors by which the system tells that this machine is short of something, and nothing of anybody else."""
+"""Errors that mean a lack of resources on this machine, not a fault of a peer, and a retry for them."""
 
 from __future__ import annotations
 
@@ -8,23 +8,28 @@
 from collections.abc import Callable, Collection
 from typing import TypeVar
 
-OF_RESOURCES = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
-"""Of descriptors or memory: socket(2), bind(2), accept(2), open(2), read(2), write(2)."""
-OF_DIALS = OF_RESOURCES | {errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR}
-"""Of what a connection needs here, local ports among them: socket(2), connect(2)."""
-PAUSE_S = 0.01
-"""Between two tries."""
+RESOURCE_ERRORS = frozenset({errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM})
+"""Lack of descriptors or memory: socket(2), bind(2), accept(2), open(2), read(2), write(2)."""
+DIAL_ERRORS = RESOURCE_ERRORS | {errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.EAGAIN, errno.EINTR}
+"""Lack of what a new connection needs, local ports included: socket(2), connect(2)."""
+RETRY_PAUSE_S = 0.01
+"""Pause between two attempts."""
 
 T = TypeVar("T")
 
 
-async def outlast(attempt: Callable[[], T], patience_s: float, errors: Collection[int] = OF_RESOURCES) -> T:
-    """Try until the machine has what it takes; at the end of patience the last error is raised."""
-    given_up = time.monotonic() + patience_s
+async def retry_on_shortage(
+    attempt: Callable[[], T], timeout_s: float, errors: Collection[int] = RESOURCE_ERRORS
+) -> T:
+    """Call `attempt` until it fails with none of `errors`, and return its result.
+
+    Raises the last error after `timeout_s`.
+    """
+    give_up_at = time.monotonic() + timeout_s
     while True:
         try:
             return attempt()
         except OSError as error:
-            if error.errno not in errors or time.monotonic() >= given_up:
+            if error.errno not in errors or time.monotonic() >= give_up_at:
                 raise
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(RETRY_PAUSE_S)
--- a/saltport/transport/stream.py
+++ b/saltport/transport/stream.py
@@ -1,9 +1,8 @@
-"""A TCP connection that outlives what its own machine is short of for a moment.
+"""An asyncio transport for TCP that survives a temporary lack of memory on its own machine.
 
-EAGAIN waits for the kernel's word, and so does a short write for what is left of it. ENOBUFS and ENOMEM say
-nothing of the other side: the same call is made again some milliseconds later, in order, each byte once.
-EINTR is Python's (PEP 475): again at once. Any other error ends the connection, as documented for
-asyncio.Transport.
+After EAGAIN or a short write, the stream waits until the socket is ready. ENOBUFS and ENOMEM are no sign of a
+fault of the peer: the same call is repeated some milliseconds later, in order, each byte once. Python itself
+retries after EINTR (PEP 475). Any other error ends the connection, as documented for asyncio.Transport.
 """
 
 from __future__ import annotations
@@ -16,28 +15,28 @@
 
 from saltport.transport import shortage
 
-READ_SIZE = 256 << 10  # bytes that one read takes at most: a shorter one left nothing in the kernel
-HIGH_WATER = 64 << 10  # unsent bytes above which the protocol is paused, unless it says otherwise
-FIRST_RETRY_S, LONGEST_RETRY_S = 0.004, 0.032
-"""Before a call is made again that this machine had no memory for."""
+READ_SIZE = 256 << 10  # bytes that one read returns at most: a shorter read has emptied the kernel's buffer
+HIGH_WATER = 64 << 10  # default for the unsent bytes above which the protocol is paused
+FIRST_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.004, 0.032
+"""Pauses before a failed call is repeated: the first one, and the limit of their doubling."""
 
-_LATER = shortage.OF_RESOURCES | {errno.EAGAIN, errno.EINTR}
+_RETRIABLE = shortage.RESOURCE_ERRORS | {errno.EAGAIN, errno.EINTR}
 
 log = logging.getLogger("saltport")
 
 
 class StreamProtocol(asyncio.Protocol):
-    """What is told of a stream, beyond what any protocol is."""
+    """A protocol that is also told when this machine lacks memory to read or write."""
 
-    def read_held_up(self) -> None:
-        """A read failed for want of memory here: what the other side sent lies in the kernel meanwhile."""
+    def read_out_of_memory(self) -> None:
+        """Called when a read failed as this machine lacks memory; the peer's data stays in the kernel."""
 
-    def write_held_up(self) -> None:
-        """The same of a write: what is unsent waits for this machine."""
+    def write_out_of_memory(self) -> None:
+        """Called when a write failed as this machine lacks memory; the unsent bytes are retried."""
 
 
 class _ReadBuffer(threading.local):
-    """Where a thread's streams read to, one at a time."""
+    """The read buffer that all streams of a thread share; a read ends before the next begins."""
 
     def __init__(self) -> None:
         self.view = memoryview(bytearray(READ_SIZE))
@@ -47,107 +46,112 @@
 
 
 class TcpStream(asyncio.Transport):
-    """One connected socket, on any loop that can tell when a descriptor is ready."""
+    """Transport of one connected socket, on any event loop with `add_reader` and `add_writer`."""
 
     __slots__ = (
-        "_buffer", "_closing", "_end", "_end_of_sending", "_high", "_is_watched_for_reading",
-        "_is_watched_for_writing", "_loop", "_lost", "_low", "_protocol", "_protocol_paused",
-        "_read_pause_s", "_read_retry", "_reading", "_unsent", "_write_pause_s", "_write_retry", "is_held_up",
+        "_buffer", "_closing", "_eof_requested", "_has_reader", "_has_writer", "_high", "_loop",
+        "_lost", "_low", "_protocol", "_protocol_paused", "_read_pause_s", "_read_retry",
+        "_reading", "_sock", "_unsent", "_write_pause_s", "_write_retry", "is_out_of_memory",
     )  # fmt: skip
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, end: socket.socket, protocol: StreamProtocol) -> None:
-        """Take over a connected socket that doesn't block; the protocol is told within this call."""
-        super().__init__({"socket": end})
-        self._loop, self._end = loop, end
+    def __init__(
+        self, loop: asyncio.AbstractEventLoop, sock: socket.socket, protocol: StreamProtocol
+    ) -> None:
+        """Take ownership of a connected, non-blocking socket; calls the protocol's `connection_made`."""
+        super().__init__({"socket": sock})
+        self._loop, self._sock = loop, sock
         self._protocol = protocol
         self._buffer = _read_buffer.view
         self._unsent = bytearray()
         self._high, self._low = HIGH_WATER, HIGH_WATER // 4
-        self._protocol_paused = self._closing = self._lost = self._end_of_sending = False
+        self._protocol_paused = self._closing = self._lost = self._eof_requested = False
         self._reading = True
-        self.is_held_up = False
-        """Whether this machine has no memory to read what may have come."""
-        self._is_watched_for_reading = self._is_watched_for_writing = False
+        self.is_out_of_memory = False
+        """Whether the latest read failed because this machine lacks memory."""
+        self._has_reader = self._has_writer = False
         self._read_retry: asyncio.TimerHandle | None = None
         self._write_retry: asyncio.TimerHandle | None = None
         self._read_pause_s = self._write_pause_s = 0.0
-        set_no_delay(end)
+        set_no_delay(sock)
         protocol.connection_made(self)
-        self._watch_for_reading()
+        self._start_reading()
 
     # Reading
 
     def is_reading(self) -> bool:
-        """Whether what comes is passed on."""
+        """Whether received data is passed to the protocol."""
         return self._reading and not self._closing
 
     def pause_reading(self) -> None:
-        """Leave what comes in the kernel."""
+        """Stop reading; received data stays in the kernel."""
         self._reading = False
-        self._watch_no_more_for_reading()
+        self._stop_reading()
 
     def resume_reading(self) -> None:
-        """Pass on what comes."""
+        """Resume reading."""
         self._reading = True
-        self._watch_for_reading()
+        self._start_reading()
 
-    def _watch_for_reading(self) -> None:
+    def _start_reading(self) -> None:
         wanted = self._reading and not self._closing and self._read_retry is None
-        if wanted and not self._is_watched_for_reading:
-            self._is_watched_for_reading = True
-            self._loop.add_reader(self._end.fileno(), self._read)
+        if wanted and not self._has_reader:
+            self._has_reader = True
+            self._loop.add_reader(self._sock.fileno(), self._read)
 
-    def _watch_no_more_for_reading(self) -> None:
-        if self._is_watched_for_reading:
-            self._is_watched_for_reading = False
-            self._loop.remove_reader(self._end.fileno())
+    def _stop_reading(self) -> None:
+        if self._has_reader:
+            self._has_reader = False
+            self._loop.remove_reader(self._sock.fileno())
 
     def _read(self) -> None:
         try:
-            size = self._end.recv_into(self._buffer)
+            size = self._sock.recv_into(self._buffer)
         except OSError as error:
-            if error.errno in _LATER:
-                self._read_later(error.errno in shortage.OF_RESOURCES)
+            if error.errno in _RETRIABLE:
+                self._read_later(error.errno in shortage.RESOURCE_ERRORS)
             else:
-                self._lose(error)
+                self._fail(error)
             return
-        self._read_pause_s, self.is_held_up = 0.0, False
+        self._read_pause_s, self.is_out_of_memory = 0.0, False
         try:
             if size:
                 self._protocol.data_received(bytes(self._buffer[:size]))
             else:
-                self._ended()
+                self._handle_eof()
         except Exception as error:
-            log.exception("a connection's protocol failed")
-            self._lose(error)
-
-    def _read_later(self, is_held_up: bool) -> None:
-        """Danger: the socket may stay readable, so a watch would make the same call again without end."""
-        self._watch_no_more_for_reading()
-        self.is_held_up = is_held_up
-        if is_held_up:
-            self._protocol.read_held_up()
-        self._read_pause_s = _longer(self._read_pause_s)
+            log.exception("a connection's protocol raised an exception")
+            self._fail(error)
+
+    def _read_later(self, is_out_of_memory: bool) -> None:
+        """Retry a read after a pause.
+
+        Danger: the socket may stay readable, so a reader on the loop would repeat the call in a busy loop.
+        """
+        self._stop_reading()
+        self.is_out_of_memory = is_out_of_memory
+        if is_out_of_memory:
+            self._protocol.read_out_of_memory()
+        self._read_pause_s = _next_pause_s(self._read_pause_s)
         self._read_retry = self._loop.call_later(self._read_pause_s, self._read_again)
 
     def _read_again(self) -> None:
         self._read_retry = None
-        self._watch_for_reading()
+        self._start_reading()
 
-    def _ended(self) -> None:
+    def _handle_eof(self) -> None:
         self._reading = False
-        self._watch_no_more_for_reading()
+        self._stop_reading()
         if not self._protocol.eof_received():
             self.close()
 
     # Writing
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
-        """Write behind what is unsent; the kernel has the bytes within this call, as far as it takes them."""
+        """Pass bytes to the kernel as far as it takes them now, and queue the rest behind what is unsent."""
         if self._closing or not data:
             return
-        if self._end_of_sending:
-            raise RuntimeError("a write behind write_eof")
+        if self._eof_requested:
+            raise RuntimeError("write after write_eof")
         if not self._unsent:
             sent = self._send(data)
             if self._closing or sent == len(data):
@@ -156,19 +160,19 @@
         self._unsent += data
         self._pause_protocol()
 
-    def write_whole_or_later(self, data: bytes) -> bool:
-        """Write as `write` does, unless this machine can't take the first byte now; False: nothing was done.
+    def write_now(self, data: bytes) -> bool:
+        """Write as `write` does, but return False, with nothing queued, if no byte can be sent now.
 
-        For what must not leave long after it was worded. Only where nothing is unsent.
+        For messages that must not be sent long after they were built. Nothing may be unsent before.
         """
         assert not self._unsent
-        sent = self._try_to_send(data)
-        # Danger: with nothing before it, EAGAIN for the first byte tells of no memory for a buffer.
+        sent = self._try_send(data)
+        # Danger: with nothing unsent before, EAGAIN for the first byte means that the kernel lacks memory.
         if not sent and not self._closing:
             return False
         if sent is not None and sent < len(data) and not self._closing:
             self._unsent += memoryview(data)[sent:]
-            self._watch_for_writing()
+            self._start_writing()
             self._pause_protocol()
         return True
 
@@ -178,93 +182,96 @@
             self._protocol.pause_writing()
 
     def _send(self, data: bytes | bytearray | memoryview) -> int:
-        """Give the kernel what it takes; returns how many bytes, having seen to it that the rest follows."""
-        sent = self._try_to_send(data)
+        """Pass bytes to the kernel and schedule a retry for the rest; return how many it took."""
+        sent = self._try_send(data)
         if sent is None:
             self._write_later()
             return 0
         self._write_pause_s = 0.0
         if sent < len(data) and not self._closing:
-            self._watch_for_writing()
+            self._start_writing()
         return sent
 
-    def _try_to_send(self, data: bytes | bytearray | memoryview) -> int | None:
-        """How many bytes the kernel took; None: this machine was short of memory for the call."""
+    def _try_send(self, data: bytes | bytearray | memoryview) -> int | None:
+        """Return how many bytes the kernel took; None if the call failed for lack of memory."""
         try:
-            return self._end.send(data)
+            return self._sock.send(data)
         except BlockingIOError:
             return 0
         except OSError as error:
-            if error.errno in _LATER:
+            if error.errno in _RETRIABLE:
                 return None
-            self._lose(error)
+            self._fail(error)
             return 0
 
     def _write_later(self) -> None:
-        """Danger: the socket may well be writable, so a watch would make the same call again without end."""
-        self._watch_no_more_for_writing()
-        self._protocol.write_held_up()
+        """Retry a write after a pause.
+
+        Danger: the socket may be writable, so a writer on the loop would repeat the call in a busy loop.
+        """
+        self._stop_writing()
+        self._protocol.write_out_of_memory()
         if self._write_retry is None:
-            self._write_pause_s = _longer(self._write_pause_s)
+            self._write_pause_s = _next_pause_s(self._write_pause_s)
             self._write_retry = self._loop.call_later(self._write_pause_s, self._write_again)
 
     def _write_again(self) -> None:
         self._write_retry = None
         self._write_unsent()
 
-    def _watch_for_writing(self) -> None:
-        if not self._is_watched_for_writing:
-            self._is_watched_for_writing = True
-            self._loop.add_writer(self._end.fileno(), self._write_unsent)
+    def _start_writing(self) -> None:
+        if not self._has_writer:
+            self._has_writer = True
+            self._loop.add_writer(self._sock.fileno(), self._write_unsent)
 
-    def _watch_no_more_for_writing(self) -> None:
-        if self._is_watched_for_writing:
-            self._is_watched_for_writing = False
-            self._loop.remove_writer(self._end.fileno())
+    def _stop_writing(self) -> None:
+        if self._has_writer:
+            self._has_writer = False
+            self._loop.remove_writer(self._sock.fileno())
 
     def _write_unsent(self) -> None:
         sent = self._send(self._unsent)
         if self._lost:
             return
-        if not sent and self._is_watched_for_writing:
-            # Danger: short of memory for a buffer, the kernel says EAGAIN of a socket that is writable, and a
-            # watch would make the same call again without end.
+        if not sent and self._has_writer:
+            # Danger: when the kernel lacks memory for a buffer, it returns EAGAIN for a writable socket, and
+            # a writer on the loop would repeat the call in a busy loop.
             self._write_later()
             return
         del self._unsent[:sent]
         if not self._unsent:
-            self._watch_no_more_for_writing()
+            self._stop_writing()
         if self._protocol_paused and len(self._unsent) <= self._low:
             self._protocol_paused = False
             self._protocol.resume_writing()
         if not self._unsent and not self._lost:
             if self._closing:
-                self._lose(None)
-            elif self._end_of_sending:
+                self._fail(None)
+            elif self._eof_requested:
                 self._shut_down()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """See asyncio.Transport."""
+        """Set the numbers of unsent bytes at which the protocol is paused and resumed."""
         self._high = HIGH_WATER if high is None else high
         self._low = self._high // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Number of bytes that the kernel has not taken yet."""
         return len(self._unsent)
 
     @property
     def unsent(self) -> bytes:
-        """What the kernel has not taken; after an abort, until the protocol is told that it is lost."""
+        """The bytes that the kernel has not taken; after an abort they stay until `connection_lost`."""
         return bytes(self._unsent)
 
     def can_write_eof(self) -> bool:
-        """See asyncio.Transport."""
+        """Return True: the sending side can be closed alone."""
         return True
 
     def write_eof(self) -> None:
-        """End the sending side behind what is unsent, and read on."""
-        if not self._closing and not self._end_of_sending:
-            self._end_of_sending = True
+        """Close the sending side once all is sent; reading continues."""
+        if not self._closing and not self._eof_requested:
+            self._eof_requested = True
             if not self._unsent:
                 self._shut_down()
 
@@ -272,67 +279,67 @@
         if self._lost:
             return
         try:
-            self._end.shutdown(socket.SHUT_WR)
+            self._sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            if error.errno in shortage.OF_RESOURCES:
-                self._loop.call_later(FIRST_RETRY_S, self._shut_down)
-            # else the connection has ended already, which the next read tells
+            if error.errno in shortage.RESOURCE_ERRORS:
+                self._loop.call_later(FIRST_RETRY_PAUSE_S, self._shut_down)
+            # Otherwise the connection has ended already, and the next read reports it.
 
-    # Ends
+    # Closing
 
     def is_closing(self) -> bool:
-        """Whether nothing more is read or written."""
+        """Whether the stream is closing or closed."""
         return self._closing
 
     def set_protocol(self, protocol: asyncio.BaseProtocol) -> None:
-        """Tell somebody else from now on."""
+        """Set the protocol that is called from now on."""
         assert isinstance(protocol, StreamProtocol)
         self._protocol = protocol
 
     def get_protocol(self) -> StreamProtocol:
-        """Who is told."""
+        """Return the current protocol."""
         return self._protocol
 
     def close(self) -> None:
-        """Close behind what is unsent."""
+        """Close once all unsent bytes are sent."""
         if not self._closing:
             self._closing = True
-            self._watch_no_more_for_reading()
+            self._stop_reading()
             if not self._unsent:
-                self._lose(None)
+                self._fail(None)
 
     def abort(self) -> None:
-        """Close at once."""
-        self._lose(None)
+        """Close at once; unsent bytes are dropped."""
+        self._fail(None)
 
-    def _lose(self, error: Exception | None) -> None:
+    def _fail(self, error: Exception | None) -> None:
         if self._lost:
             return
         self._closing = self._lost = True
-        self._watch_no_more_for_reading()
-        self._watch_no_more_for_writing()
+        self._stop_reading()
+        self._stop_writing()
         for retry in (self._read_retry, self._write_retry):
             if retry is not None:
                 retry.cancel()
         self._read_retry = self._write_retry = None
-        self._loop.call_soon(self._tell_lost, error)
+        self._loop.call_soon(self._finish_close, error)
 
-    def _tell_lost(self, error: Exception | None) -> None:
+    def _finish_close(self, error: Exception | None) -> None:
         try:
             self._protocol.connection_lost(error)
         finally:
             self._unsent.clear()
-            self._end.close()
+            self._sock.close()
 
 
-def set_no_delay(end: socket.socket) -> None:
-    """Have small writes leave at once; a wish, and no reason to end the connection."""
+def set_no_delay(sock: socket.socket) -> None:
+    """Set TCP_NODELAY, so that small writes are sent at once; a failure is only logged."""
     try:
-        end.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     except OSError as error:
-        if error.errno != errno.EOPNOTSUPP:  # other than on TCP, where it means nothing
-            log.warning("a connection keeps its small writes back: %s", error.strerror or error)
+        if error.errno != errno.EOPNOTSUPP:  # not TCP, where the option does not apply
+            log.warning("TCP_NODELAY can't be set, small writes may be delayed: %s", error.strerror or error)
 
 
-def _longer(pause_s: float) -> float:
-    return min(pause_s * 2, LONGEST_RETRY_S) if pause_s else FIRST_RETRY_S
+def _next_pause_s(pause_s: float) -> float:
+    return min(pause_s * 2, MAX_RETRY_PAUSE_S) if pause_s else FIRST_RETRY_PAUSE_S
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -179,7 +179,7 @@
         self.unsent = True
         self.server.pool.sends -= self._counts_as_send
 
-    def write_held_up(self) -> None:
+    def write_out_of_memory(self) -> None:
         """Start a timeout for the request: half written, it has not run, and may be sent elsewhere."""
         if self._half_sent_timer is None:
             self._half_sent_timer = self.server.pool.loop.call_later(
@@ -192,7 +192,7 @@
         if exchange is not None and self.unsent:
             exchange.give_up(Outcome.MOOT)
 
-    def read_held_up(self) -> None:
+    def read_out_of_memory(self) -> None:
         """Note since when this machine lacks the memory to read."""
         self._unread_since_ns = self._unread_since_ns or time.monotonic_ns()
 
@@ -231,7 +231,7 @@
         """Whether the kernel has data, or the end of the connection, that the loop has not read yet."""
         if self._readiness is None or self.transport is None or self.transport.is_closing():
             return False
-        return self._readiness.now()
+        return self._readiness.is_ready()
 
     def start(self, exchange: Exchange) -> StartResult:
         """Write the exchange's request.
@@ -245,7 +245,7 @@
         request_bytes = self.request_bytes(exchange, remaining_ms)
         self._counts_as_send = int(exchange.request is not None)
         self.server.pool.sends += self._counts_as_send
-        if not self.transport.write_whole_or_later(request_bytes):
+        if not self.transport.write_now(request_bytes):
             self.server.pool.sends -= self._counts_as_send
             return StartResult.SHORTAGE
         self.exchange, exchange.connection, exchange.connection_reused = exchange, self, self.used_before
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -300,7 +300,7 @@
                 own_lag = False
                 connection = cast(Connection, connecting.result().get_protocol())
         except OSError as error:
-            out_of_resources = error.errno in shortage.OF_DIALS
+            out_of_resources = error.errno in shortage.DIAL_ERRORS
         finally:
             server.dials.discard(task)
             if connection is None:
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -17,7 +17,7 @@
 from saltport.admin.calls import Operations
 from saltport.admin.client import ask
 from saltport.admin.listener import CALL_S, MAX_BODY, MAX_CALLERS, MAX_HEAD, AdminListener
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from tests.sockets import (
     MISS,
     PATIENCE_S,
@@ -141,7 +141,7 @@
         listener.close()
         return told
 
-    assert on_router_loop(play()).startswith(b"HTTP/1.1 404") == answered
+    assert run_on_router_loop(play()).startswith(b"HTTP/1.1 404") == answered
 
 
 def test_unknown_server_is_a_no_and_a_listed_one_a_yes(router: Routed) -> None:
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -14,7 +14,7 @@
 
 from saltport.decisions import CacheNote, Outcome
 from saltport.messages import Request, ValueSource
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.connection import Connection, Exchange
 from saltport.upstream.http import OriginConnection
 from saltport.upstream.pool import Pool
@@ -139,7 +139,7 @@
     left = iter(answers)
     peer = Peer(answer, is_http=connect is not CacheConnection)
     try:
-        return on_router_loop(play())
+        return run_on_router_loop(play())
     finally:
         peer.close()
 
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -21,7 +21,7 @@
 from saltport.downstream.taking import STALL_S
 from saltport.downstream.unread import LOOK_S
 from saltport.messages import Request
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from tests.sockets import PATIENCE_S, bulk, get
 
 LIMIT = 3
@@ -115,7 +115,7 @@
         server.close()
         await asyncio.sleep(0)
 
-    on_router_loop(run())
+    run_on_router_loop(run())
 
 
 def test_idle_close_that_crosses_a_request_ends_cleanly_and_takes_nothing() -> None:
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -28,7 +28,7 @@
 from saltport.messages import Request
 from saltport.router.host import RouterHost
 from saltport.transport.dialing import dial
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.transport.stream import TcpStream
 from saltport.upstream.pool import Pool
 from tests.sockets import PATIENCE_S, Peer, hit, http_answer, reset
@@ -106,7 +106,7 @@
         await asyncio.sleep(0)
 
     try:
-        on_router_loop(run())
+        run_on_router_loop(run())
     finally:
         for peer in peers.values():
             peer.close()
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -26,7 +26,7 @@
 from saltport.downstream.resp import RespDialect
 from saltport.membership.listing import Listing
 from saltport.router.host import RouterHost
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.pool import Pool
 from tests.sockets import PATIENCE_S, Client, Peer, eventually, get, hit, routed
 
@@ -93,7 +93,7 @@
 
     cache = Peer(serve)
     try:
-        on_router_loop(run())
+        run_on_router_loop(run())
     finally:
         cache.close()
 
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -23,7 +23,7 @@
 from saltport.router.check import check_file
 from saltport.router.config import ConfigError, load_config
 from saltport.standins.profile import Profile
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from tests.sockets import ROOT, Peer, hit, routed
 
 KEY = b"k" * 32
@@ -73,7 +73,7 @@
             for link in trio.links.values():
                 await link.close(replaced=True)
 
-    on_router_loop(run())
+    run_on_router_loop(run())
 
 
 def test_the_next_process_waits_for_the_address_and_takes_the_name() -> None:
--- a/tests/router/test_descriptors.py
+++ b/tests/router/test_descriptors.py
@@ -15,7 +15,7 @@
 
 from saltport.decisions import CacheNote, Outcome
 from saltport.messages import Request
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.connection import Exchange
 from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER, Pool
 from saltport.upstream.resp import CacheConnection
@@ -94,7 +94,7 @@
         async with asyncio.timeout(PATIENCE_S):
             await scene
 
-    on_router_loop(bounded())
+    run_on_router_loop(bounded())
 
 
 def pool_without_sweep(limit: int) -> Pool:
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -30,7 +30,7 @@
 from saltport.membership.listing import Listing
 from saltport.messages import Request
 from saltport.router.host import RouterHost
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.pool import Pool
 from tests.sockets import MISS, PATIENCE_S, Peer, hit
 
@@ -95,7 +95,7 @@
         return decisions.ends
 
     try:
-        return on_router_loop(run())
+        return run_on_router_loop(run())
     finally:
         for peer in peers.values():
             peer.close()
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -18,7 +18,7 @@
 from saltport.decisions import CacheNote, Outcome
 from saltport.downstream.clients import IDLE_S, SWEEP_S
 from saltport.messages import Request, ValueSource
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.connection import Exchange
 from saltport.upstream.http import OriginConnection
 from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER, Pool
@@ -393,7 +393,7 @@
 
     answered: list[list[bytes]] = []
     peer = Peer(answer, is_http=is_origin)
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    run_on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
     peer.close()
 
 
@@ -431,7 +431,7 @@
             server.close()
             other.close()
 
-    on_router_loop(asyncio.wait_for(play(), 3 * PATIENCE_S))
+    run_on_router_loop(asyncio.wait_for(play(), 3 * PATIENCE_S))
 
 
 def test_gone_client_leaves_nothing_behind(tmp_path: Path) -> None:
@@ -701,7 +701,7 @@
 
     never = threading.Event()
     peer = Peer(lambda *_: (never.wait(PATIENCE_S) and b"") or b"")
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    run_on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
     never.set()
     peer.close()
 
@@ -723,6 +723,6 @@
 
     never = threading.Event()
     peer = Peer(lambda *_: (never.wait(PATIENCE_S) and b"") or b"")
-    on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
+    run_on_router_loop(asyncio.wait_for(play(), PATIENCE_S))
     never.set()
     peer.close()
--- a/tests/transport/test_poller.py
+++ b/tests/transport/test_poller.py
@@ -83,7 +83,7 @@
     poller, (ours, theirs) = Poller(), pair
     refusals.number, refusals.left["register"] = number, 1
     poller.register(ours, EVENT_READ)
-    assert not poller.watches
+    assert not poller.uses_epoll
     assert ready(poller) == []
     theirs.send(b"x")
     assert ready(poller, 1.0) == [(ours.fileno(), EVENT_READ)]
@@ -97,9 +97,9 @@
     poller.register(ours, EVENT_READ)
     poller.register(theirs, EVENT_WRITE)
     end = time.monotonic() + PATIENCE_S
-    while not poller.watches and time.monotonic() < end:
+    while not poller.uses_epoll and time.monotonic() < end:
         assert ready(poller, 0.01) == [(theirs.fileno(), EVENT_WRITE)]
-    assert poller.watches
+    assert poller.uses_epoll
     ours.send(b"x")
     poller.modify(theirs, EVENT_READ)
     assert ready(poller) == [(theirs.fileno(), EVENT_READ)]
@@ -121,9 +121,9 @@
     assert ready(poller) == [], "a loop would spin on a watch that nobody waits for"
     for _ in range(100):
         assert ready(poller, 0.005) == []
-        if poller.watches:
+        if poller.uses_epoll:
             break
-    assert poller.watches
+    assert poller.uses_epoll
     assert ready(poller) == []
 
 
@@ -148,7 +148,7 @@
 ) -> None:
     refusals.left["create"], refusals.number = 1, errno.ENFILE
     poller, (ours, theirs) = Poller(), pair
-    assert not poller.watches
+    assert not poller.uses_epoll
     poller.register(ours, EVENT_READ)
     theirs.send(b"x")
     assert ready(poller, 1.0) == [(ours.fileno(), EVENT_READ)]
--- a/tests/transport/test_stream.py
+++ b/tests/transport/test_stream.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from saltport.transport.stream import LONGEST_RETRY_S, StreamProtocol, TcpStream
+from saltport.transport.stream import MAX_RETRY_PAUSE_S, StreamProtocol, TcpStream
 
 SHORTAGES = (errno.ENOBUFS, errno.ENOMEM)
 BROKEN = (errno.ECONNRESET, errno.ETIMEDOUT, errno.EHOSTUNREACH, errno.EPIPE)
@@ -130,7 +130,7 @@
     def resume_writing(self) -> None:
         self.paused -= 1
 
-    def read_held_up(self) -> None:
+    def read_out_of_memory(self) -> None:
         self.held_up += 1
 
 
@@ -212,7 +212,7 @@
     assert scene.socket.taken == b"answer"
     assert pauses == sorted(pauses)
     assert len(pauses) == 9
-    assert max(pauses) == LONGEST_RETRY_S
+    assert max(pauses) == MAX_RETRY_PAUSE_S
 
 
 @pytest.mark.parametrize("number", BROKEN)
@@ -251,11 +251,11 @@
 def test_a_request_that_can_not_be_written_now_is_left_undone() -> None:
     scene = Scene()
     scene.socket.sending = [-errno.ENOBUFS]
-    assert not scene.stream.write_whole_or_later(b"request")
+    assert not scene.stream.write_now(b"request")
     assert not scene.stream.unsent
     assert not scene.loop.timers
     scene.socket.sending = [4, -errno.ENOMEM]
-    assert scene.stream.write_whole_or_later(b"request")
+    assert scene.stream.write_now(b"request")
     scene.until_quiet()
     assert scene.socket.taken == b"request"
 
