--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -132,8 +132,8 @@
         )
 
     def _take(self, listing: Listing) -> None:
-        self.calls += not listing.more
-        if listing.generation != self._version and not listing.more:
+        self.calls += not listing.has_more
+        if listing.generation != self._version and not listing.has_more:
             self._version = listing.generation
             self._arrivals.add(listing.generation)
 
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -223,7 +223,7 @@
         except ValueError as error:
             log.warning("known: %s; the router starts without it", error)
             return None
-        self._discovery.hold(told, known.generation)
+        self._discovery.set_known_list(told, known.generation)
         return known
 
     def _take(self, listing: Listing) -> None:
@@ -231,7 +231,7 @@
             self._has_list = True
             log.info("the first list has come: generation %d", listing.generation)
         self._host.servers_changed(listing)
-        self._host.ready = self._host.ready or not listing.more
+        self._host.ready = self._host.ready or not listing.has_more
 
     def _make_do(self) -> None:
         self._host.ready = True
@@ -388,11 +388,11 @@
             log.warning("of the new configuration this waits for a restart: %s", ", ".join(plan.waits))
         if plan.retunes:
             self._host.retune(plan.config.settings)
-            self._discovery.ask_within(plan.config.settings.ask_within / NS_PER_S)
+            self._discovery.set_ask_within(plan.config.settings.ask_within / NS_PER_S)
         if plan.rekeys and self._peers is not None and plan.config.peers is not None:
             self._peers.use_keys(plan.config.peers.keys)
         if plan.moves:
-            self._discovery.move(plan.config.discovery)
+            self._discovery.change_address(plan.config.discovery)
 
 
 def _owners_link(
--- a/saltport/membership/__init__.py
+++ b/saltport/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Sources of the server list; all end in one event."""
+"""Sources of the server list; each yields the same event for the decision module."""
--- a/saltport/membership/listing.py
+++ b/saltport/membership/listing.py
@@ -1,4 +1,4 @@
-"""The list of servers in discovery's form, read into the module's event."""
+"""Parses discovery's list of servers into the event for the decision module."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """One answer of discovery: the module's event, and the address of each server in it."""
+    """One answer of discovery: the event for the decision module, and the address of each server in it."""
 
     generation: int
     change: ServersChanged
     addresses: dict[str, Address]
-    more: bool = False
-    """Whether further steps of the same list follow."""
+    has_more: bool = False
+    """Whether more steps of the same list follow."""
 
 
 def read_listing(body: Any, starts: StartTimes, kind: ListKind | None = None) -> Listing:
-    """Read discovery's form; raises ValueError on anything amiss, and then nothing of it counts."""
+    """Return the listing for discovery's answer. Raises ValueError if any part of it is invalid."""
     try:
         if kind is None:
             kind = ListKind.FULL if body["reset"] else ListKind.DELTA
-        starts.begin_list(body["instances"], kind is not ListKind.DELTA, is_old=kind is ListKind.CACHED)
+        starts.begin_list(body["instances"], kind is not ListKind.DELTA, is_cached=kind is ListKind.CACHED)
         read = [read_entry(entry, starts) for entry in body["instances"]]
         servers = tuple(server for server, _ in read)
         addresses = {server.id: address for server, address in read if address is not None}
@@ -38,9 +38,9 @@
 
 
 def read_entry(entry: dict[str, Any], starts: StartTimes) -> tuple[Server, Address | None]:
-    """Read one entry and its address, which one that is gone needs not have.
+    """Return the server of one entry and its address, or None as the address of a removed server.
 
-    Raises KeyError, TypeError, AttributeError or ValueError on anything amiss.
+    Raises KeyError, TypeError, AttributeError or ValueError if the entry is invalid.
     """
     if not isinstance(entry["instanceId"], str):
         raise TypeError("instanceId must be a string")
--- a/saltport/membership/registry.py
+++ b/saltport/membership/registry.py
@@ -1,22 +1,25 @@
-"""Discovery's client: the whole list once, then a watch that goes on without a gap.
+"""Client of the discovery service: fetches the full server list once, then follows its changes.
 
-Its times come from one term of the protocol: a change is acted on within TERM_S of when discovery had it
-and could be reached, whatever came before (a call that failed, was refused or given up, a silent watch).
+The timeouts follow from one rule of the protocol: a change takes effect within MAX_CHANGE_DELAY_S of the time
+at which discovery had it and was reachable, whatever happened before (a call that failed, was refused or was
+abandoned, or a watch without an answer). A watch is a long poll: discovery answers at a change or at the end
+of its wait.
 
-Pushed lists, from the silence of a watch that has just begun, through one more call that hangs, to the one
-that brings the change:
+Pushed lists: a watch that gets no answer, one more call that hangs, and the call that returns the change:
 
-    PUSHED_WAIT_S + SLACK_S + RETRY_S + CALL_S + RETRY_S + CALL_S + LATE_S = 5.7 <= TERM_S
+    PUSHED_WAIT_S + ROUND_TRIP_S + 2 * (RETRY_DELAY_S + CALL_TIMEOUT_S) + LOOP_DELAY_S = 5.7
+        <= MAX_CHANGE_DELAY_S
 
-Asked: the wait is the settings' own, and after a silent one 2 s are left (SILENT_S); a call that failed, from
-when it began, to the end of the next one:
+Subscribed lists (`must_subscribe`): the settings give the wait, and after a watch without an answer 2 s are
+left (SILENT_WATCH_MARGIN_S). The second line is for a failed call, from its start to the end of the next one:
 
-    SLACK_S + CALL_S + LATE_S = 2.0 <= SILENT_S        AGAIN_S + ASKED_CALL_S + LATE_S = TERM_S
+    ROUND_TRIP_S + CALL_TIMEOUT_S + LOOP_DELAY_S = 2.0 <= SILENT_WATCH_MARGIN_S
+    RETRY_INTERVAL_S + SUBSCRIBED_CALL_TIMEOUT_S + LOOP_DELAY_S = MAX_CHANGE_DELAY_S
 
-A call that is given up stays open for LATE_ANSWER_S more: its answer counts, unless that of a later call was
-taken before it. So a discovery that takes SLOWEST_S for each call is followed too:
+An abandoned call stays open for another LATE_ANSWER_TIMEOUT_S; its answer is used unless that of a later call
+was applied before. So the rule also holds for a discovery service that takes MAX_ANSWER_TIME_S for each call:
 
-    AGAIN_AFTER_SILENCE_S + SLOWEST_S + LATE_S = TERM_S
+    TIMEOUT_RETRY_INTERVAL_S + MAX_ANSWER_TIME_S + LOOP_DELAY_S = MAX_CHANGE_DELAY_S
 """
 
 from __future__ import annotations
@@ -38,30 +41,32 @@
 from saltport.transport.stream import StreamProtocol
 from saltport.wire.http import HttpError, HttpReader, request
 
-MAX_BODY = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 LIST_PATH = "/registry/instances"
-TERM_S, SILENT_S = 6.0, 2.0  # PROTOCOL and the operators' terms: see above
-LATE_S = 0.3  # by which the loop may be late, all in all
-SLACK_S = 0.7  # beyond a wait, for the call's way there and back
-CALL_S = 1.0  # for a call that need not wait, with its dial; the agent answers at once
-RETRY_S = 0.1  # a watch goes on if the next call comes within 0.2 s
+MAX_CHANGE_DELAY_S, SILENT_WATCH_MARGIN_S = 6.0, 2.0  # limits of the protocol, see above
+LOOP_DELAY_S = 0.3  # allowance for delays of the event loop
+ROUND_TRIP_S = 0.7  # added to a watch's wait for the round trip
+CALL_TIMEOUT_S = 1.0  # for a call without a wait, dial included; the agent answers at once
+RETRY_DELAY_S = 0.1  # discovery continues a watch if the next call comes within 0.2 s
 PUSHED_WAIT_S = 2.5
-ASKED_CALL_S = 2.0  # calls wait in turn at a discovery that is asked
-AGAIN_S = TERM_S - ASKED_CALL_S - LATE_S  # from a call's beginning to that of the next, where it fails
-SLOWEST_S = 3.0  # that a discovery takes for a call, and still counts as one that could be reached
-LATE_ANSWER_S = TERM_S - CALL_S
-AGAIN_AFTER_SILENCE_S = TERM_S - SLOWEST_S - LATE_S  # from a call's beginning to the next, where it is silent
-ASKED_LEAST_S = 1.0  # where discovery is asked each call costs it work
-LONGEST_WAIT_S = 60.0  # PROTOCOL: of a watch
-ASKED_SPREAD = 0.25  # of a wait: routers that started together must not go on asking together
-CALL_SLACK_S = 1.0  # of the time that the settings let news wait, kept back from a wait
-UNREADABLE_S = 1.0  # before a list that can't be read is asked for again
+SUBSCRIBED_CALL_TIMEOUT_S = 2.0  # calls queue at a discovery service with subscriptions
+# From the start of a failed call to the start of the next one.
+RETRY_INTERVAL_S = MAX_CHANGE_DELAY_S - SUBSCRIBED_CALL_TIMEOUT_S - LOOP_DELAY_S
+MAX_ANSWER_TIME_S = 3.0  # longest time for an answer of a discovery service that counts as reachable
+LATE_ANSWER_TIMEOUT_S = MAX_CHANGE_DELAY_S - CALL_TIMEOUT_S
+# From the start of an unanswered call to the start of the next one.
+TIMEOUT_RETRY_INTERVAL_S = MAX_CHANGE_DELAY_S - MAX_ANSWER_TIME_S - LOOP_DELAY_S
+MIN_SUBSCRIBED_WAIT_S = 1.0  # limits the load that subscriptions put on discovery
+MAX_WAIT_S = 60.0  # longest wait of a watch that the protocol allows
+WAIT_JITTER = 0.25  # part of a wait; keeps routers that started together from calling in step
+WAIT_MARGIN_S = 1.0  # a wait ends by this much before `ask_within`
+INVALID_LIST_RETRY_S = 1.0  # delay before the next call after an invalid list
 
 log = logging.getLogger("saltport")
 
 
 class _Call(StreamProtocol, HttpReader):
-    """One connection to discovery."""
+    """One HTTP connection to discovery, with one call at a time."""
 
     def __init__(self) -> None:
         HttpReader.__init__(self)
@@ -72,7 +77,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, target: str, host: str) -> asyncio.Future[tuple[int, bytes]]:
+    def send_request(self, target: str, host: str) -> asyncio.Future[tuple[int, bytes]]:
         assert self.transport is not None
         self._answer = asyncio.get_running_loop().create_future()
         self.transport.write(request("GET", target, host))
@@ -96,7 +101,7 @@
 
     def body_came(self, data: bytes) -> None:
         self._body += data
-        if len(self._body) > MAX_BODY:
+        if len(self._body) > MAX_BODY_BYTES:
             raise HttpError("list too long")
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -116,197 +121,206 @@
 
 
 def _retrieve(answer: asyncio.Future[tuple[int, bytes]]) -> None:
-    """Take note of how a call ended for which nobody waits any more: asyncio logs what nobody takes."""
+    """Retrieve the exception of an abandoned call, which asyncio would log as never retrieved."""
     if not answer.cancelled():
         answer.exception()
 
 
 class _RefusedError(Exception):
-    """Discovery answered, and not with a list."""
+    """Discovery answered with another status than 200."""
 
 
 class Discovery:
-    """Keeps the list of servers up to date; a failed call changes nothing of what is held."""
+    """Keeps the list of servers up to date; a failed call leaves the known list unchanged."""
 
     def __init__(
         self,
         address: Address,
-        asked: bool,
+        must_subscribe: bool,
         starts: StartTimes,
-        take: Callable[[Listing], None],
-        failed: Callable[[], None],
+        on_listing: Callable[[Listing], None],
+        on_failure: Callable[[], None],
         ask_within: float,
         rng: random.Random,
     ) -> None:
-        """`ask_within`: after so many seconds without a watch or a call the router counts as told."""
-        self._address, self._asked = address, asked
+        """`must_subscribe`: whether changes come only after `subscribe`, else they are pushed.
+
+        `on_listing` is called with each listing, `on_failure` after a subscription has failed. `ask_within`
+        is the number of seconds within which the router must call discovery again.
+        """
+        self._address, self._must_subscribe = address, must_subscribe
         self._rng = rng
-        self.ask_within(ask_within)
+        self.set_ask_within(ask_within)
         self._steps = ListSteps(starts)
-        self._take, self._failed = take, failed
+        self._on_listing, self._on_failure = on_listing, on_failure
         self._call: _Call | None = None
         self._task: asyncio.Task[None] | None = None
-        self._whole = not asked
-        """Whether the next call is for the whole list: changes since the version held may not be told."""
-        self._again: asyncio.TimerHandle | None = None
-        self._begun_calls = self._taken_call = 0
-        """How many calls were begun, and the latest of them whose answer was taken."""
-        self._late: set[asyncio.Task[None]] = set()
-        """Calls that were given up and may be answered yet."""
-        self._taking = asyncio.Lock()
+        self._needs_full_list = not must_subscribe
+        """Whether the next call fetches the full list, as changes since the known version may be missing."""
+        self._subscribe_timer: asyncio.TimerHandle | None = None
+        self._started_calls = self._applied_call = 0
+        """Number of calls started, and the number of the latest one whose answer was applied."""
+        self._late_tasks: set[asyncio.Task[None]] = set()
+        """Abandoned calls that may still be answered."""
+        self._apply_lock = asyncio.Lock()
         self.generation = 0
 
-    def ask_within(self, seconds: float) -> None:
-        """Take a new time after which the router counts as told; the watch under way keeps its own."""
-        self._longest_s = min(max(seconds - CALL_SLACK_S, ASKED_LEAST_S), LONGEST_WAIT_S)
+    def set_ask_within(self, seconds: float) -> None:
+        """Set `ask_within` for watches that start from now on."""
+        self._max_wait_s = min(max(seconds - WAIT_MARGIN_S, MIN_SUBSCRIBED_WAIT_S), MAX_WAIT_S)
 
-    def hold(self, known: Any, generation: int) -> None:
-        """The router holds this list already, in discovery's form; it may be old."""
+    def set_known_list(self, known: Any, generation: int) -> None:
+        """Set the list, in discovery's form, that the router knows from another source; it may be stale."""
         self.generation = generation
-        self._steps.hold(known)
+        self._steps.set_known(known)
 
     def start(self) -> None:
-        """Follow the pushed list."""
-        self._task = asyncio.get_running_loop().create_task(self._follow())
+        """Start to follow the pushed list."""
+        self._task = asyncio.get_running_loop().create_task(self._follow_pushed())
 
     def subscribe(self) -> None:
-        """Begin a watch where discovery is asked, unless one is under way."""
+        """Start a watch for a discovery service with subscriptions, unless one is running."""
         if self._task is None or self._task.done():
-            self._ask_no_later(None)
-            self._task = asyncio.get_running_loop().create_task(self._watch_asked())
+            self._schedule_subscribe(None)
+            self._task = asyncio.get_running_loop().create_task(self._follow_subscribed())
 
     def close(self) -> None:
-        """Stop following."""
-        self._ask_no_later(None)
+        """Cancel all calls and stop following the list."""
+        self._schedule_subscribe(None)
         if self._task is not None:
             self._task.cancel()
-        for late in self._late:
+        for late in self._late_tasks:
             late.cancel()
         if self._call is not None:
             self._call.close()
 
-    def move(self, address: Address) -> None:
-        """Go on at another address, from the whole list; what is held stays valid until that has come."""
+    def change_address(self, address: Address) -> None:
+        """Continue at another address with a full list; the known list stays valid until it arrives."""
         self.close()
-        # Danger: the old call's end must not close the new one.
+        # Danger: without this, the end of the old call would close the new one.
         self._address, self._call = address, None
-        # Danger: another discovery's versions are none of this one's, be a watch under way just now or not.
-        self._whole = True
-        follow = self._watch_asked() if self._asked else self._follow()
+        # Danger: versions of two discovery services don't compare, whether or not a watch is running.
+        self._needs_full_list = True
+        follow = self._follow_subscribed() if self._must_subscribe else self._follow_pushed()
         self._task = asyncio.get_running_loop().create_task(follow)
 
-    def _ask_no_later(self, due: float | None) -> None:
-        """Ask again at this time, unless it is done before; None: it is."""
-        if self._again is not None:
-            self._again.cancel()
-        self._again = asyncio.get_running_loop().call_at(due, self.subscribe) if due is not None else None
+    def _schedule_subscribe(self, due: float | None) -> None:
+        """Schedule `subscribe` for the time `due`, in place of any earlier schedule; None only cancels."""
+        if self._subscribe_timer is not None:
+            self._subscribe_timer.cancel()
+        self._subscribe_timer = (
+            asyncio.get_running_loop().call_at(due, self.subscribe) if due is not None else None
+        )
 
-    async def _follow(self) -> None:
-        down = False
+    async def _follow_pushed(self) -> None:
+        is_failing = False
         while True:
             try:
-                await self._ask_once(PUSHED_WAIT_S, CALL_S)
-                down = False
+                await self._fetch_once(PUSHED_WAIT_S, CALL_TIMEOUT_S)
+                is_failing = False
                 continue
             except Exception as error:
-                pause = UNREADABLE_S if isinstance(error, ValueError) else RETRY_S
-                if not down:
+                pause = INVALID_LIST_RETRY_S if isinstance(error, ValueError) else RETRY_DELAY_S
+                if not is_failing:
                     log.warning("discovery: %s", str(error) or type(error).__name__)
-            # Danger: a discovery that restarted may count anew: a watch from a version ahead hears nothing.
-            down = self._whole = True
+            # Danger: a restarted discovery may reset its versions; a watch from a higher one sees no change.
+            is_failing = self._needs_full_list = True
             await asyncio.sleep(pause)
 
-    async def _watch_asked(self) -> None:
+    async def _follow_subscribed(self) -> None:
         loop = asyncio.get_running_loop()
-        begun, silent = loop.time(), False
+        started_at, timed_out = loop.time(), False
         try:
             while True:
-                # Danger: a watch that fell silent looks like one with no news until its wait is over; if it
-                # waits longer than the settings let news wait, whole zones go and this router sends to them.
-                wait_s = self._longest_s * (1 - ASKED_SPREAD * self._rng.random())
-                begun = loop.time()
+                # Danger: a watch that is no longer served looks like one without changes until its wait ends.
+                # If the wait exceeds the settings' limit, zones go while the router still sends to them.
+                wait_s = self._max_wait_s * (1 - WAIT_JITTER * self._rng.random())
+                started_at = loop.time()
                 try:
-                    await self._ask_once(0.0 if silent else wait_s, CALL_S if silent else ASKED_CALL_S)
-                    silent = False
+                    await self._fetch_once(
+                        0.0 if timed_out else wait_s,
+                        CALL_TIMEOUT_S if timed_out else SUBSCRIBED_CALL_TIMEOUT_S,
+                    )
+                    timed_out = False
                 except TimeoutError:
-                    # Once, and at once: what a silent watch missed counts as told SILENT_S after its wait.
-                    if silent or self._whole:
+                    # Retry once, at once: SILENT_WATCH_MARGIN_S after its wait, a change must be in effect.
+                    if timed_out or self._needs_full_list:
                         raise
-                    silent = True
-                    log.warning("discovery: a watch fell silent")
+                    timed_out = True
+                    log.warning("discovery: no answer to a watch in time; calling again")
         except Exception as error:
             log.warning("discovery: %s", str(error) or type(error).__name__)
-            again_s = AGAIN_AFTER_SILENCE_S if isinstance(error, TimeoutError) else AGAIN_S
+            retry_s = TIMEOUT_RETRY_INTERVAL_S if isinstance(error, TimeoutError) else RETRY_INTERVAL_S
         self._task = None
-        self._ask_no_later(begun + again_s * (1 - ASKED_SPREAD * self._rng.random()))
-        self._failed()
-
-    async def _ask_once(self, wait_s: float, call_s: float) -> None:
-        whole = self._whole
-        target = LIST_PATH if whole else f"{LIST_PATH}?index={self.generation}&wait={int(wait_s * 1000)}"
-        self._begun_calls += 1
-        number = self._begun_calls
+        self._schedule_subscribe(started_at + retry_s * (1 - WAIT_JITTER * self._rng.random()))
+        self._on_failure()
+
+    async def _fetch_once(self, wait_s: float, timeout_s: float) -> None:
+        full = self._needs_full_list
+        target = LIST_PATH if full else f"{LIST_PATH}?index={self.generation}&wait={int(wait_s * 1000)}"
+        self._started_calls += 1
+        number = self._started_calls
         answer: asyncio.Future[tuple[int, bytes]] | None = None
         try:
-            async with asyncio.timeout(call_s if whole or not wait_s else wait_s + SLACK_S) as limit:
+            async with asyncio.timeout(timeout_s if full or not wait_s else wait_s + ROUND_TRIP_S) as limit:
                 if self._call is None or not self._call.usable:
                     loop = asyncio.get_running_loop()
                     stream = await dial(loop, _Call, self._address)
                     if loop.time() >= (limit.when() or math.inf):
-                        # Danger: what came up with the end of its time is nobody's call.
+                        # Danger: a connection established at the timeout belongs to no call and would leak.
                         stream.abort()
                         raise TimeoutError
                     self._call = cast(_Call, stream.get_protocol())
                 host, port = self._address
-                answer = self._call.ask(target, f"{host}:{port}")
+                answer = self._call.send_request(target, f"{host}:{port}")
                 answer.add_done_callback(_retrieve)
                 status, body = await asyncio.shield(answer)
         except TimeoutError:
             if self._call is not None and answer is not None:
-                self._leave(self._call, answer, number, whole)
+                self._await_late_answer(self._call, answer, number, full)
             raise
         except BaseException:
             if self._call is not None:
                 self._call.close()
             raise
-        await self._take_answer(status, body, number, whole)
+        await self._apply_answer(status, body, number, full)
 
-    def _leave(
-        self, call: _Call, answer: asyncio.Future[tuple[int, bytes]], number: int, whole: bool
+    def _await_late_answer(
+        self, call: _Call, answer: asyncio.Future[tuple[int, bytes]], number: int, full: bool
     ) -> None:
-        """Give a call up, and take its answer all the same if it comes late."""
+        """Abandon a call, but still apply its answer if it comes late."""
         self._call = None
-        late = asyncio.get_running_loop().create_task(self._take_late(call, answer, number, whole))
-        self._late.add(late)
-        late.add_done_callback(self._late.discard)
+        late = asyncio.get_running_loop().create_task(self._apply_late_answer(call, answer, number, full))
+        self._late_tasks.add(late)
+        late.add_done_callback(self._late_tasks.discard)
 
-    async def _take_late(
-        self, call: _Call, answer: asyncio.Future[tuple[int, bytes]], number: int, whole: bool
+    async def _apply_late_answer(
+        self, call: _Call, answer: asyncio.Future[tuple[int, bytes]], number: int, full: bool
     ) -> None:
         try:
-            async with asyncio.timeout(LATE_ANSWER_S):
+            async with asyncio.timeout(LATE_ANSWER_TIMEOUT_S):
                 status, body = await answer
-            await self._take_answer(status, body, number, whole)
-            log.info("discovery: an answer came late")
+            await self._apply_answer(status, body, number, full)
+            log.info("discovery: received a late answer")
         except (OSError, TimeoutError, ValueError, _RefusedError, HttpError) as error:
-            log.debug("discovery: a call that was given up: %s", str(error) or type(error).__name__)
+            log.debug("discovery: an abandoned call failed: %s", str(error) or type(error).__name__)
         finally:
             call.close()
 
-    async def _take_answer(self, status: int, body: bytes, number: int, whole: bool) -> None:
-        """Take a list, unless that of a later call was taken before; raises ValueError, _RefusedError."""
+    async def _apply_answer(self, status: int, body: bytes, number: int, full: bool) -> None:
+        """Apply a list, unless that of a later call was applied before; raises ValueError, _RefusedError."""
         if status != 200:
             raise _RefusedError(f"answered {status}")
-        # Danger: two lists whose steps mix would leave neither.
-        async with self._taking:
-            if number < self._taken_call:
+        # Danger: if the steps of two lists were mixed, the result would match neither.
+        async with self._apply_lock:
+            if number < self._applied_call:
                 return
-            self._taken_call = number
+            self._applied_call = number
             for listing in self._steps.changes(orjson.loads(body)):
                 if listing is not None:
-                    self._take(listing)
-                    if not listing.more:
-                        # A version behind the one held: discovery counts anew, not all is told as changes.
-                        self._whole = not whole and listing.generation < self.generation
+                    self._on_listing(listing)
+                    if not listing.has_more:
+                        # A version below the known one: discovery has restarted, and changes may be missing.
+                        self._needs_full_list = not full and listing.generation < self.generation
                         self.generation = listing.generation
                 await asyncio.sleep(0)
--- a/saltport/membership/start_times.py
+++ b/saltport/membership/start_times.py
@@ -1,12 +1,14 @@
-"""When servers started, on the process's monotonic clock, from stamps in Unix time that only compare.
+"""Start times of servers on the process's monotonic clock, derived from Unix timestamps in the list.
 
-No wall clock is asked: it may be wrong by any span, and be stepped. What is known without it:
+The wall clock of this machine is not used, as it may be wrong by any amount and may be stepped. Two facts do
+not need it:
 
-- a server did not start after its stamp first came (a start that came as a change counts from then on);
-- of the stamps in one whole list, which all come from the same source, an older one is older by their
-  difference: whatever started long before the newest start of a list is not taken for new.
+- A server started no later than its timestamp was first received; a start that comes as a change counts from
+  its arrival.
+- The timestamps in one full list come from one source, so their differences are valid: a server that started
+  long before the newest one in the list does not count as new.
 
-So a server may seem to be younger than it is, by as much as the list was late, and never older.
+So a server may appear younger than it is, by the delay of the list, but never older.
 """
 
 from __future__ import annotations
@@ -19,45 +21,45 @@
 
 
 class StartTimes:
-    """Remembers for each listed server its stamp, and what that is on the monotonic clock."""
+    """Maps each listed server's start timestamp to the monotonic clock."""
 
     def __init__(self, now: Callable[[], int] = time.monotonic_ns) -> None:
         self._now = now
         self._known: dict[str, tuple[int, int]] = {}
         self._newest_ms: int | None = None
-        """Of the whole list that is being read; None: it is one of changes."""
-        self._kept: set[str] = set()
-        """Servers known from a list of unknown age: the next whole list may tell that they are older."""
-        self._settled: set[str] = set()
-        """Of them, those that the list being read may tell more of."""
+        """Newest timestamp of the full list that is being read; None for a list of changes."""
+        self._unverified: set[str] = set()
+        """Servers known from a cached list of unknown age; the next full list may correct them."""
+        self._correctable: set[str] = set()
+        """Servers whose start the list that is being read may move to an earlier time."""
 
-    def begin_list(self, entries: Iterable[Any], whole: bool, is_old: bool = False) -> None:
-        """A list in discovery's form is read next; `is_old`: it is one that was kept for a time unknown.
+    def begin_list(self, entries: Iterable[Any], full: bool, is_cached: bool = False) -> None:
+        """Prepare for a list in discovery's form; `is_cached` marks a cached list of unknown age.
 
-        Raises KeyError, TypeError, AttributeError or ValueError on anything amiss.
+        Raises KeyError, TypeError, AttributeError or ValueError if an entry is invalid.
         """
-        if not whole:
-            self._newest_ms, self._settled = None, set()
+        if not full:
+            self._newest_ms, self._correctable = None, set()
             return
-        stamps = {entry["instanceId"]: int(entry.get("startedAtMs") or 0) for entry in entries}
-        self._newest_ms = max(stamps.values(), default=0)
-        for server_id in self._known.keys() - stamps.keys():
+        timestamps = {entry["instanceId"]: int(entry.get("startedAtMs") or 0) for entry in entries}
+        self._newest_ms = max(timestamps.values(), default=0)
+        for server_id in self._known.keys() - timestamps.keys():
             del self._known[server_id]
-        self._kept, self._settled = set(stamps) if is_old else set(), self._kept
+        self._unverified, self._correctable = set(timestamps) if is_cached else set(), self._unverified
 
-    def started(self, server_id: str, stamp_ms: int) -> int:
-        """The start of a server on the monotonic clock, in nanoseconds; 0 stays 0, for long ago."""
-        if not stamp_ms:
+    def started(self, server_id: str, timestamp_ms: int) -> int:
+        """Return a server's start on the monotonic clock in nanoseconds; 0, for long ago, stays 0."""
+        if not timestamp_ms:
             self.forget(server_id)
             return 0
-        older_ms = max(self._newest_ms - stamp_ms, 0) if self._newest_ms is not None else 0
+        older_ms = max(self._newest_ms - timestamp_ms, 0) if self._newest_ms is not None else 0
         started = self._now() - older_ms * NS_PER_MS
         known = self._known.get(server_id)
-        if known is not None and known[0] == stamp_ms:
-            started = min(known[1], started) if server_id in self._settled else known[1]
-        self._known[server_id] = stamp_ms, started
+        if known is not None and known[0] == timestamp_ms:
+            started = min(known[1], started) if server_id in self._correctable else known[1]
+        self._known[server_id] = timestamp_ms, started
         return started
 
     def forget(self, server_id: str) -> None:
-        """A server is gone."""
+        """Drop the start time of a removed server."""
         self._known.pop(server_id, None)
--- a/saltport/membership/steps.py
+++ b/saltport/membership/steps.py
@@ -1,8 +1,8 @@
-"""Long lists in bounded steps, so that none holds the loop: first all is read, then what differs is told.
+"""Splits long lists into steps of bounded size, so that none blocks the loop.
 
-No I/O: whoever has the list runs through `changes` and lets others run between its steps. A list that
-can't be read tells nothing. What leaves or drains is told first, as its time is bounded; the router counts
-as ready when the last step has been taken.
+All entries are parsed first, then those that differ from the known list are yielded. No I/O: the caller
+iterates over `changes` and yields to the loop between its steps. An invalid list yields no change. Servers
+that leave or drain come first, as their time is limited; the router is ready after the last step.
 """
 
 from __future__ import annotations
@@ -16,80 +16,80 @@
 from saltport.membership.listing import Listing, read_entry, read_listing
 from saltport.membership.start_times import StartTimes
 
-STEP = 64  # entries; some 0.5 ms
-LONG = 256  # entries; shorter lists are taken whole
+STEP_ENTRIES = 64  # about 0.5 ms of work
+MAX_UNSPLIT_ENTRIES = 256  # longer lists are split into steps
 
 
-_New = tuple[Server, Address | None, Any]
+_Change = tuple[Server, Address | None, Any]
 
 
-def _gone(name: str) -> _New:
+def _removal(name: str) -> _Change:
     return Server(name, state=ServerState.GONE), None, None
 
 
 class ListSteps:
-    """Holds the entries as they came, and cuts long lists into steps of what is new in them."""
+    """Stores the known entries, and splits the changes in a long list into steps."""
 
     def __init__(self, starts: StartTimes) -> None:
         self._starts = starts
-        self._held: dict[str, Any] = {}
+        self._known_entries: dict[str, Any] = {}
 
-    def hold(self, body: Any) -> None:
-        """A list that was taken by other ways, in discovery's form."""
-        self._held = {entry["instanceId"]: entry for entry in body["instances"]}
+    def set_known(self, body: Any) -> None:
+        """Set the known entries from a list in discovery's form that came from another source."""
+        self._known_entries = {entry["instanceId"]: entry for entry in body["instances"]}
 
     def changes(self, body: Any) -> Iterator[Listing | None]:
-        """What to take, in order; None: only a pause. Raises ValueError, and then nothing of it counts."""
+        """Yield the changes of a list in order, and None as a pause. Raises ValueError, before any change."""
         try:
-            entries, generation, whole = body["instances"], int(body["generation"]), bool(body["reset"])
-            is_long = len(entries) > LONG
+            entries, generation, full = body["instances"], int(body["generation"]), bool(body["reset"])
+            is_long = len(entries) > MAX_UNSPLIT_ENTRIES
         except (KeyError, TypeError) as error:
             raise ValueError(f"not a list of servers: {type(error).__name__}: {error}") from None
         if not is_long:
             yield read_listing(body, self._starts)
-            self._keep(entries, whole)
+            self._store(entries, full)
             return
-        leaving: dict[str, _New] = {}
-        ready: dict[str, _New] = {}
+        leaving: dict[str, _Change] = {}
+        ready: dict[str, _Change] = {}
         try:
-            self._starts.begin_list(entries, whole)
+            self._starts.begin_list(entries, full)
             for number, entry in enumerate(entries, 1):
-                # Of two entries for a server the later one holds.
+                # The later one of two entries for a server counts.
                 leaving.pop(entry["instanceId"], None)
                 ready.pop(entry["instanceId"], None)
-                if self._held.get(entry["instanceId"]) != entry:
+                if self._known_entries.get(entry["instanceId"]) != entry:
                     server, address = read_entry(entry, self._starts)
-                    news = ready if server.state is ServerState.READY else leaving
-                    news[server.id] = server, address, entry
-                if not number % STEP:
+                    target = ready if server.state is ServerState.READY else leaving
+                    target[server.id] = server, address, entry
+                if not number % STEP_ENTRIES:
                     yield None
         except (KeyError, TypeError, AttributeError) as error:
             raise ValueError(f"not a list of servers: {type(error).__name__}: {error}") from None
         gone: set[str] = set()
-        if whole:
-            gone = self._held.keys() - {entry["instanceId"] for entry in entries}
+        if full:
+            gone = self._known_entries.keys() - {entry["instanceId"] for entry in entries}
             yield None
-        told = chain(map(_gone, gone), leaving.values(), ready.values())
-        left = len(gone) + len(leaving) + len(ready)
-        if not left:
+        pending = chain(map(_removal, gone), leaving.values(), ready.values())
+        remaining = len(gone) + len(leaving) + len(ready)
+        if not remaining:
             yield Listing(generation, ServersChanged(ListKind.DELTA), {})
-        while step := list(islice(told, STEP)):
-            left -= len(step)
+        while step := list(islice(pending, STEP_ENTRIES)):
+            remaining -= len(step)
             change = ServersChanged(ListKind.DELTA, tuple(server for server, _, _ in step))
             addresses = {server.id: address for server, address, _ in step if address is not None}
-            yield Listing(generation, change, addresses, more=left > 0)
-            # Danger: kept before it is taken, a step that is never taken would count as known for good.
+            yield Listing(generation, change, addresses, has_more=remaining > 0)
+            # Danger: stored before it is applied, a step that is never applied would count as known.
             for server, _, entry in step:
                 if server.state is ServerState.GONE:
-                    self._held.pop(server.id, None)
+                    self._known_entries.pop(server.id, None)
                 else:
-                    self._held[server.id] = entry
+                    self._known_entries[server.id] = entry
 
-    def _keep(self, entries: list[Any], whole: bool) -> None:
-        if whole:
-            self._held = {}
+    def _store(self, entries: list[Any], full: bool) -> None:
+        if full:
+            self._known_entries = {}
         for entry in entries:
             if entry["lifecycle"] == "removed":
-                self._held.pop(entry["instanceId"], None)
+                self._known_entries.pop(entry["instanceId"], None)
             else:
-                self._held[entry["instanceId"]] = entry
+                self._known_entries[entry["instanceId"]] = entry
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -105,7 +105,7 @@
     async def _with_the_time_out(self, target: str, wait_s: float, writer: asyncio.StreamWriter) -> None:
         """Answer in the turn of the loop in which the call's time is over."""
         loop = asyncio.get_running_loop()
-        call_s = wait_s + registry.SLACK_S if wait_s else self.whole_s
+        call_s = wait_s + registry.ROUND_TRIP_S if wait_s else self.whole_s
         due = loop.time() + call_s
         if self.answer_first:
             await asyncio.sleep(call_s - ROUND_S)
@@ -158,11 +158,11 @@
 
 def test_the_budget_is_within_the_terms() -> None:
     r = registry
-    calls = 2 * (r.RETRY_S + r.CALL_S)
-    assert r.PUSHED_WAIT_S + r.SLACK_S + calls + r.LATE_S <= r.TERM_S
-    assert r.SLACK_S + r.CALL_S + r.LATE_S <= r.SILENT_S + 1e-9
-    assert r.AGAIN_S + r.ASKED_CALL_S + r.LATE_S <= r.TERM_S
-    assert r.RETRY_S < 0.2, "or a watch does not go on"
+    calls = 2 * (r.RETRY_DELAY_S + r.CALL_TIMEOUT_S)
+    assert r.PUSHED_WAIT_S + r.ROUND_TRIP_S + calls + r.LOOP_DELAY_S <= r.MAX_CHANGE_DELAY_S
+    assert r.ROUND_TRIP_S + r.CALL_TIMEOUT_S + r.LOOP_DELAY_S <= r.SILENT_WATCH_MARGIN_S + 1e-9
+    assert r.RETRY_INTERVAL_S + r.SUBSCRIBED_CALL_TIMEOUT_S + r.LOOP_DELAY_S <= r.MAX_CHANGE_DELAY_S
+    assert r.RETRY_DELAY_S < 0.2, "or a watch does not go on"
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
@@ -180,9 +180,9 @@
         # From the beginning of the last call that goes badly on, any other would go well.
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        allowed = peer.bad_at + registry.TERM_S
+        allowed = peer.bad_at + registry.MAX_CHANGE_DELAY_S
         if before[-1] == "hangs":
-            allowed = max(allowed, peer.waits_end + registry.SILENT_S if asked else 0.0)
+            allowed = max(allowed, peer.waits_end + registry.SILENT_WATCH_MARGIN_S if asked else 0.0)
         assert follower.told_at["new"] <= allowed + ROUND_S
         follower.discovery.close()
 
@@ -205,7 +205,7 @@
         peer.change()
         changed_at = follower.loop.time()
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.told_at["new"] <= changed_at + registry.TERM_S
+        assert follower.told_at["new"] <= changed_at + registry.MAX_CHANGE_DELAY_S
         follower.discovery.close()
 
     play(scene())
@@ -234,9 +234,9 @@
             follower.told_at.clear()
             peer.change()
             await asyncio.wait_for(follower.new.wait(), 100)
-            allowed = back_at + registry.TERM_S
+            allowed = back_at + registry.MAX_CHANGE_DELAY_S
             if how == "hangs" and asked:
-                allowed = max(allowed, peer.waits_end + registry.SILENT_S)
+                allowed = max(allowed, peer.waits_end + registry.SILENT_WATCH_MARGIN_S)
             assert follower.told_at["new"] <= allowed + ROUND_S
             await asyncio.sleep(3.0)
         follower.discovery.close()
@@ -251,7 +251,7 @@
         follower.discovery.start()
         await asyncio.sleep(0.5)
         peer.change()
-        await asyncio.sleep(registry.TERM_S)
+        await asyncio.sleep(registry.MAX_CHANGE_DELAY_S)
         assert "new" in follower.told_at
         assert "old" not in follower.told_at, "what the slow call had is older than what a later one brought"
         follower.discovery.close()
@@ -269,7 +269,10 @@
             await asyncio.sleep(0.05)
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.told_at["new"] <= peer.waits_end + registry.SILENT_S - registry.LATE_S + ROUND_S
+        assert (
+            follower.told_at["new"]
+            <= peer.waits_end + registry.SILENT_WATCH_MARGIN_S - registry.LOOP_DELAY_S + ROUND_S
+        )
         assert follower.failures == 0, "one call at once: the module's pause is for a discovery that fails"
         follower.discovery.close()
 
@@ -309,7 +312,7 @@
         while len(first.calls) < 2 + (not watching) * (not asked):
             await asyncio.sleep(0.05)
         moved = follower.loop.time()
-        follower.discovery.move(("127.0.0.1", port))
+        follower.discovery.change_address(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
         assert follower.told_at["new"] - moved <= ROUND_S
         assert second.calls[0][1] == registry.LIST_PATH
@@ -329,9 +332,9 @@
         while not follower.told_at:
             await asyncio.sleep(0)
         assert len(follower.told_at) < 2000, "it is within the list"
-        follower.discovery.move(("127.0.0.1", port))
+        follower.discovery.change_address(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
-        held = follower.discovery._steps._held
+        held = follower.discovery._steps._known_entries
         assert sorted(held) == sorted(["new", *(f"s{i}" for i in range(1000, 3000))])
         follower.discovery.close()
 
@@ -381,14 +384,14 @@
     async def scene() -> None:
         peer = Scripted([*["goes well"] * watching, "comes with the time-out"])
         peer.answer_first = answer_first
-        peer.whole_s = registry.ASKED_CALL_S if asked else registry.CALL_S
+        peer.whole_s = registry.SUBSCRIBED_CALL_TIMEOUT_S if asked else registry.CALL_TIMEOUT_S
         follower = Follower(await peer.listen(), asked, 1)
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         while len(peer.calls) < 1 + watching:
             await asyncio.sleep(0.05)
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        call_s = registry.SLACK_S if watching or asked else peer.whole_s
+        call_s = registry.ROUND_TRIP_S if watching or asked else peer.whole_s
         given_up_at = peer.waits_end + call_s
         assert follower.told_at["new"] <= given_up_at + 10 * ROUND_S, "its answer counts, late as it is"
         assert follower.discovery.generation == peer.generation
@@ -412,7 +415,7 @@
             super().__init__()
             LateCall.count += 1
             if LateCall.count == 1:
-                pass_time(ASK_WITHIN_S + registry.ASKED_CALL_S)  # longer than any call may take
+                pass_time(ASK_WITHIN_S + registry.SUBSCRIBED_CALL_TIMEOUT_S)  # longer than any call may take
 
     async def scene() -> None:
         peer = Scripted([])
--- a/tests/scale/test_data_path_state.py
+++ b/tests/scale/test_data_path_state.py
@@ -14,7 +14,7 @@
 from saltport.decisions import Tenant
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.suppression import Suppressor
-from saltport.membership.steps import LONG, STEP
+from saltport.membership.steps import MAX_UNSPLIT_ENTRIES, STEP_ENTRIES
 
 
 @pytest.mark.parametrize("servers", [25, 400, 680, 1_600])
@@ -22,8 +22,8 @@
     async def play_lists() -> None:
         taker = Taker(asyncio.get_running_loop())
         whole = taker.take(body([_entry(number) for number in range(servers)], whole=True))
-        if servers > LONG:
-            assert whole.steps >= 2 * (servers // STEP)
+        if servers > MAX_UNSPLIT_ENTRIES:
+            assert whole.steps >= 2 * (servers // STEP_ENTRIES)
         else:
             assert whole.steps == 1
         assert taker.take(body([{**_entry(0), "lifecycle": "draining"}], whole=False)).steps == 1
