--- a/tests/faults/matrix.py
+++ b/tests/faults/matrix.py
@@ -1,8 +1,8 @@
-"""Which calls a router makes, how each may fail, and the scenes in which that is played.
+"""The system calls of a router, the errors that each may return, and the scenes in which they are tested.
 
-The errors are those that the call's manual page or POSIX names for something else than a mistake of the
-caller's, and that say nothing of another machine; errors of a connection are played in test_system_calls.py,
-those of accept and of dials at length in test_accept.py and test_dial.py.
+The errors are those in the manual page or POSIX that are neither a mistake of the caller nor a fault of
+another machine. Errors of a connection are tested in test_system_calls.py, those of accept and of dials in
+more detail in test_accept.py and test_dial.py.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
     HAND_OVER = "hand-over"
 
 
-OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-OF_DESCRIPTORS = (errno.EMFILE, errno.ENFILE)
-AT_ONCE = (errno.EINTR, errno.EAGAIN)
+MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
+DESCRIPTOR_ERRORS = (errno.EMFILE, errno.ENFILE)
+RETRIED_AT_ONCE = (errno.EINTR, errno.EAGAIN)
 
 WHILE_RUNNING = (Scene.SERVICE, Scene.RELOAD, Scene.END, Scene.HAND_OVER)
 ALWAYS = (Scene.START, *WHILE_RUNNING)
 
 CALLS: dict[Call, tuple[tuple[int, ...], tuple[Scene, ...]]] = {
-    Call.ACCEPT: ((*OF_DESCRIPTORS, *OF_MEMORY, errno.ECONNABORTED, *AT_ONCE), ALWAYS),
-    Call.SOCKET: ((*OF_DESCRIPTORS, *OF_MEMORY), ALWAYS),
-    Call.BIND: (OF_MEMORY, (Scene.START,)),
-    Call.LISTEN: (OF_MEMORY, (Scene.START,)),
-    Call.CONNECT: ((errno.EADDRNOTAVAIL, errno.ENOBUFS, *AT_ONCE), ALWAYS),
-    Call.EPOLL_CREATE: ((*OF_DESCRIPTORS, errno.ENOMEM), (Scene.START,)),
+    Call.ACCEPT: ((*DESCRIPTOR_ERRORS, *MEMORY_ERRORS, errno.ECONNABORTED, *RETRIED_AT_ONCE), ALWAYS),
+    Call.SOCKET: ((*DESCRIPTOR_ERRORS, *MEMORY_ERRORS), ALWAYS),
+    Call.BIND: (MEMORY_ERRORS, (Scene.START,)),
+    Call.LISTEN: (MEMORY_ERRORS, (Scene.START,)),
+    Call.CONNECT: ((errno.EADDRNOTAVAIL, errno.ENOBUFS, *RETRIED_AT_ONCE), ALWAYS),
+    Call.EPOLL_CREATE: ((*DESCRIPTOR_ERRORS, errno.ENOMEM), (Scene.START,)),
     Call.EPOLL_CTL: ((errno.ENOMEM, errno.ENOSPC), ALWAYS),
     Call.POLL: ((errno.EINTR, errno.ENOMEM), ALWAYS),
-    Call.READ: ((*AT_ONCE, *OF_MEMORY), ALWAYS),
-    Call.WRITE: ((*AT_ONCE, *OF_MEMORY), ALWAYS),
-    Call.GETSOCKOPT: (OF_MEMORY, ALWAYS),
-    Call.SETSOCKOPT: (OF_MEMORY, ALWAYS),
+    Call.READ: ((*RETRIED_AT_ONCE, *MEMORY_ERRORS), ALWAYS),
+    Call.WRITE: ((*RETRIED_AT_ONCE, *MEMORY_ERRORS), ALWAYS),
+    Call.GETSOCKOPT: (MEMORY_ERRORS, ALWAYS),
+    Call.SETSOCKOPT: (MEMORY_ERRORS, ALWAYS),
     Call.GETSOCKNAME: ((errno.ENOBUFS,), ALWAYS),
     Call.GETPEERNAME: ((errno.ENOBUFS,), ALWAYS),
     Call.SHUTDOWN: ((errno.ENOBUFS, errno.ENOTCONN), WHILE_RUNNING),
-    Call.DUP: (OF_DESCRIPTORS, (Scene.HAND_OVER,)),
-    Call.OPEN: ((*OF_DESCRIPTORS, errno.ENOMEM, errno.EINTR), (Scene.RELOAD,)),
-    Call.SENDMSG: ((*AT_ONCE, *OF_MEMORY, errno.ETOOMANYREFS), (Scene.HAND_OVER,)),
-    Call.RECVMSG: ((*AT_ONCE, errno.ENOMEM), (Scene.HAND_OVER,)),
+    Call.DUP: (DESCRIPTOR_ERRORS, (Scene.HAND_OVER,)),
+    Call.OPEN: ((*DESCRIPTOR_ERRORS, errno.ENOMEM, errno.EINTR), (Scene.RELOAD,)),
+    Call.SENDMSG: ((*RETRIED_AT_ONCE, *MEMORY_ERRORS, errno.ETOOMANYREFS), (Scene.HAND_OVER,)),
+    Call.RECVMSG: ((*RETRIED_AT_ONCE, errno.ENOMEM), (Scene.HAND_OVER,)),
 }
 
 
--- a/tests/faults/matrix_scenes.py
+++ b/tests/faults/matrix_scenes.py
@@ -1,8 +1,9 @@
-"""Each call of a router fails in each documented way for a moment, in each scene of its life.
+"""Each system call of a router fails temporarily in each documented way, in each scene of its life.
 
-Bounds come from the terms: no request closed without an answer, no effect twice, no server held to account,
-no fetch at the origin that calm would not make, the process alive, no more than twice calm's processor time.
-Each run of the suite plays a case once or three times, in turn; once, three times and two seconds by hand:
+The checks: no request is closed without an answer, no effect happens twice, no server is marked unhealthy,
+the origin gets no extra fetch, the process stays alive, and it uses at most twice the processor time of a run
+without faults. A run of the suite lets a call fail once or three times, alternating by case. This command
+runs every case with one failure, with three, and with failures for two seconds:
 
     SALTPORT_MATRIX=whole pytest -n 8 tests/faults/test_matrix*.py
 """
@@ -31,64 +32,66 @@
     http_answer,
 )
 
-WHOLE = os.environ.get("SALTPORT_MATRIX") == "whole"
+ALL_DURATIONS = os.environ.get("SALTPORT_MATRIX") == "whole"
 TIMES = (1, 3)
 LONG_S = 2.0
-PACE_S = 0.02
+READ_INTERVAL_S = 0.02
 CLIENTS = 6
 TICKS = os.sysconf("SC_CLK_TCK")
 
 
 def cases(scene: Scene) -> pytest.MarkDecorator:
-    """The scene's cases, with how many of the calls fail, or for how many seconds all of them do."""
-    played: list[tuple[Case, int | float]] = []
-    for place, case in enumerate(CASES):
+    """Parametrize with the scene's cases and how many calls fail, or for how many seconds all fail."""
+    parameters: list[tuple[Case, int | float]] = []
+    for index, case in enumerate(CASES):
         if case.scene is scene:
-            # What is interrupted is made again at once, so it can't be interrupted for two seconds on end. A
-            # read that says EAGAIN says that nothing has come, which is no failure that lasts.
+            # A call that returns EINTR is repeated at once, so it can't fail for two seconds. A read that
+            # returns EAGAIN only means that there is no data, which is not a lasting failure.
             is_short = case.number == errno.EINTR or (case.call, case.number) == (Call.READ, errno.EAGAIN)
             long = [] if is_short else [LONG_S]
-            lasting = [*TIMES, *long] if WHOLE else [TIMES[place % len(TIMES)]]
-            played += [(case, times) for times in lasting]
-    return pytest.mark.parametrize(("case", "lasting"), played, ids=[f"{c}-{times}" for c, times in played])
+            durations = [*TIMES, *long] if ALL_DURATIONS else [TIMES[index % len(TIMES)]]
+            parameters += [(case, times) for times in durations]
+    return pytest.mark.parametrize(
+        ("case", "lasting"), parameters, ids=[f"{c}-{times}" for c, times in parameters]
+    )
 
 
 @contextmanager
 def failing(calls: SystemCalls, case: Case, lasting: int | float) -> Iterator[None]:
-    """The case's call fails within the block; one that lasts ends by itself."""
+    """Let the case's call fail within the block; a timer ends a failure given in seconds."""
     if isinstance(lasting, int):
-        calls.strike(case.call, case.number, times=lasting)
+        calls.inject(case.call, case.number, times=lasting)
         yield
     else:
-        calls.strike(case.call, case.number)
-        end = threading.Timer(lasting, calls.end, [case.call])
+        calls.inject(case.call, case.number)
+        end = threading.Timer(lasting, calls.clear, [case.call])
         end.start()
         yield
         end.join()
-    calls.end(case.call)
+    calls.clear(case.call)
 
 
 def origin() -> Peer:
     return Peer(lambda *_: http_answer(200, b"receipt"), is_http=True)
 
 
-def ask_all(clients: list[Client], name: str, more_clients: list[Client] | None = None) -> None:
-    """A read on each connection, all at once, each with its own answer."""
+def read_on_all(clients: list[Client], name: str, more_clients: list[Client] | None = None) -> None:
+    """Send a read on each connection at the same time, and check that each gets its own answer."""
     every = clients + (more_clients or [])
-    for turn, client in enumerate(every):
-        client.send(get(f"{name}{turn}", f"k{turn}", d=15_000))
+    for number, client in enumerate(every):
+        client.send(get(f"{name}{number}", f"k{number}", d=15_000))
     answers = [client.answer() for client in every]
-    assert answers == [b"%b%d" % (name.encode(), turn) for turn in range(len(every))]
+    assert answers == [b"%b%d" % (name.encode(), number) for number in range(len(every))]
 
 
-def nobody_was_blamed(router: Routed, store: Peer, writes: int) -> None:
-    eventually(lambda: answers_operators(router), "the operators' calls are answered")
-    assert router.shows("cluster_unhealthy") == 0, "no server is held to account"
+def no_server_marked_unhealthy(router: Routed, store: Peer, writes: int) -> None:
+    eventually(lambda: admin_answers(router), "the admin API answers")
+    assert router.shows("cluster_unhealthy") == 0, "no server is marked unhealthy"
     sent = [message for message in store.seen if message[1] != b"/stats" and message[1] != b"/health/live"]
-    assert [message[0] for message in sent] == [b"PUT"] * writes, "no read at the origin, each write once"
+    assert [message[0] for message in sent] == [b"PUT"] * writes, "no read at the origin, and each write once"
 
 
-def answers_operators(router: Routed) -> bool:
+def admin_answers(router: Routed) -> bool:
     try:
         return bool(ask(router.admin, "/state"))
     except OSError:
@@ -100,21 +103,21 @@
     return (int(fields[11]) + int(fields[12])) / TICKS
 
 
-def paced(client: Client, name: str, seconds: float) -> None:
-    """Reads at a steady pace, whose answers are read at the end."""
+def read_at_pace(client: Client, name: str, seconds: float) -> None:
+    """Send reads at a steady pace, and check their answers at the end."""
     count, end = 0, time.monotonic() + seconds
     while time.monotonic() < end:
         client.send(get(f"{name}{count}", f"k{count % 8}", d=15_000))
         count += 1
-        time.sleep(PACE_S)
+        time.sleep(READ_INTERVAL_S)
     assert [client.answer() for _ in range(count)] == [
-        b"%b%d" % (name.encode(), turn) for turn in range(count)
+        b"%b%d" % (name.encode(), number) for number in range(count)
     ]
 
 
-def asked_later(client: Client, later: Peer) -> bool:
-    """Whether a server that was listed just now is asked for some key by now."""
-    for turn in range(24):
+def new_server_is_used(client: Client, new_server: Peer) -> bool:
+    """Whether a newly listed server has received a request by now; sends reads for several keys."""
+    for number in range(24):
         name = f"l{time.monotonic_ns()}"
-        assert client.ask(get(name, f"k{turn}", d=15_000)) == name.encode()
-    return bool(later.seen)
+        assert client.ask(get(name, f"k{number}", d=15_000)) == name.encode()
+    return bool(new_server.seen)
--- a/tests/faults/system_calls.c
+++ b/tests/faults/system_calls.c
@@ -1,8 +1,9 @@
-/* Makes system calls of one process fail, come short or come late, as the test that loaded it (LD_PRELOAD) says.
+/* Fault injection for the system calls of one process (LD_PRELOAD): calls fail, are shortened or are delayed.
 
-   SALTPORT_FAULTS names a file of `struct fault` rows, one for each entry of `calls`, and one more for the
-   clocks. The file is mapped by both sides, so faults begin and end at any moment of the run. io_uring is
-   refused throughout, as the platform refuses it: libuv would send its epoll_ctl calls through it unseen. */
+   SALTPORT_FAULTS names a file of `struct fault` rows, one for each call of the enum below; the CLOCK row is
+   for the wall clock. The test and this process map the file, so a test can start and stop faults at any time.
+   io_uring is always refused, as the platform refuses it: libuv would make its epoll_ctl calls through io_uring,
+   where this library does not see them. */
 #define _GNU_SOURCE
 #include <dlfcn.h>
 #include <errno.h>
@@ -21,12 +22,12 @@
 #include <unistd.h>
 
 struct fault {
-    int64_t error;   /* errno that a call fails with; 0: it does not fail */
-    int64_t left;    /* so many calls are still to be struck; below 0: all */
-    int64_t struck;  /* how many were */
-    int64_t late_ns; /* a struck call waits for so long first */
-    int64_t most;    /* a struck read or write moves so many bytes at most; 0: no bound */
-    int64_t step_ns; /* of the clocks' row: what the wall clock shows beyond the true time */
+    int64_t error;     /* errno for the call; 0: the call does not fail */
+    int64_t remaining; /* number of calls still to be affected; below 0: all */
+    int64_t injected;  /* number of calls affected so far */
+    int64_t delay_ns;  /* delay before an affected call */
+    int64_t max_bytes; /* most bytes that an affected read or write transfers; 0: no limit */
+    int64_t step_ns;   /* CLOCK row only: offset of the wall clock from the true time */
 };
 
 enum {
@@ -47,13 +48,13 @@
     close(file);
 }
 
-static struct fault *strike(int call) {
+static struct fault *next_fault(int call) {
     struct fault *fault = faults ? &faults[call] : NULL;
-    if (!fault || !fault->left) return NULL;
-    if (fault->left > 0) fault->left--;
-    fault->struck++;
-    if (fault->late_ns) {
-        struct timespec pause = {fault->late_ns / 1000000000, fault->late_ns % 1000000000};
+    if (!fault || !fault->remaining) return NULL;
+    if (fault->remaining > 0) fault->remaining--;
+    fault->injected++;
+    if (fault->delay_ns) {
+        struct timespec pause = {fault->delay_ns / 1000000000, fault->delay_ns % 1000000000};
         nanosleep(&pause, NULL);
     }
     return fault;
@@ -74,7 +75,7 @@
     result name parameters {                                                     \
         static result (*next) parameters;                                        \
         NEXT(name);                                                              \
-        struct fault *fault = strike(call);                                      \
+        struct fault *fault = next_fault(call);                                  \
         if (fault && fault->error) { errno = (int)fault->error; return -1; }     \
         return next arguments;                                                   \
     }
@@ -82,63 +83,68 @@
     ssize_t name parameters {                                                    \
         static ssize_t (*next) parameters;                                       \
         NEXT(name);                                                              \
-        struct fault *fault = faults && faults[call].left && is_tcp(end) ? strike(call) : NULL; \
+        struct fault *fault = faults && faults[call].remaining && is_tcp(fd) ? next_fault(call) : NULL; \
         if (fault && fault->error) { errno = (int)fault->error; return -1; }     \
-        if (fault && fault->most && size > (size_t)fault->most) size = (size_t)fault->most; \
+        if (fault && fault->max_bytes && size > (size_t)fault->max_bytes) size = (size_t)fault->max_bytes; \
         return next arguments;                                                   \
     }
 
-WRAP(ACCEPT, int, accept4, (int end, struct sockaddr *from, socklen_t *size, int flags), (end, from, size, flags))
-WRAP(ACCEPT, int, accept, (int end, struct sockaddr *from, socklen_t *size), (end, from, size))
+WRAP(ACCEPT, int, accept4, (int fd, struct sockaddr *from, socklen_t *size, int flags), (fd, from, size, flags))
+WRAP(ACCEPT, int, accept, (int fd, struct sockaddr *from, socklen_t *size), (fd, from, size))
 WRAP(SOCKET, int, socket, (int family, int kind, int protocol), (family, kind, protocol))
-WRAP(BIND, int, bind, (int end, const struct sockaddr *to, socklen_t size), (end, to, size))
-WRAP(CONNECT, int, connect, (int end, const struct sockaddr *to, socklen_t size), (end, to, size))
-/* epoll_wait(2) names none of poll(2)'s shortages: it is struck with EINTR only. */
+WRAP(BIND, int, bind, (int fd, const struct sockaddr *to, socklen_t size), (fd, to, size))
+WRAP(CONNECT, int, connect, (int fd, const struct sockaddr *to, socklen_t size), (fd, to, size))
+/* epoll_wait(2) does not document poll(2)'s ENOMEM, so only EINTR is injected. */
 #define WRAP_WAIT(name, parameters, arguments)                                   \
     int name parameters {                                                        \
         static int (*next) parameters;                                           \
         NEXT(name);                                                              \
-        struct fault *fault = faults && faults[POLL].error == EINTR ? strike(POLL) : NULL; \
+        struct fault *fault = faults && faults[POLL].error == EINTR ? next_fault(POLL) : NULL; \
         if (fault) { errno = EINTR; return -1; }                                 \
         return next arguments;                                                   \
     }
-WRAP_WAIT(epoll_wait, (int end, struct epoll_event *events, int most, int wait), (end, events, most, wait))
-WRAP_WAIT(epoll_pwait, (int end, struct epoll_event *events, int most, int wait, const sigset_t *mask),
-          (end, events, most, wait, mask))
-WRAP(POLL, int, poll, (struct pollfd *ends, nfds_t count, int wait), (ends, count, wait))
-WRAP(GETSOCKOPT, int, getsockopt, (int end, int level, int name, void *value, socklen_t *size),
-     (end, level, name, value, size))
-WRAP(SHUTDOWN, int, shutdown, (int end, int how), (end, how))
-WRAP(FSYNC, int, fsync, (int end), (end))
-WRAP(EPOLL_CTL, int, epoll_ctl, (int epoll, int what, int end, struct epoll_event *event), (epoll, what, end, event))
+WRAP_WAIT(epoll_wait, (int fd, struct epoll_event *events, int max_events, int timeout),
+          (fd, events, max_events, timeout))
+WRAP_WAIT(epoll_pwait, (int fd, struct epoll_event *events, int max_events, int timeout, const sigset_t *mask),
+          (fd, events, max_events, timeout, mask))
+WRAP(POLL, int, poll, (struct pollfd *fds, nfds_t count, int timeout), (fds, count, timeout))
+WRAP(GETSOCKOPT, int, getsockopt, (int fd, int level, int name, void *value, socklen_t *size),
+     (fd, level, name, value, size))
+WRAP(SHUTDOWN, int, shutdown, (int fd, int how), (fd, how))
+WRAP(FSYNC, int, fsync, (int fd), (fd))
+WRAP(EPOLL_CTL, int, epoll_ctl, (int epoll, int operation, int fd, struct epoll_event *event),
+     (epoll, operation, fd, event))
 WRAP(EPOLL_CREATE, int, epoll_create1, (int flags), (flags))
-WRAP(SETSOCKOPT, int, setsockopt, (int end, int level, int name, const void *value, socklen_t size),
-     (end, level, name, value, size))
-WRAP(GETSOCKNAME, int, getsockname, (int end, struct sockaddr *at, socklen_t *size), (end, at, size))
-WRAP(GETPEERNAME, int, getpeername, (int end, struct sockaddr *at, socklen_t *size), (end, at, size))
-WRAP(LISTEN, int, listen, (int end, int backlog), (end, backlog))
-WRAP(DUP, int, dup, (int end), (end))
-WRAP_MOVED(READ, read, (int end, void *data, size_t size), (end, data, size))
-WRAP_MOVED(READ, recv, (int end, void *data, size_t size, int flags), (end, data, size, flags))
-WRAP_MOVED(WRITE, write, (int end, const void *data, size_t size), (end, data, size))
-WRAP_MOVED(WRITE, send, (int end, const void *data, size_t size, int flags), (end, data, size, flags))
-
-/* Of several parts: a struck TCP socket moves the first one only, or fails; others count as messages. */
+WRAP(SETSOCKOPT, int, setsockopt, (int fd, int level, int name, const void *value, socklen_t size),
+     (fd, level, name, value, size))
+WRAP(GETSOCKNAME, int, getsockname, (int fd, struct sockaddr *at, socklen_t *size), (fd, at, size))
+WRAP(GETPEERNAME, int, getpeername, (int fd, struct sockaddr *at, socklen_t *size), (fd, at, size))
+WRAP(LISTEN, int, listen, (int fd, int backlog), (fd, backlog))
+WRAP(DUP, int, dup, (int fd), (fd))
+WRAP_MOVED(READ, read, (int fd, void *data, size_t size), (fd, data, size))
+WRAP_MOVED(READ, recv, (int fd, void *data, size_t size, int flags), (fd, data, size, flags))
+WRAP_MOVED(WRITE, write, (int fd, const void *data, size_t size), (fd, data, size))
+WRAP_MOVED(WRITE, send, (int fd, const void *data, size_t size, int flags), (fd, data, size, flags))
+
+/* Calls with several buffers: on TCP an affected call transfers only the first one, or fails; on other sockets
+   the faults of the message calls apply. */
 #define WRAP_PARTS(call, message_call, name, parameters, arguments, parts)       \
     ssize_t name parameters {                                                    \
         static ssize_t (*next) parameters;                                       \
         NEXT(name);                                                              \
-        int tcp = faults && (faults[call].left || faults[message_call].left) && is_tcp(end); \
-        struct fault *fault = !faults ? NULL : tcp ? strike(call) : strike(message_call); \
+        int tcp = faults && (faults[call].remaining || faults[message_call].remaining) && is_tcp(fd); \
+        struct fault *fault = !faults ? NULL : tcp ? next_fault(call) : next_fault(message_call); \
         if (fault && fault->error) { errno = (int)fault->error; return -1; }     \
-        if (fault && fault->most && parts > 1) parts = 1;                        \
+        if (fault && fault->max_bytes && parts > 1) parts = 1;                   \
         return next arguments;                                                   \
     }
 
 static ssize_t message_parts;
-WRAP_PARTS(WRITE, SENDMSG, writev, (int end, const struct iovec *data, int count), (end, data, count), count)
-WRAP_PARTS(WRITE, SENDMSG, sendmsg, (int end, const struct msghdr *told, int flags), (end, told, flags), message_parts)
-WRAP_PARTS(READ, RECVMSG, recvmsg, (int end, struct msghdr *told, int flags), (end, told, flags), message_parts)
+WRAP_PARTS(WRITE, SENDMSG, writev, (int fd, const struct iovec *data, int count), (fd, data, count), count)
+WRAP_PARTS(WRITE, SENDMSG, sendmsg, (int fd, const struct msghdr *message, int flags), (fd, message, flags),
+           message_parts)
+WRAP_PARTS(READ, RECVMSG, recvmsg, (int fd, struct msghdr *message, int flags), (fd, message, flags),
+           message_parts)
 
 #define WRAP_OPEN(name)                                                          \
     int name(const char *path, int flags, ...) {                                 \
@@ -148,7 +154,7 @@
         va_start(more, flags);                                                   \
         mode_t mode = flags & (O_CREAT | O_TMPFILE) ? va_arg(more, mode_t) : 0;  \
         va_end(more);                                                            \
-        struct fault *fault = strike(OPEN);                                      \
+        struct fault *fault = next_fault(OPEN);                                  \
         if (fault && fault->error) { errno = (int)fault->error; return -1; }     \
         return next(path, flags, mode);                                          \
     }
@@ -156,16 +162,16 @@
 WRAP_OPEN(open64)
 
 #define WRAP_FCNTL(name)                                                         \
-    int name(int end, int command, ...) {                                        \
+    int name(int fd, int command, ...) {                                         \
         static int (*next)(int, int, ...);                                       \
         NEXT(name);                                                              \
         va_list more;                                                            \
         va_start(more, command);                                                 \
         void *argument = va_arg(more, void *);                                   \
         va_end(more);                                                            \
-        struct fault *fault = strike(command == F_DUPFD_CLOEXEC || command == F_DUPFD ? DUP : FCNTL); \
+        struct fault *fault = next_fault(command == F_DUPFD_CLOEXEC || command == F_DUPFD ? DUP : FCNTL); \
         if (fault && fault->error) { errno = (int)fault->error; return -1; }     \
-        return next(end, command, argument);                                     \
+        return next(fd, command, argument);                                      \
     }
 WRAP_FCNTL(fcntl)
 WRAP_FCNTL(fcntl64)
@@ -191,9 +197,9 @@
     return result;
 }
 
-time_t time(time_t *told) {
+time_t time(time_t *result) {
     struct timespec now;
     clock_gettime(CLOCK_REALTIME, &now);
-    if (told) *told = now.tv_sec;
+    if (result) *result = now.tv_sec;
     return now.tv_sec;
 }
--- a/tests/faults/system_calls.py
+++ b/tests/faults/system_calls.py
@@ -1,6 +1,6 @@
-"""Faults of the operating system in one process: its calls fail, come short or come late, on command.
+"""Fault injection for the system calls of one process: calls fail, are shortened or are delayed.
 
-The library (system_calls.c) is compiled once for each run of the tests, and loaded into the process tested.
+The library (system_calls.c) is compiled once per test run, and loaded into the process under test.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 class Call(IntEnum):
-    """The calls, in the order of the library's own list."""
+    """The calls, in the order of the enum in the library."""
 
     ACCEPT = 0
     SOCKET = 1
@@ -41,20 +41,20 @@
     FCNTL = 18
     OPEN = 19
     SENDMSG = 20
-    """Of messages, as on the link to another process; on TCP it counts as WRITE."""
+    """sendmsg on message sockets, as for the link to another process; on TCP it counts as WRITE."""
     RECVMSG = 21
 
 
 @cache
 def library() -> Path:
-    """The compiled library; it stays for as long as this process runs."""
-    built = Path(tempfile.mkdtemp(prefix="saltport-faults-")) / "faults.so"
-    subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", str(built), str(SOURCE), "-ldl"], check=True)
-    return built
+    """Return the path of the library, which is compiled at the first call in this process."""
+    path = Path(tempfile.mkdtemp(prefix="saltport-faults-")) / "faults.so"
+    subprocess.run(["cc", "-shared", "-fPIC", "-O1", "-o", str(path), str(SOURCE), "-ldl"], check=True)
+    return path
 
 
 class SystemCalls:
-    """The faults of one process to be, which is started with `environ`."""
+    """Faults of one process, which the test starts with `environ`."""
 
     def __init__(self, folder: Path) -> None:
         file = folder / "faults"
@@ -63,20 +63,22 @@
             self._rows = mmap.mmap(opened.fileno(), 0)
         self.environ = {"LD_PRELOAD": str(library()), "SALTPORT_FAULTS": str(file)}
 
-    def strike(self, call: Call, error: int = 0, times: int = -1, late_s: float = 0.0, most: int = 0) -> None:
-        """From now on so many of these calls are struck; below 0: all of them, until `end`."""
+    def inject(
+        self, call: Call, error: int = 0, times: int = -1, delay_s: float = 0.0, max_bytes: int = 0
+    ) -> None:
+        """Inject a fault into the next `times` calls; below 0 into all calls until `clear`."""
         ROW.pack_into(
-            self._rows, call * ROW.size, error, times, self.struck(call), int(late_s * 1e9), most, 0
+            self._rows, call * ROW.size, error, times, self.injected(call), int(delay_s * 1e9), max_bytes, 0
         )
 
-    def end(self, call: Call) -> None:
-        """Let the call work again."""
-        self.strike(call, times=0)
+    def clear(self, call: Call) -> None:
+        """Stop the fault of a call."""
+        self.inject(call, times=0)
 
-    def struck(self, call: Call) -> int:
-        """How many of these calls were struck so far."""
+    def injected(self, call: Call) -> int:
+        """Return how many calls were affected so far."""
         return int(ROW.unpack_from(self._rows, call * ROW.size)[2])
 
     def step_wall_clock(self, seconds: float) -> None:
-        """Have the process's wall clock show the true time and so much more."""
+        """Shift the wall clock of the process by this many seconds from the true time."""
         ROW.pack_into(self._rows, Call.CLOCK * ROW.size, 0, 0, 0, 0, 0, int(seconds * 1e9))
--- a/tests/faults/test_accept.py
+++ b/tests/faults/test_accept.py
@@ -1,4 +1,4 @@
-"""Accepting connections fails for a moment: nobody who connected loses a request by it."""
+"""accept(2) fails temporarily: no client loses a request."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 
 CLIENTS = 8
 LONG_S = 0.6
-MOST_TRIES_A_SECOND = 300
+MAX_ATTEMPTS_PER_S = 300
 
-MOMENTARY = (
+TEMPORARY = (
     errno.ECONNABORTED, errno.EINTR, errno.EPROTO, errno.ENETUNREACH, errno.EHOSTUNREACH, errno.ENETDOWN,
     errno.ENOBUFS, errno.ENOMEM, errno.ENFILE, errno.EMFILE,
 )  # fmt: skip
@@ -28,54 +28,54 @@
     return [errno.errorcode[number] for number in numbers]
 
 
-@pytest.mark.parametrize("number", MOMENTARY, ids=names(MOMENTARY))
+@pytest.mark.parametrize("number", TEMPORARY, ids=names(TEMPORARY))
 def test_requests_on_connections_whose_accept_failed_are_served(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
     with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
-        calls.strike(Call.ACCEPT, number, times=3)
+        calls.inject(Call.ACCEPT, number, times=3)
         clients = [router.client() for _ in range(CLIENTS)]
-        for turn, client in enumerate(clients):
-            client.send(get(f"a{turn}"))
-        assert [client.answer() for client in clients] == [b"a%d" % turn for turn in range(CLIENTS)]
-        assert calls.struck(Call.ACCEPT) == 3
+        for index, client in enumerate(clients):
+            client.send(get(f"a{index}"))
+        assert [client.answer() for client in clients] == [b"a%d" % index for index in range(CLIENTS)]
+        assert calls.injected(Call.ACCEPT) == 3
 
 
 @pytest.mark.parametrize("number", EXHAUSTED, ids=names(EXHAUSTED))
-def test_accepts_that_fail_for_long_are_tried_again_without_a_spin(tmp_path: Path, number: int) -> None:
+def test_accepts_that_fail_for_long_are_retried_without_a_busy_loop(tmp_path: Path, number: int) -> None:
     calls = SystemCalls(tmp_path)
     with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
-        calls.strike(Call.ACCEPT, number)
+        calls.inject(Call.ACCEPT, number)
         clients = [router.client() for _ in range(CLIENTS)]
-        for turn, client in enumerate(clients):
-            client.send(get(f"a{turn}"))
+        for index, client in enumerate(clients):
+            client.send(get(f"a{index}"))
         time.sleep(LONG_S)
-        calls.end(Call.ACCEPT)
-        assert [client.answer() for client in clients] == [b"a%d" % turn for turn in range(CLIENTS)]
-        assert 0 < calls.struck(Call.ACCEPT) < LONG_S * MOST_TRIES_A_SECOND
+        calls.clear(Call.ACCEPT)
+        assert [client.answer() for client in clients] == [b"a%d" % index for index in range(CLIENTS)]
+        assert 0 < calls.injected(Call.ACCEPT) < LONG_S * MAX_ATTEMPTS_PER_S
 
 
-def test_operators_are_answered_once_accepts_work_again_and_none_spins(tmp_path: Path) -> None:
+def test_admin_api_answers_once_accepts_work_again_without_a_busy_loop(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
     with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
-        calls.strike(Call.ACCEPT, errno.ENFILE)
-        told: list[object] = []
-        caller = threading.Thread(target=lambda: told.append(ask(router.admin, "/stats")))
+        calls.inject(Call.ACCEPT, errno.ENFILE)
+        answers: list[object] = []
+        caller = threading.Thread(target=lambda: answers.append(ask(router.admin, "/stats")))
         caller.start()
         time.sleep(LONG_S)
-        calls.end(Call.ACCEPT)
+        calls.clear(Call.ACCEPT)
         caller.join()
-        assert told
-        assert 0 < calls.struck(Call.ACCEPT) < LONG_S * MOST_TRIES_A_SECOND
+        assert answers
+        assert 0 < calls.injected(Call.ACCEPT) < LONG_S * MAX_ATTEMPTS_PER_S
 
 
-def test_connections_that_wait_at_the_end_are_taken_before_the_door_closes(tmp_path: Path) -> None:
+def test_connections_pending_at_shutdown_are_accepted_before_the_listener_closes(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
     with routed(tmp_path, {"s1": serving()}, environ=calls.environ) as router:
-        calls.strike(Call.ACCEPT, errno.ENFILE)
+        calls.inject(Call.ACCEPT, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
-        eventually(lambda: calls.struck(Call.ACCEPT), "an accept has failed")
+        eventually(lambda: calls.injected(Call.ACCEPT), "an accept has failed")
         router.terminate()
-        time.sleep(LONG_S)  # by then the door would be closed
-        calls.end(Call.ACCEPT)
+        time.sleep(LONG_S)  # without pending connections the listener would be closed by now
+        calls.clear(Call.ACCEPT)
         assert client.answer() == b"a1"
--- a/tests/faults/test_departed_clients.py
+++ b/tests/faults/test_departed_clients.py
@@ -1,4 +1,4 @@
-"""A client that has left gets nothing sent, also where the router was held up and could not notice."""
+"""Nothing is sent to servers for a client that has left, even if the router was delayed in noticing it."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
     serving,
 )
 
-GONE_S = 0.25  # far beyond the 0.1 s in which an attempt may still begin
+GONE_S = 0.25  # well above the 0.1 s in which an attempt may still start
 
 
 @contextmanager
 def stopped(router: Routed) -> Iterator[None]:
-    """The process stands still meanwhile."""
+    """Stop the router's process (SIGSTOP) within the block."""
     os.kill(router.process.pid, signal.SIGSTOP)
     try:
         yield
@@ -41,26 +41,26 @@
 
 
 def test_miss_that_is_read_behind_its_clients_end_is_not_fetched(tmp_path: Path) -> None:
-    let_go = threading.Event()
+    may_answer = threading.Event()
 
     def miss(*_: object) -> bytes:
-        let_go.wait(PATIENCE_S)
+        may_answer.wait(PATIENCE_S)
         return MISS
 
     cache, origin = Peer(miss), Peer(lambda *_: http_answer(200, b"value"), is_http=True)
     with routed(tmp_path, {"s1": cache}, origin) as router:
-        let_go.set()
-        assert router.client().ask(get("a0")) == b"value", "connections are up"
-        let_go.clear()
+        may_answer.set()
+        assert router.client().ask(get("a0")) == b"value", "connections are established"
+        may_answer.clear()
         client = router.client()
         client.send(get("a1"))
-        eventually(lambda: len(cache.seen) == 2, "the read is at the cache")
+        eventually(lambda: len(cache.seen) == 2, "the cache has the read")
         with stopped(router):
-            let_go.set()
-            time.sleep(GONE_S / 2)  # the miss comes first, then the end
+            may_answer.set()
+            time.sleep(GONE_S / 2)  # the miss arrives before the client's end
             client.close()
             time.sleep(GONE_S)
-        assert router.client().ask(get("a2")) == b"value", "the router has read on since"
+        assert router.client().ask(get("a2")) == b"value", "the router has read both events"
         assert [words for words in origin.seen if b"a1" in words[2]] == []
 
 
@@ -84,12 +84,12 @@
     calls, cache = SystemCalls(tmp_path), serving()
     with routed(tmp_path, {"s1": cache}, environ=calls.environ) as router:
         assert router.client().ask(get("a0")) == b"a0"
-        calls.strike(Call.ACCEPT, errno.ENFILE)
+        calls.inject(Call.ACCEPT, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
         client.close()
         time.sleep(GONE_S)
-        calls.end(Call.ACCEPT)
+        calls.clear(Call.ACCEPT)
         assert router.client().ask(get("a2")) == b"a2"
         assert [words for words in cache.seen if words[2] == b"a1"] == []
 
@@ -97,13 +97,13 @@
 def test_request_that_waits_for_a_dial_is_not_sent_for_a_client_that_left_meanwhile(tmp_path: Path) -> None:
     calls, cache = SystemCalls(tmp_path), serving()
     with routed(tmp_path, {"s1": cache}, environ=calls.environ) as router:
-        calls.strike(Call.SOCKET, errno.ENFILE)
+        calls.inject(Call.SOCKET, errno.ENFILE)
         client = router.client()
         client.send(get("a1"))
-        eventually(lambda: calls.struck(Call.SOCKET), "a dial has failed")
+        eventually(lambda: calls.injected(Call.SOCKET), "a dial has failed")
         with stopped(router):
             client.close()
-            calls.end(Call.SOCKET)
+            calls.clear(Call.SOCKET)
             time.sleep(GONE_S)
         assert router.client().ask(get("a2")) == b"a2"
         assert [words for words in cache.seen if words[2] == b"a1"] == []
--- a/tests/faults/test_matrix_end.py
+++ b/tests/faults/test_matrix_end.py
@@ -1,4 +1,4 @@
-"""What was taken is answered at the end while calls fail: see matrix_scenes.py."""
+"""Accepted requests are answered at shutdown while system calls fail; see matrix_scenes.py."""
 
 from __future__ import annotations
 
@@ -22,21 +22,21 @@
 
 @cases(Scene.END)
 def test_end_answers_what_was_taken(tmp_path: Path, case: Case, lasting: int | float) -> None:
-    calls, store, let_go = SystemCalls(tmp_path), origin(), threading.Event()
-    with routed(tmp_path, {"s1": slow_until(let_go)}, store, environ=calls.environ) as router:
+    calls, store, may_answer = SystemCalls(tmp_path), origin(), threading.Event()
+    with routed(tmp_path, {"s1": slow_until(may_answer)}, store, environ=calls.environ) as router:
         waiting, idle = router.client(), router.client()
         assert waiting.ask(get("a0")) == b"a0"
         assert idle.ask(get("a1")) == b"a1"
         waiting.send(get("a2", "slow"))
-        eventually(lambda: router.shows("current") == 1, "it is taken")
+        eventually(lambda: router.shows("current") == 1, "the request is accepted")
         with failing(calls, case, lasting):
             router.terminate()
             late = router.client()
-            assert late.ask(get("a3")) == b"a3", "clients are sent here for 0.4 s more"
-            let_go.set()
+            assert late.ask(get("a3")) == b"a3", "clients may still connect for 0.4 s"
+            may_answer.set()
             assert waiting.answer() == b"a2"
             for client in (waiting, idle, late):
-                assert client.at_end(), "nothing is left on it"
+                assert client.at_end(), "no data remains on the connection"
                 client.leave()
-            eventually(lambda: router.process.poll() is not None, "it has ended")
+            eventually(lambda: router.process.poll() is not None, "the process has ended")
         assert router.process.returncode == 0
--- a/tests/faults/test_matrix_hand_over.py
+++ b/tests/faults/test_matrix_hand_over.py
@@ -1,4 +1,4 @@
-"""What is under way moves to the next process, or stays, while calls fail: see matrix_scenes.py."""
+"""Open requests move to the next process, or stay, while system calls fail; see matrix_scenes.py."""
 
 from __future__ import annotations
 
@@ -23,40 +23,40 @@
 
 
 @cases(Scene.HAND_OVER)
-def test_what_is_under_way_moves_or_stays(tmp_path: Path, case: Case, lasting: int | float) -> None:
-    calls, let_go = SystemCalls(tmp_path), threading.Event()
-    caches = {"s1": slow_until(let_go)}
-    with platform(tmp_path, caches, environ=calls.environ) as held:
-        old = held.start().ready()
-        idle, half, waiting = (held.client() for _ in range(3))
+def test_open_requests_move_or_stay(tmp_path: Path, case: Case, lasting: int | float) -> None:
+    calls, may_answer = SystemCalls(tmp_path), threading.Event()
+    caches = {"s1": slow_until(may_answer)}
+    with platform(tmp_path, caches, environ=calls.environ) as router_platform:
+        old = router_platform.start().ready()
+        idle, half, waiting = (router_platform.client() for _ in range(3))
         assert idle.ask(get("a1")) == b"a1"
         half.send(get("a2")[:30])
         waiting.send(get("a3", "slow", d=15_000))
-        eventually(lambda: ask(old.admin, "/stats")["current"] == 1, "it is taken")
+        eventually(lambda: ask(old.admin, "/stats")["current"] == 1, "the request is accepted")
         with failing(calls, case, lasting):
-            held.upgrade(old)
+            router_platform.upgrade(old)
             if isinstance(lasting, int):
                 half.send(get("a2")[30:])
                 assert half.answer() == b"a2"
                 assert idle.ask(get("a4")) == b"a4"
                 assert idle.ask(bulk(b"PING")) == b"+PONG"
             else:
-                assert asked_as_clients_do(held, idle, get("a4", d=15_000)) == b"a4"
-            let_go.set()
+                assert ask_with_retry(router_platform, idle, get("a4", d=15_000)) == b"a4"
+            may_answer.set()
             assert waiting.answer() == b"a3"
-            assert held.client().ask(get("a5", d=15_000)) == b"a5"
-            eventually(lambda: old.gone, "the old one has ended")
+            assert router_platform.client().ask(get("a5", d=15_000)) == b"a5"
+            eventually(lambda: old.gone, "the old process has ended")
         assert old.process.returncode == 0
         if isinstance(lasting, int):
             assert waiting.ask(get("a6")) == b"a6"
 
 
-def asked_as_clients_do(held: Platform, client: Client, request: bytes) -> bytes:
-    """Ask on a connection that has rested; once more on a new one where its close has crossed the request.
+def ask_with_retry(router_platform: Platform, client: Client, request: bytes) -> bytes:
+    """Send a request on an idle connection, and again on a new one if the close has crossed the request.
 
-    With the link between both processes down for longer than the old one has, it may close what rests.
+    If the link between the processes is down for too long, the old one closes its idle connections.
     """
     try:
-        return client.ask(request) or held.client().ask(request)
+        return client.ask(request) or router_platform.client().ask(request)
     except ConnectionError:
-        return held.client().ask(request)
+        return router_platform.client().ask(request)
--- a/tests/faults/test_matrix_reload.py
+++ b/tests/faults/test_matrix_reload.py
@@ -1,4 +1,4 @@
-"""A new configuration is taken while calls fail: see matrix_scenes.py."""
+"""A new configuration is applied while system calls fail; see matrix_scenes.py."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 
 from tests.faults.matrix import Case, Scene
 from tests.faults.matrix_scenes import (
-    asked_later,
     cases,
     failing,
-    nobody_was_blamed,
+    new_server_is_used,
+    no_server_marked_unhealthy,
     origin,
 )
 from tests.faults.system_calls import SystemCalls
@@ -33,13 +33,13 @@
     with routed(tmp_path, {"s1": cache}, store, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
-        told = router.told() | {"discovery": f"127.0.0.1:{elsewhere.peer.port}"}
+        config = router.told() | {"discovery": f"127.0.0.1:{elsewhere.peer.port}"}
         with failing(calls, case, lasting):
-            begun = time.monotonic()
-            router.reload(json.dumps(told))
-            # What is open when its server leaves the list ends there; the new list is asked for meanwhile.
-            eventually(lambda: asked_later(client, other), "the other discovery's list is in force")
-            assert time.monotonic() - begun < (4 if isinstance(lasting, int) else 4 + lasting)
+            started_at = time.monotonic()
+            router.reload(json.dumps(config))
+            # Open requests end at a server that left the list; the new list is fetched meanwhile.
+            eventually(lambda: new_server_is_used(client, other), "the other discovery's list is in force")
+            assert time.monotonic() - started_at < (4 if isinstance(lasting, int) else 4 + lasting)
         assert router.process.poll() is None
-        nobody_was_blamed(router, store, writes=0)
+        no_server_marked_unhealthy(router, store, writes=0)
     elsewhere.peer.close()
--- a/tests/faults/test_matrix_service.py
+++ b/tests/faults/test_matrix_service.py
@@ -1,4 +1,4 @@
-"""Service goes on while calls fail: see matrix_scenes.py."""
+"""Requests are served while system calls fail; see matrix_scenes.py."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from tests.faults.matrix_scenes import (
     CLIENTS,
     TICKS,
-    ask_all,
-    asked_later,
     cases,
     failing,
-    nobody_was_blamed,
+    new_server_is_used,
+    no_server_marked_unhealthy,
     origin,
-    paced,
     processor_s,
+    read_at_pace,
+    read_on_all,
 )
 from tests.faults.system_calls import SystemCalls
 from tests.sockets import (
@@ -30,28 +30,28 @@
 @cases(Scene.SERVICE)
 def test_service_goes_on(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, store = SystemCalls(tmp_path), origin()
-    caches = {f"s{turn}": serving() for turn in range(3)}
+    caches = {f"s{index}": serving() for index in range(3)}
     later = serving()
     with routed(tmp_path, caches, store, environ=calls.environ) as router:
         quiet = router.client()
         assert quiet.ask(put("w0", cls="once", d=15_000)) == b"receipt"
         calm_s = processor_s(router.process.pid)
         if isinstance(lasting, float):
-            paced(quiet, "p", lasting)
+            read_at_pace(quiet, "p", lasting)
         calm_s = processor_s(router.process.pid) - calm_s
         used = [router.client() for _ in range(CLIENTS)]
-        ask_all(used, "a", [quiet])
+        read_on_all(used, "a", [quiet])
         with failing(calls, case, lasting):
-            ask_all(used, "b", [router.client() for _ in range(CLIENTS)])
+            read_on_all(used, "b", [router.client() for _ in range(CLIENTS)])
             if isinstance(lasting, float):
-                # Another two seconds of it: the first ones may have passed while an answer was waited for.
+                # Fail for two more seconds, as the first ones may have passed before all answers arrived.
                 with failing(calls, case, lasting):
                     busy_s = processor_s(router.process.pid)
-                    paced(quiet, "q", lasting)
+                    read_at_pace(quiet, "q", lasting)
                     busy_s = processor_s(router.process.pid) - busy_s
-                    assert busy_s <= 2 * calm_s + 2 / TICKS, "no spin"
+                    assert busy_s <= 2 * calm_s + 2 / TICKS, "no busy loop"
         used = [router.client() for _ in range(2)]
-        ask_all(used, "c")
+        read_on_all(used, "c")
         with failing(calls, case, lasting):
             assert used[0].ask(put("w1", cls="once", d=15_000)) == b"receipt"
             assert router.client().ask(put("w2", cls="once", d=15_000)) == b"receipt"
@@ -61,7 +61,7 @@
                 entry(later, "later"), entry(store, "origin", "origin"),
             )  # fmt: skip
             fresh = router.client()
-            eventually(lambda: asked_later(fresh, later), "the change of the list is in force")
+            eventually(lambda: new_server_is_used(fresh, later), "the change of the list is in force")
         assert router.process.poll() is None
-        nobody_was_blamed(router, store, writes=3)
+        no_server_marked_unhealthy(router, store, writes=3)
     later.close()
--- a/tests/faults/test_matrix_start.py
+++ b/tests/faults/test_matrix_start.py
@@ -1,4 +1,4 @@
-"""A start waits out calls that fail: see matrix_scenes.py."""
+"""A router starts although system calls fail temporarily; see matrix_scenes.py."""
 
 from __future__ import annotations
 
@@ -30,9 +30,9 @@
 def test_start_waits_it_out(tmp_path: Path, case: Case, lasting: int | float) -> None:
     calls, cache = SystemCalls(tmp_path), serving()
     discovery, port, admin = DiscoveryPeer([entry(cache, "s1")]), free_port(), free_port()
-    told = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{admin}"}
+    config = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{admin}"}
     with failing(calls, case, lasting):
-        process = start_router(tmp_path, told, environ=calls.environ)
+        process = start_router(tmp_path, config, environ=calls.environ)
         try:
             eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
             assert process.poll() is None
--- a/tests/faults/test_shortages.py
+++ b/tests/faults/test_shortages.py
@@ -1,19 +1,18 @@
-"""For a moment this machine has no memory for a call on a connection: nobody but the caller of it may notice.
+"""This machine temporarily lacks memory for a call on a connection; no client or server may notice.
 
-What happened: with one to three `read` calls that failed with ENOBUFS or ENOMEM as many of eight clients
-were closed without an answer; each `write` to a cache server that failed so moved a read to the origin; one
-`setsockopt` on a new connection closed it; and one `epoll_ctl` ended the whole process, with every request
-in it. Why: uvloop's streams end a connection at any error but EAGAIN, and libuv's poll aborts where it
-can't watch a descriptor. What showed it: for the read, the client's ECONNRESET, and an access log that
-holds not one entry of its request, though its bytes had been acknowledged: the connection ended below the
-router's own code. For epoll_ctl, status -6 and the last lines of the process:
+Guards against a fault of uvloop: its streams end a connection at any error but EAGAIN, and libuv aborts where
+it can't watch a descriptor. One to three `read` calls with ENOBUFS or ENOMEM closed as many of eight clients
+without an answer; a failed `write` to a cache server moved the read to the origin; a failed `setsockopt`
+closed a new connection; a failed `epoll_ctl` ended the process (status -6) with every request in it. The
+failed reads showed only as ECONNRESET at the client, with no entry in the access log, as the connection ended
+below the router's own code. The end of the process showed as:
 
     python: src/unix/linux.c:1427: uv__io_poll: Assertion `errno == EEXIST' failed.
     Fatal Python error: Aborted
       File ".../uvloop/__init__.py", line 92 in run
 
-Where io_uring is allowed, libuv sends its epoll_ctl calls through that, and none of them fails: so the
-library in system_calls.c refuses it, as the platform does.
+Where io_uring is allowed, libuv makes its epoll_ctl calls through it and none of them fails; so the library
+in system_calls.c refuses io_uring, as the platform does.
 """
 
 from __future__ import annotations
@@ -27,11 +26,11 @@
 from tests.sockets import Client, Peer, Routed, get, http_answer, put, routed, serving
 
 CLIENTS = 8
-OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-OF_WATCHES = (errno.ENOMEM, errno.ENOSPC)
+MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
+EPOLL_ERRORS = (errno.ENOMEM, errno.ENOSPC)
 CASES = [
-    *[(call, number) for call in (Call.READ, Call.WRITE, Call.SETSOCKOPT) for number in OF_MEMORY],
-    *[(Call.EPOLL_CTL, number) for number in OF_WATCHES],
+    *[(call, number) for call in (Call.READ, Call.WRITE, Call.SETSOCKOPT) for number in MEMORY_ERRORS],
+    *[(Call.EPOLL_CTL, number) for number in EPOLL_ERRORS],
 ]
 
 
@@ -44,17 +43,17 @@
 
 
 def ask_at_once(clients: list[Client], name: str) -> None:
-    """One read each, all on their way before the first answer is read; each has its own answer."""
-    for turn, client in enumerate(clients):
-        client.send(get(f"{name}{turn}", f"k{turn}"))
+    """Send one read per client before any answer is read, and check that each gets its own answer."""
+    for index, client in enumerate(clients):
+        client.send(get(f"{name}{index}", f"k{index}"))
     assert [client.answer() for client in clients] == [
-        b"%b%d" % (name.encode(), turn) for turn in range(CLIENTS)
+        b"%b%d" % (name.encode(), index) for index in range(CLIENTS)
     ]
 
 
-def nothing_was_moved(router: Routed, store: Peer) -> None:
+def check_no_read_at_origin(router: Routed, store: Peer) -> None:
     assert not store.seen, "no read went to the origin"
-    assert router.shows("cluster_unhealthy") == 0, "no server is held to account"
+    assert router.shows("cluster_unhealthy") == 0, "no server is marked unhealthy"
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -66,11 +65,11 @@
     with routed(tmp_path, {"s1": serving(), "s2": serving()}, store, environ=calls.environ) as router:
         clients = [router.client() for _ in range(CLIENTS)]
         ask_at_once(clients, "a")
-        calls.strike(call, number, times=times)
+        calls.inject(call, number, times=times)
         ask_at_once(clients, "b")
-        calls.end(call)
+        calls.clear(call)
         ask_at_once(clients, "c")
-        nothing_was_moved(router, store)
+        check_no_read_at_origin(router, store)
 
 
 @pytest.mark.parametrize("times", [1, 3])
@@ -80,10 +79,10 @@
 ) -> None:
     calls, store = SystemCalls(tmp_path), origin()
     with routed(tmp_path, {"s1": serving(), "s2": serving()}, store, environ=calls.environ) as router:
-        calls.strike(call, number, times=times)
+        calls.inject(call, number, times=times)
         ask_at_once([router.client() for _ in range(CLIENTS)], "a")
-        calls.end(call)
-        nothing_was_moved(router, store)
+        calls.clear(call)
+        check_no_read_at_origin(router, store)
 
 
 @pytest.mark.parametrize(("call", "number"), CASES, ids=names(CASES))
@@ -93,8 +92,8 @@
     with routed(tmp_path, {"s1": serving()}, store, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(put("w0", cls="once")) == b"receipt"
-        for turn in range(1, 6):
-            calls.strike(call, number, times=turn)
-            assert client.ask(put(f"w{turn}", cls="once")) == b"receipt"
-        calls.end(call)
+        for index in range(1, 6):
+            calls.inject(call, number, times=index)
+            assert client.ask(put(f"w{index}", cls="once")) == b"receipt"
+        calls.clear(call)
         assert sum(message[0] == b"PUT" for message in store.seen) == 6
--- a/tests/faults/test_system_calls.py
+++ b/tests/faults/test_system_calls.py
@@ -1,4 +1,4 @@
-"""Waits, reads, writes and the rest fail or come short as Linux documents; requests are served once."""
+"""System calls fail or return short counts as Linux documents; each request is served once."""
 
 from __future__ import annotations
 
@@ -57,39 +57,39 @@
     with routed(tmp_path, {"s1": serving(), "s2": serving()}, origin, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
-        calls.strike(call, number, times)
-        for turn in range(1, READS):
-            assert client.ask(get(f"a{turn}", f"k{turn}")) == b"a%d" % turn
-            if turn % 10 == 0:
-                assert client.ask(put(f"w{turn}", cls="once")) == b"receipt"
+        calls.inject(call, number, times)
+        for index in range(1, READS):
+            assert client.ask(get(f"a{index}", f"k{index}")) == b"a%d" % index
+            if index % 10 == 0:
+                assert client.ask(put(f"w{index}", cls="once")) == b"receipt"
         fresh = router.client()
         assert fresh.ask(get("b0", "k0")) == b"b0"
         unsafe = [words[2] for words in origin.seen if words[0] == b"PUT"]
-        assert len(unsafe) == READS // 10 - 1, "each write once"
+        assert len(unsafe) == READS // 10 - 1, "each write runs once"
 
 
 def test_writes_that_fail_for_want_of_memory_are_made_again(tmp_path: Path) -> None:
     calls = SystemCalls(tmp_path)
     with routed(tmp_path, {"s1": serving(), "s2": serving()}, environ=calls.environ) as router:
         client = router.client()
-        for turn, number in enumerate([errno.ENOBUFS, errno.ENOMEM] * 5):
-            assert client.ask(get(f"a{turn}", f"k{turn}")) == b"a%d" % turn
-            calls.strike(Call.WRITE, number, times=turn)
-            assert client.ask(get(f"b{turn}", f"k{turn}")) == b"b%d" % turn
-            calls.end(Call.WRITE)
+        for index, number in enumerate([errno.ENOBUFS, errno.ENOMEM] * 5):
+            assert client.ask(get(f"a{index}", f"k{index}")) == b"a%d" % index
+            calls.inject(Call.WRITE, number, times=index)
+            assert client.ask(get(f"b{index}", f"k{index}")) == b"b%d" % index
+            calls.clear(Call.WRITE)
 
 
 @pytest.mark.parametrize("call", [Call.READ, Call.WRITE])
-@pytest.mark.parametrize("most", [1, 7, 100])
-def test_short_reads_and_writes_change_nothing(tmp_path: Path, call: Call, most: int) -> None:
+@pytest.mark.parametrize("max_bytes", [1, 7, 100])
+def test_short_reads_and_writes_change_nothing(tmp_path: Path, call: Call, max_bytes: int) -> None:
     calls = SystemCalls(tmp_path)
     origin = Peer(lambda _, words: http_answer(200, VALUE), is_http=True)
     with routed(tmp_path, {"s1": serving()}, origin, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
-        calls.strike(call, most=most)
-        client.send(b"".join(get(f"a{turn}", f"k{turn}") for turn in range(1, READS)))
-        assert [client.answer() for _ in range(1, READS)] == [b"a%d" % turn for turn in range(1, READS)]
+        calls.inject(call, max_bytes=max_bytes)
+        client.send(b"".join(get(f"a{index}", f"k{index}") for index in range(1, READS)))
+        assert [client.answer() for _ in range(1, READS)] == [b"a%d" % index for index in range(1, READS)]
         assert client.ask(put("w1", VALUE, cls="once")) == VALUE
         assert [words[3] for words in origin.seen if words[0] == b"PUT"] == [VALUE]
 
@@ -105,14 +105,14 @@
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         assert client.ask(put("w0", cls="once")) == b"receipt"
-        calls.strike(Call.WRITE, number, times=1)
+        calls.inject(Call.WRITE, number, times=1)
         if request_class == "get":
             assert client.ask(get("a1")) == b"a1"
         else:
             answer = client.ask(put("w1", cls="once"))
-            assert answer == b"receipt" or answer.startswith(b"-BUSY"), "it did not run"
+            assert answer == b"receipt" or answer.startswith(b"-BUSY"), "the write did not run"
             assert sum(b"w1" in words[2] for words in origin.seen) == (answer == b"receipt")
-        assert calls.struck(Call.WRITE) == 1
+        assert calls.injected(Call.WRITE) == 1
 
 
 @pytest.mark.parametrize("number", BROKEN, ids=[errno.errorcode[number] for number in BROKEN])
@@ -120,26 +120,26 @@
 def test_connection_that_breaks_before_the_answer_may_have_run_the_request(
     tmp_path: Path, number: int, request_class: str
 ) -> None:
-    calls, let_go = SystemCalls(tmp_path), threading.Event()
+    calls, may_answer = SystemCalls(tmp_path), threading.Event()
 
     def serve(*_: object) -> bytes:
-        let_go.wait(PATIENCE_S)
+        may_answer.wait(PATIENCE_S)
         return http_answer(200, b"receipt")
 
-    held = Peer(serve, is_http=True)
-    with routed(tmp_path, {"s1": serving()}, held, environ=calls.environ) as router:
+    slow_origin = Peer(serve, is_http=True)
+    with routed(tmp_path, {"s1": serving()}, slow_origin, environ=calls.environ) as router:
         client = router.client()
         assert client.ask(get("a0")) == b"a0"
         client.send(put("w1", cls="once") if request_class == "once" else put("w1"))
-        eventually(lambda: held.seen, "the write is at the origin")
-        calls.strike(Call.READ, number, times=1)
-        let_go.set()
+        eventually(lambda: slow_origin.seen, "the origin has the write")
+        calls.inject(Call.READ, number, times=1)
+        may_answer.set()
         answer = client.answer()
         if request_class == "once":
             assert answer == b"-ERR failed"
-            assert len(held.seen) == 1
+            assert len(slow_origin.seen) == 1
         else:
-            assert answer == b"receipt", "a keyed write is made once more"
+            assert answer == b"receipt", "a keyed write is retried once"
 
 
 @pytest.mark.parametrize("number", SHORTAGES, ids=[errno.errorcode[number] for number in SHORTAGES])
@@ -147,13 +147,13 @@
 def test_start_waits_out_a_shortage(tmp_path: Path, call: Call, number: int) -> None:
     calls, cache = SystemCalls(tmp_path), serving()
     discovery, port = DiscoveryPeer([entry(cache, "s1")]), free_port()
-    told = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{free_port()}"}
-    calls.strike(call, number)
-    process = start_router(tmp_path, told, environ=calls.environ)
+    config = configuration(port, discovery) | {"admin_addr": f"127.0.0.1:{free_port()}"}
+    calls.inject(call, number)
+    process = start_router(tmp_path, config, environ=calls.environ)
     try:
-        eventually(lambda: calls.struck(call) > 1 or process.poll() is not None, "it was tried again")
+        eventually(lambda: calls.injected(call) > 1 or process.poll() is not None, "the call was retried")
         time.sleep(0.1)
-        calls.end(call)
+        calls.clear(call)
         eventually(lambda: is_ready(port) or process.poll() is not None, "the router is ready")
         assert process.poll() is None
     finally:
--- a/tests/faults/test_terms_at_their_ends.py
+++ b/tests/faults/test_terms_at_their_ends.py
@@ -1,4 +1,4 @@
-"""Terms at their extremes: signals in series under hanging servers, little time left, half a command."""
+"""Extreme cases: series of signals with hanging servers, very short deadlines, partial commands."""
 
 from __future__ import annotations
 
@@ -30,25 +30,25 @@
     "TERM twice": (TERM, TERM), "HUP then TERM": (HUP, TERM), "TERM, HUP, TERM": (TERM, HUP, TERM),
     "HUP ten times": (*[HUP] * 10, TERM),
 }  # fmt: skip
-LITTLE_MS = (1, 2, 3, 5)
-OWED_S = 3.0
+SHORT_DEADLINES_MS = (1, 2, 3, 5)
+ANSWER_LIMIT_S = 3.0
 
 
-class Asker(threading.Thread):
-    """A client that asks again and again on one connection, until the router ends it."""
+class RepeatingClient(threading.Thread):
+    """A client that sends requests on one connection until the router closes it."""
 
     def __init__(self, client: Client, name: str) -> None:
         super().__init__(daemon=True)
         self._client, self._name = client, name
-        self.asked = 0
+        self.sent = 0
         self.answers: list[bytes] = []
 
     def run(self) -> None:
         try:
             while True:
-                request = put if self.asked % 3 == 2 else get
-                self._client.send(request(f"{self._name}x{self.asked}", d=300))
-                self.asked += 1
+                request = put if self.sent % 3 == 2 else get
+                self._client.send(request(f"{self._name}x{self.sent}", d=300))
+                self.sent += 1
                 if not (answer := self._client.answer()):
                     return
                 self.answers.append(answer)
@@ -60,29 +60,29 @@
 def test_whatever_was_asked_before_the_end_is_answered_under_servers_that_hang(
     tmp_path: Path, series: Sequence[int]
 ) -> None:
-    let_go = threading.Event()
+    may_answer = threading.Event()
 
     def hang(*_: object) -> bytes:
-        let_go.wait(2 * PATIENCE_S)
+        may_answer.wait(2 * PATIENCE_S)
         return b""
 
     caches = {f"s{number}": Peer(hang) for number in range(3)}
     with routed(tmp_path, caches, Peer(hang, is_http=True), facts=ASIDE) as router:
-        askers = [Asker(router.client(), f"a{number}") for number in range(4)]
-        for asker in askers:
-            asker.start()
-        eventually(lambda: all(asker.answers for asker in askers), "each had an answer")
+        clients = [RepeatingClient(router.client(), f"a{number}") for number in range(4)]
+        for client in clients:
+            client.start()
+        eventually(lambda: all(client.answers for client in clients), "each client had an answer")
         for number in series:
             router.process.send_signal(number)
             time.sleep(0.03)
-        for asker in askers:
-            asker.join(PATIENCE_S)
+        for client in clients:
+            client.join(PATIENCE_S)
         assert router.process.wait(PATIENCE_S) == 0
-        for asker in askers:
-            # The last request may have crossed the end, which came between requests.
-            assert asker.asked - 1 <= len(asker.answers) <= asker.asked
-            assert all(answer.startswith(b"-") for answer in asker.answers)
-        let_go.set()
+        for client in clients:
+            # The last request may have crossed the close, which came between requests.
+            assert client.sent - 1 <= len(client.answers) <= client.sent
+            assert all(answer.startswith(b"-") for answer in client.answers)
+        may_answer.set()
 
 
 @pytest.mark.parametrize("cache", ["answers", "drops it", "misses"])
@@ -94,12 +94,12 @@
     origin = Peer(drop if cache == "drops it" else lambda *_: http_answer(200, b"value"), is_http=True)
     with routed(tmp_path, {"s1": peer}, origin) as router:
         client = router.client()
-        for turn in range(30):
-            d = LITTLE_MS[turn % len(LITTLE_MS)]
-            begun = time.monotonic()
-            answer = client.ask(put(f"w{turn}", d=d) if turn % 5 == 4 else get(f"a{turn}", f"k{turn}", d))
+        for index in range(30):
+            d = SHORT_DEADLINES_MS[index % len(SHORT_DEADLINES_MS)]
+            started_at = time.monotonic()
+            answer = client.ask(put(f"w{index}", d=d) if index % 5 == 4 else get(f"a{index}", f"k{index}", d))
             assert answer, "a final answer"
-            assert time.monotonic() - begun < 0.5 + PATIENCE_S / 4
+            assert time.monotonic() - started_at < 0.5 + PATIENCE_S / 4
         assert router.shows("cluster_unhealthy") == 0 or cache == "drops it"
 
 
@@ -121,13 +121,13 @@
 
 @pytest.mark.parametrize("prepared", [half_on_a_new_connection, half_behind_an_answer, half_behind_a_refusal])
 @pytest.mark.parametrize("part", [1, 7, 30])
-def test_client_that_stops_within_a_command_is_owed_an_error_or_a_close(
+def test_client_that_stops_within_a_command_gets_an_error_or_a_close(
     tmp_path: Path, prepared: object, part: int
 ) -> None:
     assert callable(prepared)
     with routed(tmp_path, {"s1": serving()}) as router:
         client = prepared(router)
         client.send(get("half")[:part])
-        begun = time.monotonic()
+        started_at = time.monotonic()
         assert client.answer().startswith(b"-") or client.at_end()
-        assert time.monotonic() - begun < OWED_S
+        assert time.monotonic() - started_at < ANSWER_LIMIT_S
--- a/tests/faults/test_wall_clock.py
+++ b/tests/faults/test_wall_clock.py
@@ -1,4 +1,4 @@
-"""The wall clock is wrong, or stepped: slow start, told in Unix time, binds for spans of real time."""
+"""The wall clock is wrong or stepped: slow start, given in Unix time, still lasts for its real time."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
 FACTS = {"rules": {"coldShare": 0.1, "coldNs": int(COLD_S * 1e9)}}
 READS = 300
 AN_HOUR = 3600.0
-MOST_COLD, LEAST_WARM = 0.30, 0.35
-"""Shares of reads at one of two servers: 0.09 to 0.25 as it begins, 0.47 once both are warm."""
+MAX_COLD_SHARE, MIN_WARM_SHARE = 0.30, 0.35
+"""Bounds for the share of reads at one of two servers: 0.09 to 0.25 when cold, 0.47 once both are warm."""
 
 
-def share_of(name: bytes, router: Routed, turn: str) -> float:
-    """The share of new keys that a server is asked for."""
+def share_of(name: bytes, router: Routed, prefix: str) -> float:
+    """Return the share of reads for new keys that a server receives."""
     client = router.client()
-    client.send(b"".join(get(f"{turn}{number}", f"{turn}{number}") for number in range(READS)))
+    client.send(b"".join(get(f"{prefix}{number}", f"{prefix}{number}") for number in range(READS)))
     answers = [client.answer() for _ in range(READS)]
-    assert all(answer == f"{turn}{number}".encode() for number, answer in enumerate(answers))
-    return sum(words[2].startswith(turn.encode()) for words in router.caches[name.decode()].seen) / READS
+    assert all(answer == f"{prefix}{number}".encode() for number, answer in enumerate(answers))
+    return sum(words[2].startswith(prefix.encode()) for words in router.caches[name.decode()].seen) / READS
 
 
 @pytest.mark.parametrize("when", ["before the start", "after the start"])
@@ -42,9 +42,9 @@
         started = {**entry(fresh, "fresh"), "startedAtMs": time.time_ns() // 10**6}
         router.discovery.change(entry(warm, "warm"), started)
         router.until("generation", 2)
-        assert share_of(b"fresh", router, "first") <= MOST_COLD
+        assert share_of(b"fresh", router, "first") <= MAX_COLD_SHARE
         time.sleep(COLD_S)
-        assert share_of(b"fresh", router, "later") >= LEAST_WARM
+        assert share_of(b"fresh", router, "later") >= MIN_WARM_SHARE
 
 
 @pytest.mark.parametrize("step", [0.0, AN_HOUR, -AN_HOUR])
@@ -59,7 +59,9 @@
     caches = {"fresh": fresh, "older": older, "warm": warm}
     with routed(tmp_path, caches, facts=FACTS, environ=calls.environ, started_ms=started) as router:
         router.caches = caches
-        assert share_of(b"fresh", router, "first") <= MOST_COLD * 2 / 3
-        assert share_of(b"older", router, "second") >= LEAST_WARM * 2 / 3, "a minute older than another start"
+        assert share_of(b"fresh", router, "first") <= MAX_COLD_SHARE * 2 / 3
+        assert share_of(b"older", router, "second") >= MIN_WARM_SHARE * 2 / 3, (
+            "started a minute before another server"
+        )
         time.sleep(COLD_S)
-        assert share_of(b"fresh", router, "later") >= LEAST_WARM * 2 / 3
+        assert share_of(b"fresh", router, "later") >= MIN_WARM_SHARE * 2 / 3
--- a/tests/test_soak_shutdown.py
+++ b/tests/test_soak_shutdown.py
@@ -42,8 +42,8 @@
     while True:
         await asyncio.sleep(rng.uniform(0.2, 0.8))
         call, number = rng.choice(FAILURES)
-        calls.strike(call, number, times=rng.choice((1, 3, 20)))
-        calls.strike(rng.choice((Call.READ, Call.WRITE)), times=50, most=rng.choice((1, 10, 1000)))
+        calls.inject(call, number, times=rng.choice((1, 3, 20)))
+        calls.inject(rng.choice((Call.READ, Call.WRITE)), times=50, max_bytes=rng.choice((1, 10, 1000)))
         calls.step_wall_clock(rng.choice(STEPS_S))
 
 
--- a/tests/transport/test_poller.py
+++ b/tests/transport/test_poller.py
@@ -1,4 +1,4 @@
-"""The poller on real descriptors, with a kernel that refuses watches: nothing is missed, nothing is lost."""
+"""The poller on real descriptors, with failing epoll calls: no event is missed, no registration is lost."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Refusals:
-    """Has the next calls of one kind fail."""
+    """Lets the next epoll calls of one kind fail."""
 
     def __init__(self, real: Any) -> None:
         self.real = real
@@ -41,17 +41,17 @@
     def __init__(self, refusals: Refusals, epoll: Any) -> None:
         self._refusals, self._epoll = refusals, epoll
 
-    def register(self, *words: int) -> None:
+    def register(self, *arguments: int) -> None:
         self._refusals.check("register")
-        self._epoll.register(*words)
+        self._epoll.register(*arguments)
 
-    def modify(self, *words: int) -> None:
+    def modify(self, *arguments: int) -> None:
         self._refusals.check("modify")
-        self._epoll.modify(*words)
+        self._epoll.modify(*arguments)
 
-    def unregister(self, *words: int) -> None:
+    def unregister(self, *arguments: int) -> None:
         self._refusals.check("unregister")
-        self._epoll.unregister(*words)
+        self._epoll.unregister(*arguments)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._epoll, name)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize("number", REFUSALS)
-def test_a_descriptor_that_can_not_be_watched_is_asked(
+def test_descriptor_that_can_not_be_registered_is_polled(
     refusals: Refusals, pair: tuple[socket.socket, socket.socket], number: int
 ) -> None:
     poller, (ours, theirs) = Poller(), pair
@@ -89,11 +89,11 @@
     assert ready(poller, 1.0) == [(ours.fileno(), EVENT_READ)]
 
 
-def test_watches_are_made_again_with_every_descriptor(
+def test_poller_returns_to_epoll_with_every_descriptor(
     refusals: Refusals, pair: tuple[socket.socket, socket.socket]
 ) -> None:
     poller, (ours, theirs) = Poller(), pair
-    refusals.left["register"] = 2  # the first one, and the first try to make all anew
+    refusals.left["register"] = 2  # the first call, and the first try to return to epoll
     poller.register(ours, EVENT_READ)
     poller.register(theirs, EVENT_WRITE)
     end = time.monotonic() + PATIENCE_S
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("call", ["modify", "unregister"])
-def test_a_watch_that_can_not_be_changed_tells_nothing_that_is_not_asked_for(
+def test_failed_change_of_a_registration_reports_no_unregistered_event(
     refusals: Refusals, pair: tuple[socket.socket, socket.socket], call: str
 ) -> None:
     poller, (ours, _) = Poller(), pair
@@ -118,7 +118,7 @@
         assert poller.get_key(ours).data == "what it is"
     else:
         poller.unregister(ours)
-    assert ready(poller) == [], "a loop would spin on a watch that nobody waits for"
+    assert ready(poller) == [], "an event that is not registered would make the loop spin"
     for _ in range(100):
         assert ready(poller, 0.005) == []
         if poller.uses_epoll:
@@ -127,10 +127,10 @@
     assert ready(poller) == []
 
 
-def test_a_watch_does_not_outlive_its_descriptor_in_another_process(
+def test_registration_does_not_outlive_its_descriptor_in_another_process(
     refusals: Refusals, pair: tuple[socket.socket, socket.socket]
 ) -> None:
-    """A watch lives as long as the open file does, and the hand-over gives copies away."""
+    """epoll keeps a registration while any copy of the descriptor is open; the hand-over makes copies."""
     poller, (ours, theirs) = Poller(), pair
     poller.register(ours, EVENT_READ)
     copy = os.dup(ours.fileno())
@@ -143,9 +143,7 @@
     os.close(copy)
 
 
-def test_a_start_without_an_epoll_is_a_start(
-    refusals: Refusals, pair: tuple[socket.socket, socket.socket]
-) -> None:
+def test_poller_starts_without_epoll(refusals: Refusals, pair: tuple[socket.socket, socket.socket]) -> None:
     refusals.left["create"], refusals.number = 1, errno.ENFILE
     poller, (ours, theirs) = Poller(), pair
     assert not poller.uses_epoll
@@ -154,7 +152,7 @@
     assert ready(poller, 1.0) == [(ours.fileno(), EVENT_READ)]
 
 
-def test_what_is_wrong_with_the_descriptor_is_told(pair: tuple[socket.socket, socket.socket]) -> None:
+def test_errors_of_the_descriptor_are_raised(pair: tuple[socket.socket, socket.socket]) -> None:
     poller, (ours, _) = Poller(), pair
     poller.register(ours, EVENT_READ)
     with pytest.raises(KeyError):
--- a/tests/transport/test_stream.py
+++ b/tests/transport/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams over a scripted socket: whatever its calls do, each byte goes once, in order, and nothing spins."""
+"""Streams over a scripted socket: whatever its calls return, each byte goes once, in order, no busy loop."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ScriptedSocket:
-    """Takes and gives what the next word of its script says: so many bytes, or an error below 0."""
+    """A socket whose calls follow a script: each entry is a number of bytes, data, or a negative errno."""
 
     def __init__(self) -> None:
         self.sending: list[int] = []
@@ -37,19 +37,19 @@
 
     def send(self, data: bytes) -> int:
         self.calls += 1
-        word = self.sending.pop(0) if self.sending else len(data)
-        if word < 0:
-            raise OSError(-word, "send")
-        self.taken += bytes(data[:word])
-        return min(word, len(data))
+        entry = self.sending.pop(0) if self.sending else len(data)
+        if entry < 0:
+            raise OSError(-entry, "send")
+        self.taken += bytes(data[:entry])
+        return min(entry, len(data))
 
     def recv_into(self, buffer: memoryview) -> int:
         self.calls += 1
-        word = self.receiving.pop(0) if self.receiving else -errno.EAGAIN
-        if isinstance(word, int):
-            raise OSError(-word, "recv")
-        buffer[: len(word)] = word
-        return len(word)
+        entry = self.receiving.pop(0) if self.receiving else -errno.EAGAIN
+        if isinstance(entry, int):
+            raise OSError(-entry, "recv")
+        buffer[: len(entry)] = entry
+        return len(entry)
 
     def shutdown(self, _: int) -> None:
         if self.shutting:
@@ -69,7 +69,7 @@
 
 
 class ScriptedLoop:
-    """Holds what is to be called; `turn` calls what a kernel that is always ready would."""
+    """Records callbacks; `run_once` runs one loop iteration in which every descriptor is ready."""
 
     def __init__(self) -> None:
         self.readers: dict[int, Callable[[], None]] = {}
@@ -94,14 +94,14 @@
         self.timers.append(timer)
         return timer
 
-    def call_soon(self, call: Callable[..., None], *words: Any) -> None:
-        self.soon.append((call, words))
+    def call_soon(self, call: Callable[..., None], *arguments: Any) -> None:
+        self.soon.append((call, arguments))
 
-    def turn(self) -> None:
-        """All that is ready, and all timers."""
+    def run_once(self) -> None:
+        """Call all pending callbacks, timers, readers and writers once."""
         soon, self.soon = self.soon, []
-        for call, words in soon:
-            call(*words)
+        for call, arguments in soon:
+            call(*arguments)
         timers, self.timers = self.timers, []
         for timer in timers:
             if not timer.cancelled:
@@ -110,13 +110,13 @@
             ready()
 
 
-class Told(StreamProtocol):
-    """Notes what it is told."""
+class RecordingProtocol(StreamProtocol):
+    """A protocol that records its calls."""
 
     def __init__(self) -> None:
         self.data = b""
         self.lost: list[Exception | None] = []
-        self.paused = self.held_up = 0
+        self.paused = self.out_of_memory_reads = 0
 
     def data_received(self, data: bytes) -> None:
         self.data += data
@@ -131,18 +131,18 @@
         self.paused -= 1
 
     def read_out_of_memory(self) -> None:
-        self.held_up += 1
+        self.out_of_memory_reads += 1
 
 
 class Scene:
     def __init__(self, option_error: int = 0) -> None:
-        self.socket, self.loop, self.told = ScriptedSocket(), ScriptedLoop(), Told()
+        self.socket, self.loop, self.protocol = ScriptedSocket(), ScriptedLoop(), RecordingProtocol()
         self.socket.option_error = option_error
-        self.stream = TcpStream(cast(Any, self.loop), cast(Any, self.socket), self.told)
+        self.stream = TcpStream(cast(Any, self.loop), cast(Any, self.socket), self.protocol)
 
     def until_quiet(self) -> None:
         for _ in range(200):
-            self.loop.turn()
+            self.loop.run_once()
 
 
 steps = st.one_of(
@@ -159,25 +159,25 @@
 def test_each_byte_is_sent_once_and_what_is_unsent_are_always_the_last_bytes(
     writes: list[bytes], script: list[int], high: int
 ) -> None:
-    """It takes the place of the test of `Unsent`, which counted along what now the stream itself keeps."""
-    scene, whole = Scene(), b""
+    """The stream counts its unsent bytes itself; an earlier version had a class `Unsent` for this."""
+    scene, expected = Scene(), b""
     scene.stream.set_write_buffer_limits(high=high)
     scene.socket.sending = script
     for data in writes:
-        whole += data
+        expected += data
         scene.stream.write(data)
-        assert scene.socket.taken + scene.stream.unsent == whole
+        assert scene.socket.taken + scene.stream.unsent == expected
         assert scene.stream.get_write_buffer_size() == len(scene.stream.unsent)
-        assert scene.told.paused == (1 if scene.told.paused else 0)
-        if len(whole) % 3 == 0:
-            scene.loop.turn()
-            assert scene.socket.taken + scene.stream.unsent == whole
+        assert scene.protocol.paused == (1 if scene.protocol.paused else 0)
+        if len(expected) % 3 == 0:
+            scene.loop.run_once()
+            assert scene.socket.taken + scene.stream.unsent == expected
     scene.until_quiet()
-    assert scene.socket.taken == whole
+    assert scene.socket.taken == expected
     assert not scene.stream.unsent
-    assert not scene.told.paused
-    assert not scene.loop.writers, "nothing is watched that is not waited for"
-    assert not scene.told.lost
+    assert not scene.protocol.paused
+    assert not scene.loop.writers, "no writer is registered without unsent bytes"
+    assert not scene.protocol.lost
 
 
 @given(
@@ -192,10 +192,12 @@
     scene = Scene()
     scene.socket.receiving = list(script)
     for _ in range(2 * len(script) + 1):
-        scene.loop.turn()
-    assert scene.told.data == b"".join(word for word in script if isinstance(word, bytes))
-    assert scene.told.held_up == sum(word in (-errno.ENOBUFS, -errno.ENOMEM) for word in script)
-    assert not scene.told.lost
+        scene.loop.run_once()
+    assert scene.protocol.data == b"".join(entry for entry in script if isinstance(entry, bytes))
+    assert scene.protocol.out_of_memory_reads == sum(
+        entry in (-errno.ENOBUFS, -errno.ENOMEM) for entry in script
+    )
+    assert not scene.protocol.lost
 
 
 @pytest.mark.parametrize("number", SHORTAGES)
@@ -206,9 +208,9 @@
     scene.stream.write(b"answer")
     pauses = []
     while scene.loop.timers:
-        assert not scene.loop.writers, "a watch would make the call again at once"
+        assert not scene.loop.writers, "a registered writer would repeat the call at once"
         pauses.append(scene.loop.timers[0].delay)
-        scene.loop.turn()
+        scene.loop.run_once()
     assert scene.socket.taken == b"answer"
     assert pauses == sorted(pauses)
     assert len(pauses) == 9
@@ -220,27 +222,27 @@
     scene = Scene()
     scene.socket.sending = [3, -number]
     scene.stream.write(b"answer")
-    scene.loop.turn()
+    scene.loop.run_once()
     assert scene.stream.is_closing()
-    assert scene.stream.unsent == b"wer", "until the protocol is told"
+    assert scene.stream.unsent == b"wer", "until connection_lost is called"
     scene.until_quiet()
-    assert [cast(OSError, error).errno for error in scene.told.lost] == [number]
+    assert [cast(OSError, error).errno for error in scene.protocol.lost] == [number]
     assert scene.socket.closed
     assert not scene.loop.readers
     assert not scene.loop.writers
 
 
-def test_half_an_answer_ten_shortages_and_the_client_s_end() -> None:
+def test_reset_after_half_an_answer_and_ten_shortages_ends_the_stream_once() -> None:
     scene = Scene()
     scene.socket.sending = [3, *[-errno.ENOBUFS] * 10, -errno.ECONNRESET]
     scene.stream.write(b"answer")
     scene.until_quiet()
     assert scene.socket.taken == b"ans", "no byte twice"
-    assert [cast(OSError, error).errno for error in scene.told.lost] == [errno.ECONNRESET]
+    assert [cast(OSError, error).errno for error in scene.protocol.lost] == [errno.ECONNRESET]
     assert not [timer for timer in scene.loop.timers if not timer.cancelled]
 
 
-def test_streams_that_rest_have_no_timer() -> None:
+def test_idle_streams_have_no_timer() -> None:
     scene = Scene()
     scene.socket.receiving = [b"request"]
     scene.loop.readers[7]()
@@ -282,30 +284,30 @@
     scene.stream.close()
     scene.until_quiet()
     assert scene.socket.taken == b"answer"
-    assert scene.told.lost == [None]
+    assert scene.protocol.lost == [None]
     assert scene.socket.closed
 
 
-def test_a_pause_within_a_held_up_read_stays_a_pause() -> None:
+def test_reading_paused_during_a_memory_shortage_stays_paused() -> None:
     scene = Scene()
     scene.socket.receiving = [-errno.ENOMEM, b"more"]
-    scene.loop.turn()
+    scene.loop.run_once()
     scene.stream.pause_reading()
     scene.until_quiet()
-    assert scene.told.data == b""
+    assert scene.protocol.data == b""
     scene.stream.resume_reading()
-    scene.loop.turn()
-    assert scene.told.data == b"more"
+    scene.loop.run_once()
+    assert scene.protocol.data == b"more"
 
 
 def test_nothing_is_left_of_a_stream_that_is_aborted_while_calls_are_to_be_made_again() -> None:
     scene = Scene()
     scene.socket.sending, scene.socket.receiving = [-errno.ENOBUFS], [-errno.ENOMEM]
     scene.stream.write(b"answer")
-    scene.loop.turn()
+    scene.loop.run_once()
     scene.stream.abort()
     calls = scene.socket.calls
     scene.until_quiet()
     assert scene.socket.calls == calls
-    assert scene.told.lost == [None]
+    assert scene.protocol.lost == [None]
     assert scene.socket.closed
