--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -30,7 +30,7 @@
 from saltport.handover.record import ConnectionRecord, RecordError, Value, decode
 from saltport.messages import Answers, ClientDialect, Malformed, Message, Ping, Request
 from saltport.transport.readiness import Readiness
-from saltport.transport.stream import READ_SIZE, StreamProtocol, TcpStream
+from saltport.transport.stream import READ_SIZE_BYTES, StreamProtocol, TcpStream
 
 if TYPE_CHECKING:
     from saltport.downstream.access_log import AccessLog
@@ -210,7 +210,7 @@
         received = times.prompt(now, _least_timeout_ms(commands))
         if received is None:
             is_last = len(commands) == 1 and not reader.need
-            received = times.read(now, emptied=len(data) < READ_SIZE, is_last=is_last)
+            received = times.read(now, emptied=len(data) < READ_SIZE_BYTES, is_last=is_last)
         for message, answers in commands:
             reply = Reply(self, answers)
             if self._reserved:
--- a/saltport/transport/poller.py
+++ b/saltport/transport/poller.py
@@ -39,7 +39,7 @@
 
     @property
     def uses_epoll(self) -> bool:
-        """Whether epoll is in use; False while the poller falls back to poll(2)."""
+        """Whether epoll is in use; False while poll(2) is used instead."""
         return self._epoll is not None
 
     def register(self, fileobj: FileObject, events: int, data: Any = None) -> SelectorKey:
--- a/saltport/transport/shortage.py
+++ b/saltport/transport/shortage.py
@@ -21,9 +21,9 @@
 async def retry_on_shortage(
     attempt: Callable[[], T], timeout_s: float, errors: Collection[int] = RESOURCE_ERRORS
 ) -> T:
-    """Call `attempt` until it fails with none of `errors`, and return its result.
+    """Call `attempt` again while it fails with one of `errors`, and return its result.
 
-    Raises the last error after `timeout_s`.
+    Raises the last error after `timeout_s`, and any other error at once.
     """
     give_up_at = time.monotonic() + timeout_s
     while True:
--- a/saltport/transport/stream.py
+++ b/saltport/transport/stream.py
@@ -15,8 +15,8 @@
 
 from saltport.transport import shortage
 
-READ_SIZE = 256 << 10  # bytes that one read returns at most: a shorter read has emptied the kernel's buffer
-HIGH_WATER = 64 << 10  # default for the unsent bytes above which the protocol is paused
+READ_SIZE_BYTES = 256 << 10  # most that one read returns; a shorter read has emptied the kernel's buffer
+HIGH_WATER_BYTES = 64 << 10  # default limit of unsent data above which the protocol is paused
 FIRST_RETRY_PAUSE_S, MAX_RETRY_PAUSE_S = 0.004, 0.032
 """Pauses before a failed call is repeated: the first one, and the limit of their doubling."""
 
@@ -39,7 +39,7 @@
     """The read buffer that all streams of a thread share; a read ends before the next begins."""
 
     def __init__(self) -> None:
-        self.view = memoryview(bytearray(READ_SIZE))
+        self.view = memoryview(bytearray(READ_SIZE_BYTES))
 
 
 _read_buffer = _ReadBuffer()
@@ -63,7 +63,7 @@
         self._protocol = protocol
         self._buffer = _read_buffer.view
         self._unsent = bytearray()
-        self._high, self._low = HIGH_WATER, HIGH_WATER // 4
+        self._high, self._low = HIGH_WATER_BYTES, HIGH_WATER_BYTES // 4
         self._protocol_paused = self._closing = self._lost = self._eof_requested = False
         self._reading = True
         self.is_out_of_memory = False
@@ -110,7 +110,7 @@
             if error.errno in _RETRIABLE:
                 self._read_later(error.errno in shortage.RESOURCE_ERRORS)
             else:
-                self._fail(error)
+                self._force_close(error)
             return
         self._read_pause_s, self.is_out_of_memory = 0.0, False
         try:
@@ -120,7 +120,7 @@
                 self._handle_eof()
         except Exception as error:
             log.exception("a connection's protocol raised an exception")
-            self._fail(error)
+            self._force_close(error)
 
     def _read_later(self, is_out_of_memory: bool) -> None:
         """Retry a read after a pause.
@@ -201,7 +201,7 @@
         except OSError as error:
             if error.errno in _RETRIABLE:
                 return None
-            self._fail(error)
+            self._force_close(error)
             return 0
 
     def _write_later(self) -> None:
@@ -246,13 +246,13 @@
             self._protocol.resume_writing()
         if not self._unsent and not self._lost:
             if self._closing:
-                self._fail(None)
+                self._force_close(None)
             elif self._eof_requested:
                 self._shut_down()
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
         """Set the numbers of unsent bytes at which the protocol is paused and resumed."""
-        self._high = HIGH_WATER if high is None else high
+        self._high = HIGH_WATER_BYTES if high is None else high
         self._low = self._high // 4 if low is None else low
 
     def get_write_buffer_size(self) -> int:
@@ -306,13 +306,13 @@
             self._closing = True
             self._stop_reading()
             if not self._unsent:
-                self._fail(None)
+                self._force_close(None)
 
     def abort(self) -> None:
         """Close at once; unsent bytes are dropped."""
-        self._fail(None)
+        self._force_close(None)
 
-    def _fail(self, error: Exception | None) -> None:
+    def _force_close(self, error: Exception | None) -> None:
         if self._lost:
             return
         self._closing = self._lost = True
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -163,9 +163,7 @@
         self._late_timer: asyncio.TimerHandle | None = None
         self._half_sent_timer: asyncio.TimerHandle | None = None
         self._unread_since_ns = 0
-        self._counts_as_send = (
-            0  # 1 for an attempt, which is counted once the kernel has its last byte, else 0
-        )
+        self._counts_as_send = 0  # 1 for an attempt, which counts once the kernel has its last byte
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport; its write limit of 0 shows exactly whether the kernel has taken every byte."""
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -166,12 +166,9 @@
                 server.queue.appendleft(exchange)
                 self._retry_after_pause(server)
                 break
-        if (
-            self._descriptor_count >= self.limit
-            and (waiting_server := self._next_waiting_for_descriptor()) is not None
-        ):
+        if self._descriptor_count >= self.limit and (waiting := self._pop_waiting_server()) is not None:
             self._close_and_free(connection)
-            self._dial_for(waiting_server)
+            self._dial_for(waiting)
             return
         # Danger: without this time every connection counts as too old, and each request dials a new one.
         connection.idle_since = self.loop.time()
@@ -205,13 +202,10 @@
         Danger: if only the sweep did this, a router at its descriptor limit would dial too few times in each
         SWEEP_INTERVAL_S, and its other requests would reach their deadlines.
         """
-        if (
-            self._waiting_for_descriptor
-            and (waiting_server := self._next_waiting_for_descriptor()) is not None
-        ):
-            self._dial_for(waiting_server)
+        if self._waiting_for_descriptor and (waiting := self._pop_waiting_server()) is not None:
+            self._dial_for(waiting)
 
-    def _next_waiting_for_descriptor(self) -> Server | None:
+    def _pop_waiting_server(self) -> Server | None:
         """Remove and return the first server that lacks a descriptor and still has more queued than dials."""
         while self._waiting_for_descriptor:
             server = next(iter(self._waiting_for_descriptor))
