--- a/saltport/downstream/acceptors.py
+++ b/saltport/downstream/acceptors.py
@@ -73,7 +73,7 @@
         sent on them are lost.
         """
         for acceptor in list(self._acceptors):
-            if self._listener_is_shared or acceptor.accept_rest():
+            if self._listener_is_shared or acceptor.accept_pending():
                 acceptor.close()
                 self._acceptors.remove(acceptor)
 
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -35,7 +35,7 @@
 from saltport.handover.record import ConnectionRecord, PartialValue, RecordError, decode
 from saltport.messages import Answers, ClientDialect, Malformed, Message, Ping, Request
 from saltport.transport.readiness import Readiness
-from saltport.transport.stream import READ_SIZE, StreamProtocol, TcpStream
+from saltport.transport.stream import READ_SIZE_BYTES, StreamProtocol, TcpStream
 
 if TYPE_CHECKING:
     from saltport.downstream.access_log import AccessLog
@@ -227,7 +227,7 @@
         received = times.estimate_from_loop(now, _shortest_timeout_ms(commands))
         if received is None:
             is_last = len(commands) == 1 and not reader.need
-            received = times.record_read(now, emptied=len(data) < READ_SIZE, is_last=is_last)
+            received = times.record_read(now, emptied=len(data) < READ_SIZE_BYTES, is_last=is_last)
         for message, answers in commands:
             reply = Reply(self, answers)
             if self._reserved:
@@ -330,7 +330,7 @@
             self._mark_closed(CloseReason.ALL_ANSWERED)
             self.server.lingering.add(self.transport)
 
-    def read_held_up(self) -> None:
+    def read_out_of_memory(self) -> None:
         """Record that a read failed for lack of memory, so that the data ages in the kernel meanwhile."""
         self._receive_times.read_delayed(time.monotonic_ns())
 
@@ -378,7 +378,7 @@
 
     @property
     def _read_is_delayed(self) -> bool:
-        return self.transport is not None and self.transport.is_held_up
+        return self.transport is not None and self.transport.is_out_of_memory
 
     @property
     def awaits_first_request(self) -> bool:
@@ -499,7 +499,7 @@
 
     def client_has_left(self) -> bool:
         """Whether the kernel reports that the client ended or reset the connection."""
-        return self._hangup_poll is not None and self._hangup_poll.now()
+        return self._hangup_poll is not None and self._hangup_poll.is_ready()
 
     def client_left(self) -> None:
         """Close the connection: its client disconnected while reading was paused."""
@@ -557,7 +557,7 @@
         assert self.transport is not None
         if not self.idle or self.awaits_first_request or unacknowledged_bytes(self.transport):
             return False
-        return not Readiness(self.transport.get_extra_info("socket"), select.POLLIN).now()
+        return not Readiness(self.transport.get_extra_info("socket"), select.POLLIN).is_ready()
 
 
 def _shortest_timeout_ms(commands: Sequence[tuple[Message, Answers]]) -> int:
--- a/saltport/downstream/paused_reads.py
+++ b/saltport/downstream/paused_reads.py
@@ -6,7 +6,7 @@
 import select
 from typing import Protocol
 
-from saltport.transport.readiness import ready_now
+from saltport.transport.readiness import poll_now
 
 # Nothing may be sent for a client 0.1 s after it disconnected: one interval, and as much again for loop lag.
 POLL_INTERVAL_S = 0.04
@@ -56,7 +56,7 @@
             if descriptor >= 0:
                 by_descriptor[descriptor] = connection
                 poller.register(descriptor, select.POLLRDHUP)
-        for descriptor, events in ready_now(poller) or ():
+        for descriptor, events in poll_now(poller) or ():
             if events & _HANGUP_EVENTS:
                 by_descriptor[descriptor].client_left()
         if self._connections and self._timer is None:
--- a/saltport/downstream/receive_times.py
+++ b/saltport/downstream/receive_times.py
@@ -143,4 +143,4 @@
 
 def _nothing_unread(sock: Socket) -> bool:
     """Whether no data has arrived since the last read."""
-    return not Readiness(sock, select.POLLIN).now()
+    return not Readiness(sock, select.POLLIN).is_ready()
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -34,7 +34,7 @@
 from saltport.router.config import Config, ConfigError, ConfigUnreadError, reload_config
 from saltport.router.features import MemcachedFeatures
 from saltport.router.host import RouterHost
-from saltport.transport.shortage import outlast
+from saltport.transport.shortage import retry_on_shortage
 from saltport.upstream.pool import Pool
 
 if TYPE_CHECKING:
@@ -83,7 +83,7 @@
         dial, idle = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
         self._pool = Pool(loop, descriptors - for_clients, dial, idle)
         self._host = RouterHost(loop, config.settings, config.seed, self._pool, config.max_open)
-        self._pool.touched = self._host.touched
+        self._pool.on_event = self._host.touched
         self._memcached = _memcached(config.memcached) if config.memcached.on else None
         budget = int(config.memory * BUDGET_SHARE)
         self._clients = ClientServer(loop, self._host, self._dialect(), for_clients, budget)
@@ -145,12 +145,12 @@
             from saltport.admin.listener import AdminListener  # only where operators call
 
             admin = AdminListener(self)
-            await outlast(partial(admin.listen, config.admin), START_PATIENCE_S)
+            await retry_on_shortage(partial(admin.listen, config.admin), START_PATIENCE_S)
         if config.listen_fd is None:
-            await outlast(partial(self._clients.listen, config.listen), START_PATIENCE_S)
+            await retry_on_shortage(partial(self._clients.listen, config.listen), START_PATIENCE_S)
         if self._memcached is not None and config.memcached.listen:
             address = parse_address("memcached.listen", config.memcached.listen)
-            await outlast(partial(self._clients.listen, address, self._memcached), START_PATIENCE_S)
+            await retry_on_shortage(partial(self._clients.listen, address, self._memcached), START_PATIENCE_S)
         log.info("listening, after %.2f s of processor time", time.process_time())
         if not config.settings.must_subscribe:
             self._discovery.start()
@@ -182,7 +182,7 @@
 
     async def _stand_beside(self, descriptor: int) -> None:
         """Accept at the platform's socket, beside the process before this one, once it is of use."""
-        listener = await outlast(partial(_listening, descriptor), START_PATIENCE_S)
+        listener = await retry_on_shortage(partial(_listening, descriptor), START_PATIENCE_S)
         if self._takeover is not None:
             await self._takeover.open()
         self._follow_bans()
@@ -209,7 +209,7 @@
         """Another process of this router has come or gone."""
         assert self._takeover is not None
         log.info("another process of this router %s", "runs beside" if self._takeover.shared else "has ended")
-        self._pool.share(self._takeover.shared)
+        self._pool.set_shared(self._takeover.shared)
 
     # The list of servers
 
@@ -223,7 +223,7 @@
         except ValueError as error:
             log.warning("known: %s; the router starts without it", error)
             return None
-        self._discovery.hold(told, known.generation)
+        self._discovery.set_known_list(told, known.generation)
         return known
 
     def _take(self, listing: Listing) -> None:
@@ -231,7 +231,7 @@
             self._has_list = True
             log.info("the first list has come: generation %d", listing.generation)
         self._host.servers_changed(listing)
-        self._host.ready = self._host.ready or not listing.more
+        self._host.ready = self._host.ready or not listing.has_more
 
     def _make_do(self) -> None:
         self._host.ready = True
@@ -255,7 +255,7 @@
             "shared": self._takeover is not None and self._takeover.shared,
             "taken_over": self._takeover.taken if self._takeover is not None else 0,
             "servers_may_hold": self._pool.limit,
-            "late": self._pool.late,
+            "late": self._pool.late_connection_count,
         }
         known = {"generation": self._discovery.generation, "peers": self.peers(), "owners": self.owners()}
         return {**about, **now, **known, **self._host.view()}
@@ -388,11 +388,11 @@
             log.warning("of the new configuration this waits for a restart: %s", ", ".join(plan.waits))
         if plan.retunes:
             self._host.retune(plan.config.settings)
-            self._discovery.ask_within(plan.config.settings.ask_within / NS_PER_S)
+            self._discovery.set_ask_within(plan.config.settings.ask_within / NS_PER_S)
         if plan.rekeys and self._peers is not None and plan.config.peers is not None:
             self._peers.use_keys(plan.config.peers.keys)
         if plan.moves:
-            self._discovery.move(plan.config.discovery)
+            self._discovery.change_address(plan.config.discovery)
 
 
 def _owners_link(
--- a/tests/crossings/test_broken_answers.py
+++ b/tests/crossings/test_broken_answers.py
@@ -14,7 +14,7 @@
 
 from saltport.decisions import CacheStatus, Outcome
 from saltport.messages import Request, ValueSource
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.connection import Connection, Exchange
 from saltport.upstream.http import OriginConnection
 from saltport.upstream.pool import Pool
@@ -103,7 +103,7 @@
     def value_started(self, length: int, source: ValueSource) -> None:
         self.parts.append(b"")
 
-    def value_came(self, data: bytes) -> None:
+    def value_received(self, data: bytes) -> None:
         self.parts.append(data)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
@@ -137,7 +137,7 @@
     remaining = iter(answers)
     peer = Peer(answer, is_http=connect is not CacheConnection)
     try:
-        return on_router_loop(read_all())
+        return run_on_router_loop(read_all())
     finally:
         peer.close()
 
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -21,7 +21,7 @@
 from saltport.downstream.resp import RespDialect
 from saltport.downstream.unacknowledged import STALL_TIMEOUT_S
 from saltport.messages import Request
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from tests.sockets import TIMEOUT_S, bulk, get
 
 LIMIT = 3
@@ -115,7 +115,7 @@
         server.close()
         await asyncio.sleep(0)
 
-    on_router_loop(run())
+    run_on_router_loop(run())
 
 
 def test_idle_close_during_a_request_ends_cleanly_without_executing_it() -> None:
--- a/tests/crossings/test_disconnected_clients.py
+++ b/tests/crossings/test_disconnected_clients.py
@@ -13,7 +13,7 @@
 import pytest
 
 from saltport.downstream.clients import MAX_PIPELINE
-from saltport.upstream.pool import PER_SERVER
+from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER
 from tests.sockets import (
     MISS,
     TIMEOUT_S,
@@ -69,8 +69,8 @@
 def fill(router: RunningRouter, cache: DelayedCache) -> Client:
     """Occupy all connections to the only server with requests; return their client."""
     busy = router.client()
-    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
-    eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are in use")
+    busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(MAX_CONNECTIONS_PER_SERVER)))
+    eventually(lambda: len(cache.peer.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are in use")
     return busy
 
 
@@ -82,13 +82,15 @@
     with run_router(tmp_path, {"s1": cache.peer}) as router:
         busy, disconnecting, staying = fill(router, cache), router.client(), router.client()
         disconnecting.send(get("gone1", "g", LONG_MS))
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         staying.send(get("stays", "s", LONG_MS))
-        router.until("current", PER_SERVER + 2)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 2)
         disconnect(disconnecting)
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         cache.let_go.set()
-        assert [busy.answer() for _ in range(PER_SERVER)] == [b"busy%d" % i for i in range(PER_SERVER)]
+        assert [busy.answer() for _ in range(MAX_CONNECTIONS_PER_SERVER)] == [
+            b"busy%d" % i for i in range(MAX_CONNECTIONS_PER_SERVER)
+        ]
         assert staying.answer() == b"stays", "the request queued after the cancelled one is served"
         assert cache.received_from("gone") == []
 
@@ -102,13 +104,13 @@
         disconnecting = router.client()
         many = MAX_PIPELINE + 10  # beyond this limit the router stops reading until it has answered
         disconnecting.send(b"".join(get(f"gone{i}", f"g{i}", LONG_MS) for i in range(many)))
-        eventually(lambda: len(cache.peer.seen) == PER_SERVER, "all connections are in use")
+        eventually(lambda: len(cache.peer.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are in use")
         disconnect(disconnecting)
         router.until("current", 0)
         cache.let_go.set()
         other = router.client()
         assert other.ask(get("other")) == b"other"
-        assert len(cache.received_from("gone")) == PER_SERVER
+        assert len(cache.received_from("gone")) == MAX_CONNECTIONS_PER_SERVER
 
 
 def test_fetch_continues_for_waiting_clients_after_its_first_client_disconnects(tmp_path: Path) -> None:
@@ -137,15 +139,15 @@
     cache, origin = Peer(lambda _, words: MISS), delayed_origin(let_go)
     with run_router(tmp_path, {"s1": cache}, origin) as router:
         busy, leader, waiter = router.client(), router.client(), router.client()
-        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(PER_SERVER)))
-        eventually(lambda: len(origin.seen) == PER_SERVER, "all connections are in use")
+        busy.send(b"".join(get(f"busy{i}", f"b{i}", LONG_MS) for i in range(MAX_CONNECTIONS_PER_SERVER)))
+        eventually(lambda: len(origin.seen) == MAX_CONNECTIONS_PER_SERVER, "all connections are in use")
         leader.send(get("leader", "k", LONG_MS))
-        eventually(lambda: len(cache.seen) == PER_SERVER + 1, "the leader's miss")
+        eventually(lambda: len(cache.seen) == MAX_CONNECTIONS_PER_SERVER + 1, "the leader's miss")
         waiter.send(get("waiter", "k", LONG_MS))
-        eventually(lambda: len(cache.seen) == PER_SERVER + 2, "the waiter's miss")
-        router.until("current", PER_SERVER + 2)
+        eventually(lambda: len(cache.seen) == MAX_CONNECTIONS_PER_SERVER + 2, "the waiter's miss")
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 2)
         leader.close()
-        router.until("current", PER_SERVER + 1)
+        router.until("current", MAX_CONNECTIONS_PER_SERVER + 1)
         let_go.set()
         assert waiter.answer() == b"k"
         assert not [m for m in origin.seen if b"Request-Id: leader" in m[2]]
--- a/tests/crossings/test_discovery.py
+++ b/tests/crossings/test_discovery.py
@@ -105,7 +105,7 @@
     async def _with_the_time_out(self, target: str, wait_s: float, writer: asyncio.StreamWriter) -> None:
         """Answer in the loop iteration in which the call times out."""
         loop = asyncio.get_running_loop()
-        call_s = wait_s + registry.SLACK_S if wait_s else self.full_list_s
+        call_s = wait_s + registry.ROUND_TRIP_S if wait_s else self.full_list_s
         due = loop.time() + call_s
         if self.answer_first:
             await asyncio.sleep(call_s - ROUND_S)
@@ -158,11 +158,11 @@
 
 def test_sum_of_call_times_is_within_the_allowed_delay() -> None:
     r = registry
-    calls = 2 * (r.RETRY_S + r.CALL_S)
-    assert r.PUSHED_WAIT_S + r.SLACK_S + calls + r.LATE_S <= r.TERM_S
-    assert r.SLACK_S + r.CALL_S + r.LATE_S <= r.SILENT_S + 1e-9
-    assert r.AGAIN_S + r.ASKED_CALL_S + r.LATE_S <= r.TERM_S
-    assert r.RETRY_S < 0.2, "otherwise a watch would not continue"
+    calls = 2 * (r.RETRY_DELAY_S + r.CALL_TIMEOUT_S)
+    assert r.PUSHED_WAIT_S + r.ROUND_TRIP_S + calls + r.LOOP_DELAY_S <= r.MAX_CHANGE_DELAY_S
+    assert r.ROUND_TRIP_S + r.CALL_TIMEOUT_S + r.LOOP_DELAY_S <= r.SILENT_WATCH_MARGIN_S + 1e-9
+    assert r.RETRY_INTERVAL_S + r.SUBSCRIBED_CALL_TIMEOUT_S + r.LOOP_DELAY_S <= r.MAX_CHANGE_DELAY_S
+    assert r.RETRY_DELAY_S < 0.2, "otherwise a watch would not continue"
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["pushed", "asked"])
@@ -184,9 +184,9 @@
         # From the start of the last failing call, any other call would succeed.
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        allowed = peer.failed_at + registry.TERM_S
+        allowed = peer.failed_at + registry.MAX_CHANGE_DELAY_S
         if before[-1] == "hangs":
-            allowed = max(allowed, peer.wait_ended_at + registry.SILENT_S if asked else 0.0)
+            allowed = max(allowed, peer.wait_ended_at + registry.SILENT_WATCH_MARGIN_S if asked else 0.0)
         assert follower.received_at["new"] <= allowed + ROUND_S
         follower.discovery.close()
 
@@ -209,7 +209,7 @@
         peer.change()
         changed_at = follower.loop.time()
         await asyncio.wait_for(follower.new.wait(), 100)
-        assert follower.received_at["new"] <= changed_at + registry.TERM_S
+        assert follower.received_at["new"] <= changed_at + registry.MAX_CHANGE_DELAY_S
         follower.discovery.close()
 
     run_scenario(scenario())
@@ -236,9 +236,9 @@
             follower.received_at.clear()
             peer.change()
             await asyncio.wait_for(follower.new.wait(), 100)
-            allowed = recovered_at + registry.TERM_S
+            allowed = recovered_at + registry.MAX_CHANGE_DELAY_S
             if how == "hangs" and asked:
-                allowed = max(allowed, peer.wait_ended_at + registry.SILENT_S)
+                allowed = max(allowed, peer.wait_ended_at + registry.SILENT_WATCH_MARGIN_S)
             assert follower.received_at["new"] <= allowed + ROUND_S
             await asyncio.sleep(3.0)
         follower.discovery.close()
@@ -253,7 +253,7 @@
         follower.discovery.start()
         await asyncio.sleep(0.5)
         peer.change()
-        await asyncio.sleep(registry.TERM_S)
+        await asyncio.sleep(registry.MAX_CHANGE_DELAY_S)
         assert "new" in follower.received_at
         assert "old" not in follower.received_at, (
             "the answer of the slow call is older than that of a later call"
@@ -274,7 +274,8 @@
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
         assert (
-            follower.received_at["new"] <= peer.wait_ended_at + registry.SILENT_S - registry.LATE_S + ROUND_S
+            follower.received_at["new"]
+            <= peer.wait_ended_at + registry.SILENT_WATCH_MARGIN_S - registry.LOOP_DELAY_S + ROUND_S
         )
         assert follower.failures == 0, (
             "the next call starts at once; the decision module's pause is only for failures"
@@ -320,7 +321,7 @@
         while len(first.calls) < 2 + (not watching) * (not asked):
             await asyncio.sleep(0.05)
         moved = follower.loop.time()
-        follower.discovery.move(("127.0.0.1", port))
+        follower.discovery.change_address(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
         assert follower.received_at["new"] - moved <= ROUND_S
         assert second.calls[0][1] == registry.LIST_PATH
@@ -340,9 +341,9 @@
         while not follower.received_at:
             await asyncio.sleep(0)
         assert len(follower.received_at) < 2000, "the list is only partly applied"
-        follower.discovery.move(("127.0.0.1", port))
+        follower.discovery.change_address(("127.0.0.1", port))
         await asyncio.wait_for(follower.new.wait(), 100)
-        applied = follower.discovery._steps._held
+        applied = follower.discovery._steps._known_entries
         assert sorted(applied) == sorted(["new", *(f"s{i}" for i in range(1000, 3000))])
         follower.discovery.close()
 
@@ -392,14 +393,14 @@
     async def scenario() -> None:
         peer = ScriptedDiscovery([*["goes well"] * watching, "comes with the time-out"])
         peer.answer_first = answer_first
-        peer.full_list_s = registry.ASKED_CALL_S if asked else registry.CALL_S
+        peer.full_list_s = registry.SUBSCRIBED_CALL_TIMEOUT_S if asked else registry.CALL_TIMEOUT_S
         follower = Follower(await peer.listen(), asked, 1)
         (follower.discovery.subscribe if asked else follower.discovery.start)()
         while len(peer.calls) < 1 + watching:
             await asyncio.sleep(0.05)
         peer.change()
         await asyncio.wait_for(follower.new.wait(), 100)
-        call_s = registry.SLACK_S if watching or asked else peer.full_list_s
+        call_s = registry.ROUND_TRIP_S if watching or asked else peer.full_list_s
         timed_out_at = peer.wait_ended_at + call_s
         assert follower.received_at["new"] <= timed_out_at + 10 * ROUND_S, "the late answer is used"
         assert follower.discovery.generation == peer.generation
@@ -425,7 +426,9 @@
             super().__init__()
             LateCall.count += 1
             if LateCall.count == 1:
-                advance_time(ASK_WITHIN_S + registry.ASKED_CALL_S)  # longer than any call may take
+                advance_time(
+                    ASK_WITHIN_S + registry.SUBSCRIBED_CALL_TIMEOUT_S
+                )  # longer than any call may take
 
     async def scenario() -> None:
         peer = ScriptedDiscovery([])
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -28,7 +28,7 @@
 from saltport.messages import Request
 from saltport.router.host import RouterHost
 from saltport.transport.dialing import dial
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.transport.stream import TcpStream
 from saltport.upstream.pool import Pool
 from tests.sockets import TIMEOUT_S, Peer, hit, http_answer, reset
@@ -99,7 +99,7 @@
         pool = Pool(asyncio.get_running_loop(), 64, TIMEOUT_S, TIMEOUT_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
-        pool.touched = host.touched
+        pool.on_event = host.touched
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
             async with asyncio.timeout(TIMEOUT_S):
@@ -108,7 +108,7 @@
         await asyncio.sleep(0)
 
     try:
-        on_router_loop(run())
+        run_on_router_loop(run())
     finally:
         for peer in peers.values():
             peer.close()
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -27,7 +27,7 @@
 from saltport.downstream.resp import RespDialect
 from saltport.membership.listing import Listing
 from saltport.router.host import RouterHost
-from saltport.transport.loop import on_router_loop
+from saltport.transport.loop import run_on_router_loop
 from saltport.upstream.pool import Pool
 from tests.sockets import TIMEOUT_S, Client, Peer, eventually, get, hit, run_router
 
@@ -84,7 +84,7 @@
         loop = asyncio.get_running_loop()
         pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, Settings(classes=CLASSES), 1, pool, 1000)
-        pool.touched, host.ready = host.touched, True
+        pool.on_event, host.ready = host.touched, True
         addresses = {"s1": ("127.0.0.1", cache.port)}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, (Server("s1"),)), addresses))
         clients = ClientServer(loop, host, RespDialect, 64, 1 << 20)
@@ -97,7 +97,7 @@
 
     cache = Peer(serve)
     try:
-        on_router_loop(run())
+        run_on_router_loop(run())
     finally:
         cache.close()
 
