--- a/saltport/__main__.py
+++ b/saltport/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m saltport` is the command line; a router alone is `python -m saltport.router`."""
+"""Entry point of the command line, `python -m saltport`; `python -m saltport.router` runs only a router."""
 
 from saltport.cli import main
 
--- a/saltport/address.py
+++ b/saltport/address.py
@@ -1,4 +1,4 @@
-"""Addresses as the project writes them: a host and a port."""
+"""Network addresses: a host and a port."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def parse_address(where: str, text: Any) -> Address:
-    """Split HOST:PORT; raises ValueError in one plain line."""
+    """Parse HOST:PORT; raises ValueError with one line of text that names `where`, the setting."""
     host, _, port = text.rpartition(":") if isinstance(text, str) else ("", "", "")
     if not host or not port.isdecimal() or not 0 < int(port) < 65536:
         raise ValueError(f"{where}: expected HOST:PORT, got {text!r}")
--- a/saltport/messages.py
+++ b/saltport/messages.py
@@ -1,4 +1,4 @@
-"""The neutral request: what clients' dialects read into, and what nodes' and origins' dialects write out."""
+"""Protocol-independent requests, which client dialects parse and server dialects encode."""
 
 from __future__ import annotations
 
@@ -6,34 +6,34 @@
 from typing import Protocol
 
 
-@dataclass(slots=True)  # not frozen: four times as dear to make
+@dataclass(slots=True)  # not frozen: creating a frozen one takes four times as long
 class Request:
-    """A client's request, whatever wire it came on."""
+    """A client's request, independent of the protocol that it arrived on."""
 
     id: bytes
-    """Plain ASCII; new with every request."""
+    """Request id in ASCII, unique for each request."""
     key: bytes
-    """Text in UTF-8 without spaces."""
+    """Cache key: UTF-8 text without spaces."""
     request_class: str
     tenant: str | None
     timeout_ms: int
-    """How long the client will wait, from when the request's last byte came."""
+    """How long the client waits for the answer, counted from the arrival of the request's last byte."""
     value: bytes | None
-    """What a write brings; None: a read."""
+    """The value to write; None for a read."""
     retry: bool
-    """Whether the client marked it as a retry of its own."""
+    """Whether the client marked the request as a retry."""
     info: bytes
-    """The list of names and values (`c`, `t`, `d`, `k`, ...) that goes on to nodes and the origin."""
+    """The list of names and values (`c`, `t`, `d`, `k`, ...) forwarded to cache servers and origin."""
 
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A client asks whether the router is ready."""
+    """A client's query whether the router is ready."""
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """A command that is no request, though the stream can be followed on; the text is for the client."""
+    """An invalid command after which the stream can still be parsed; `reason` is sent to the client."""
 
     reason: str
 
@@ -42,61 +42,64 @@
 
 
 class ValueSource(Protocol):
-    """Where the parts of a long value come from, as whoever takes them sees it."""
+    """A source of the parts of a long value, with flow control."""
 
     def pause(self) -> None:
-        """Pass no more on for now."""
+        """Stop delivering parts until `resume`."""
 
     def resume(self) -> None:
-        """Go on."""
+        """Continue to deliver parts."""
 
 
 class Answers(Protocol):
-    """How one command's reply is worded on its wire; a dialect gives one with each message."""
+    """Encodes the reply to one command in the client's protocol; a dialect returns one with each message."""
 
     def served(self, value: bytes) -> bytes:
-        """The whole reply with a value or a receipt."""
+        """Return the complete reply with a value or a write's receipt."""
 
     def head(self, length: int) -> bytes:
-        """The beginning of a reply whose value of this length comes in parts."""
+        """Return the beginning of a reply whose value of `length` bytes is sent in parts."""
 
     def tail(self) -> bytes:
-        """The end of such a reply."""
+        """Return the end of a reply whose value was sent in parts."""
 
     def refused(self, retry_after_ms: int) -> bytes:
-        """Not done, and trying again is harmless, after so many milliseconds where that is not 0."""
+        """Return the reply for a request that was not executed and may safely be retried.
+
+        `retry_after_ms`: how long the client should wait before a retry; 0: not stated.
+        """
 
     def failed(self) -> bytes:
-        """Failed; it promises nothing."""
+        """Return the reply for a failed request, which may or may not have been executed."""
 
     def rejected(self, reason: str) -> bytes:
-        """No request that can be taken; nothing of it was done."""
+        """Return the reply for an invalid request, of which nothing was executed."""
 
     def pong(self, ready: bool) -> bytes:
-        """Whether the router is ready."""
+        """Return the reply to a `Ping`, which states whether the router is ready."""
 
 
 class ClientDialect(Protocol):
-    """The reading side of one client's connection: bytes in, messages out, within bounds."""
+    """Parses the bytes of one client connection into messages, within size limits."""
 
     @property
     def need(self) -> int:
-        """Bytes that the command under way is known to need; 0 between commands."""
+        """Known size in bytes of the incomplete command; 0 between commands."""
 
     @property
     def broken(self) -> str:
-        """Why the stream can't be followed any further, once that is so."""
+        """Why the stream can't be parsed any further; empty while it can."""
 
     @property
     def name(self) -> str:
-        """By which another process finds the reader to go on with."""
+        """The dialect's name, by which another process that takes over the connection chooses its parser."""
 
     @property
     def held(self) -> bytes:
-        """The bytes of the command under way, for another reader to go on."""
+        """The bytes of the incomplete command, for another parser to continue with."""
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
-        """The commands that are now whole, up to a broken one if `broken` is set by it."""
+        """Return the commands that are now complete, the invalid one last if it sets `broken`."""
 
     def breaking(self) -> bytes:
-        """What the client is told before a broken stream is closed."""
+        """Return the error reply that is sent before a broken stream is closed."""
