--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -71,7 +71,7 @@
         path.write_bytes(_file(tenants, number))
         cpu, begun = time.process_time(), time.perf_counter()
         plan = plan_reload(held, reload_config(environ))
-        host.retune(plan.config.settings)
+        host.apply_settings(plan.config.settings)
         longest = max(longest, time.perf_counter() - begun)
         spent += time.process_time() - cpu
         if not plan.retunes:
--- a/saltport/deadline.py
+++ b/saltport/deadline.py
@@ -1,8 +1,8 @@
-"""Deadlines, and how closely the moment is known from which a client's time runs.
+"""Deadlines, and the uncertainty of the moment from which a client's time-out runs.
 
-All times are whole nanoseconds on the process's monotonic clock (`time.monotonic_ns`). A client's time begins
-when the last byte of its request comes; a process learns of it once it reads. In between the bytes lie in the
-kernel, for a time that has bounds: docs/design/crossings.md, "Time".
+All times are whole nanoseconds on the process's monotonic clock (`time.monotonic_ns`). A client's time-out
+starts when the last byte of its request arrives, but the process notices that only when it reads. The bytes
+wait in the kernel in between, for a bounded time: docs/design/crossings.md, "Time".
 """
 
 from __future__ import annotations
@@ -13,44 +13,48 @@
 NS_PER_MS = 1_000_000
 
 
-@dataclass(slots=True)  # not frozen: that takes twice as long to make, and each request has two
+@dataclass(slots=True)  # not frozen: creating a frozen one takes twice as long, and each request has two
 class Deadline:
-    """A moment by which something has to be over."""
+    """A point in time by which an operation must be finished."""
 
     at_ns: int
 
     def remaining_ms(self, now_ns: int) -> int:
-        """What is left, in whole milliseconds, rounded down as others are never told more; 0: too little."""
+        """Return the remaining time in whole milliseconds, or 0 if less than one is left.
+
+        Rounded down, so that a receiver never works beyond the deadline.
+        """
         left = (self.at_ns - now_ns) // NS_PER_MS
         return left if left > 0 else 0
 
     def expired(self, now_ns: int) -> bool:
-        """Whether it is over."""
+        """Whether the deadline has passed."""
         return now_ns >= self.at_ns
 
     def no_later_than(self, other: Deadline) -> Deadline:
-        """The earlier of the two."""
+        """Return the earlier of the two deadlines."""
         return self if self.at_ns <= other.at_ns else other
 
 
 NEVER = Deadline(sys.maxsize)
 
 
-@dataclass(slots=True)  # not frozen, as above
+@dataclass(slots=True)  # not frozen, like `Deadline`
 class Received:
-    """When a message's last byte came: not before `earliest_ns` and not after `latest_ns`."""
+    """When a message's last byte arrived: not before `earliest_ns` and not after `latest_ns`."""
 
     earliest_ns: int
     latest_ns: int
 
     @property
-    def doubt_ns(self) -> int:
-        """How much later than it came it may seem to have come: others are told so much less."""
+    def uncertainty_ns(self) -> int:
+        """The width of the arrival interval, which is subtracted from the remaining time sent to servers."""
         return self.latest_ns - self.earliest_ns
 
     def deadline(self, span_ms: int) -> Deadline:
-        """When such a span from then on is over at the latest: for so long the router itself goes on.
+        """Return the deadline for a time-out of `span_ms` that starts at the latest possible arrival.
 
-        Doubt about its own lag would otherwise end requests that are in time.
+        The router itself works until then: with the earliest arrival, its own lag would end requests that
+        are still in time.
         """
         return Deadline(self.latest_ns + span_ms * NS_PER_MS)
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -24,7 +24,7 @@
 class Reads(Protocol):
     """What failover needs of the decisions."""
 
-    def tell(self, event: ZonePlan) -> None:
+    def dispatch(self, event: ZonePlan) -> None:
         """Follow this from now on."""
 
     def take_evidence(self) -> Evidence | None:
@@ -92,7 +92,7 @@
         told = self.agent.told(now)
         if told is not None and told != self._told:
             self._told = told
-            self._reads.tell(told)
+            self._reads.dispatch(told)
         self._say(now)
 
     def _say(self, now: int) -> None:
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -105,7 +105,9 @@
         # What outlives the process has a place only where the platform gives one.
         folder = environ.get("TMPDIR")
         store = BanStore(Path(folder) / BANS) if folder and config.admin else None
-        self._bans = Bans(store, lambda: self._host.out, self._host.take_out, self._host.put_back)
+        self._bans = Bans(
+            store, lambda: self._host.disabled_servers, self._host.disable_server, self._host.enable_server
+        )
         self._peers = _peer_link(loop, config, self._host) if config.peers is not None else None
         self._owners = (
             _owners_link(loop, config.owners, self._peers, self._host, config.seed)
@@ -193,13 +195,13 @@
             await asyncio.sleep(STEP_S)
         if self._takeover is not None and self._takeover.inherited:
             try:
-                self._host.inherit(orjson.loads(self._takeover.inherited))
+                self._host.restore_state(orjson.loads(self._takeover.inherited))
             except ValueError as error:
                 log.warning("what the process before has learnt can't be read: %s", error)
         self._clients.listen_at(listener)
 
     def _learnt(self) -> bytes:
-        return orjson.dumps(self._host.learnt())
+        return orjson.dumps(self._host.export_state())
 
     def _follow_bans(self) -> None:
         self._bans.follow()
@@ -307,7 +309,7 @@
             do(server)
         except OSError as error:
             raise CallError(f"it can't be kept: {error.strerror or error}") from None
-        log.info("%s: by hand: %s", server, "out" if server in self._host.out else "back")
+        log.info("%s: by hand: %s", server, "out" if server in self._host.disabled_servers else "back")
         return True
 
     def drain(self) -> None:
@@ -352,9 +354,9 @@
         if self._takeover is not None and self._takeover.replaced:
             self._clients.successor = self._takeover
             self._clients.ends_at = self._loop.time() + plan.over
-        self._host.ends_in(int(plan.over * NS_PER_S))
+        self._host.set_final_deadline(int(plan.over * NS_PER_S))
         await self._empty(plan, health=True)
-        self._host.end_all()
+        self._host.finish_all_requests()
         self._clients.finish(even_midway=True)
         ended = self._loop.time()
         while self._clients.connected and self._loop.time() - ended < LAST_ANSWERS_S:
@@ -387,7 +389,7 @@
         if plan.waits:
             log.warning("of the new configuration this waits for a restart: %s", ", ".join(plan.waits))
         if plan.retunes:
-            self._host.retune(plan.config.settings)
+            self._host.apply_settings(plan.config.settings)
             self._discovery.ask_within(plan.config.settings.ask_within / NS_PER_S)
         if plan.rekeys and self._peers is not None and plan.config.peers is not None:
             self._peers.use_keys(plan.config.peers.keys)
@@ -423,7 +425,7 @@
     from saltport.peers.link import PeerLink
 
     def lag() -> int:
-        return host.lag.longest_since(time.monotonic_ns() - LAG_WINDOW_NS)
+        return host.lag.longest_iteration_since(time.monotonic_ns() - LAG_WINDOW_NS)
 
     event_log = EventLog()
 
--- a/saltport/router/event_host.py
+++ b/saltport/router/event_host.py
@@ -1,4 +1,4 @@
-"""What requests need of the host that runs them: settings, a timer, and where to tell their end."""
+"""The interface of the host that runs requests: settings, timers and the delivery of events."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 
 class EventHost(Protocol):
-    """Feeds the decisions with events."""
+    """Delivers events to the decision module and provides timers and settings."""
 
     settings: Settings
 
     def call_at(self, due: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call back once the monotonic clock shows `due` nanoseconds, and never before."""
+        """Call `callback` when the monotonic clock reaches `due` nanoseconds, never earlier."""
 
-    def tell(self, event: Event, value: bytes | None = None) -> None:
-        """Give the decisions an event; the value that came with it can be copied while it is handled."""
+    def dispatch(self, event: Event, value: bytes | None = None) -> None:
+        """Pass an event to the decision module.
+
+        `value`: the value that arrived with the event, which can be copied only while the event is handled.
+        """
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -1,4 +1,4 @@
-"""The host of the decision module: its events and actions, timers and the clock."""
+"""The host of the decision module: delivers its events, carries out its actions, runs its timers."""
 
 from __future__ import annotations
 
@@ -61,113 +61,114 @@
 if TYPE_CHECKING:
     from saltport.decisions.topology import Evidence
 
-TIMER_STEP_S = 0.001  # the loop rounds delays to the nearest one
-REPORT_NS = 95 * NS_PER_MS  # between two reports of the loop to the module, with heartbeats of 20 ms: 100
+TIMER_MARGIN_S = 0.001  # the loop rounds delays to the nearest millisecond, possibly down
+REPORT_INTERVAL_NS = 95 * NS_PER_MS  # at heartbeats of 20 ms a report is made every 100 ms
 
 log = logging.getLogger("saltport")
 
 
 class RouterHost:
-    """Feeds the module events one at a time and carries out its actions."""
+    """Passes events to the decision module one at a time and carries out the resulting actions."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, settings: Settings, seed: int, pool: Pool, max_open: int
     ) -> None:
         self.loop, self.settings = loop, settings
         self.ready = False
-        self.ends_at = NEVER
+        self.final_deadline = NEVER
         """By when all must have their final answers, once the process is ending."""
         self.subscribe: Callable[[], None] = lambda: None
-        """Begins a watch where discovery is asked; whoever owns the watch sets it."""
+        """Begins a watch where discovery is message; whoever owns the watch sets it."""
         self._router = Router(settings, seed)
         self._pool, self._max_open = pool, max_open
         self.figures = Figures(())
-        self._follow(settings)
-        self._places: dict[str, tuple[Address, Callable[[Server], Connection]]] = {}
-        """Where and how the servers that may be sent to by the list are reached, those out by hand too."""
+        self._use_settings(settings)
+        self._ready_servers: dict[str, tuple[Address, Callable[[Server], Connection]]] = {}
+        """Address and connection class of each server listed as ready, including those disabled by hand."""
         self._requests: dict[str, OpenRequest] = {}
         self._events: deque[tuple[Event, bytes | None]] = deque()
-        self._passing: bytes | None = None  # the value that came with the event being handled
+        self._event_value: bytes | None = None  # the value that belongs to the event being handled
         self._handling = False
         self.lag = LagMeter()
         self.unread_since = self.lag.unread_since
-        self._beat()
+        self._heartbeat()
 
     # The router's own lag
 
     def touched(self) -> None:
-        """An event from the kernel or the clock is dealt with: a turn of the loop has begun."""
-        if not self.lag.open:
-            self.lag.turn_begins(time.monotonic_ns())
-            # The loop runs this just before it looks at the kernel again.
-            self.loop.call_soon(self._turn_over)
+        """Note that an event from the kernel or a timer is being handled; starts a loop iteration."""
+        if not self.lag.in_iteration:
+            self.lag.begin_iteration(time.monotonic_ns())
+            # The loop runs this callback just before it polls the kernel again.
+            self.loop.call_soon(self._end_loop_iteration)
 
-    def _turn_over(self) -> None:
-        self.lag.turn_ends(time.monotonic_ns())
+    def _end_loop_iteration(self) -> None:
+        self.lag.end_iteration(time.monotonic_ns())
 
-    def _beat(self) -> None:
-        """Wake now and then, so that a long wait of the loop tells of a process that stood still."""
+    def _heartbeat(self) -> None:
+        """Wake up periodically, so that a long wait of the loop shows that the process was stopped."""
         self.touched()
-        self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._beat)
-        # By the clock: where beats come late, reports must not come rarely.
+        self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
+        # By elapsed time and not by the number of heartbeats: late heartbeats must not make reports rare.
         now = time.monotonic_ns()
-        if now - self.lag.reported_at >= REPORT_NS:
-            self.tell(LoopReport(*self.lag.take_report(now)))
+        if now - self.lag.reported_at >= REPORT_INTERVAL_NS:
+            self.dispatch(LoopReport(*self.lag.take_report(now)))
 
     def view(self) -> dict[str, object]:
-        """The state of decisions and loop, for people."""
-        lag = {"longest_ms": self.lag.longest / NS_PER_MS, "stalls": self.lag.stalls}
-        owed = self.figures.current
+        """Return the state of the decision module and the event loop for operators."""
+        lag = {"longest_ms": self.lag.longest_stall / NS_PER_MS, "stalls": self.lag.stalls}
+        open_requests = self.figures.current
         return {
             "ready": self.ready,
-            "owed": owed,
+            "owed": open_requests,
             "lag": lag,
             **views.whole(self._router, time.monotonic_ns()),
         }
 
-    def learnt(self) -> dict[str, object]:
-        """What this process has learnt, for the one that takes its place."""
+    def export_state(self) -> dict[str, object]:
+        """Return the learned state of the decision module, for the process that replaces this one."""
         return inheritance.export(self._router, time.monotonic_ns())
 
-    def inherit(self, message: object) -> None:
-        """Go on from what another process has learnt; raises ValueError, and then nothing of it counts."""
+    def restore_state(self, message: object) -> None:
+        """Restore the state that another process exported; raises ValueError and then restores nothing."""
         inheritance.restore(self._router, message, time.monotonic_ns())
 
     def stats(self) -> dict[str, object]:
-        """The figures, as operators read them."""
+        """Return the request counters in the form shown to operators."""
         return self.figures.view(self._pool.sends, views.cluster(self._router))
 
-    def count(self, request: OpenRequest, ends: Counter[str] | None) -> None:
-        """Count a request's end, the first one only; None: its client has left, and it is no end of ours."""
+    def count_end(self, request: OpenRequest, ends: Counter[str] | None) -> None:
+        """Count the end of a request once, in the counter `ends`; None: the client left without an answer."""
         if request.counted:
             return
         request.counted = True
-        self.figures.ended(request.asked.request_class, ends)
-        # A refusal only promises that trying again is harmless: repeats of a keyed write are dropped.
-        unknown = ends is not self.figures.answered and (request.ran or request.out > 0)
-        request.took_effect(may_have_run=unknown)
+        self.figures.ended(request.message.request_class, ends)
+        # After a refusal too the write may have run: it only promises that a retry is harmless, as repeats of
+        # keyed writes are dropped.
+        unknown = ends is not self.figures.answered and (request.may_have_run or request.open_attempts > 0)
+        request.complete_in_order(may_have_run=unknown)
 
     # Settings
 
-    def _follow(self, settings: Settings) -> None:
+    def _use_settings(self, settings: Settings) -> None:
         self.settings = settings
         self._classes = {cls.name for cls in settings.classes}
         self._probe_timeout = min(cls.aim for cls in settings.classes)
-        self.late_s = max(cls.deadline for cls in settings.classes) / NS_PER_S
-        """For so long a connection waits for an answer that comes too late."""
+        self.late_answer_wait_s = max(cls.deadline for cls in settings.classes) / NS_PER_S
+        """How long a connection stays reserved for the answer to an attempt that has timed out."""
         self.figures.classes(sorted(self._classes))
 
-    def retune(self, settings: Settings) -> None:
-        """Take new settings, all at one moment; open requests keep what they came with."""
-        self._follow(settings)
-        self.tell(SettingsChanged(settings))
+    def apply_settings(self, settings: Settings) -> None:
+        """Apply all new settings at once; open requests keep the ones that they arrived with."""
+        self._use_settings(settings)
+        self.dispatch(SettingsChanged(settings))
 
     def call_at(self, due: int, callback: Callable[[], None]) -> asyncio.TimerHandle:
-        """Call back once the clock shows `due`; never before, though the loop counts in milliseconds."""
-        return self.loop.call_later(max(due - time.monotonic_ns(), 0) / NS_PER_S + TIMER_STEP_S, callback)
+        """Call `callback` at the time `due` or later, never earlier, though the loop counts milliseconds."""
+        return self.loop.call_later(max(due - time.monotonic_ns(), 0) / NS_PER_S + TIMER_MARGIN_S, callback)
 
     def dialing(self, server_id: str) -> bool:
-        """Whether a connection to this server is coming up."""
+        """Whether a connection to the server is being established."""
         return self._pool.dialing(server_id)
 
     # Clients
@@ -178,90 +179,98 @@
 
     def request_arrived(
         self,
-        asked: Request,
+        message: Request,
         reply: Reply,
         order: Order | None = None,
         received: Received | None = None,
     ) -> None:
-        """Take a request: from here on it is owed one final answer.
+        """Accept a client's request, to which exactly one final answer will be given.
 
-        `order`: that of its connection; `received`: when its last byte came, where more is known than the
-        loop's lag.
+        `order`: the key order of its connection. `received`: when its last byte arrived, if that is known
+        more closely than from the loop's lag.
         """
-        request_id = asked.id.decode("ascii")
-        if asked.request_class not in self._classes:
+        request_id = message.id.decode("ascii")
+        if message.request_class not in self._classes:
             reply.rejected("unknown class")
         elif request_id in self._requests:
-            # Danger: two requests under one id would share attempts, and one would have the other's answer.
+            # Danger: two open requests with one id would share attempts, and get each other's answers.
             reply.rejected("duplicate id")
         elif len(self._requests) >= self._max_open:
-            self.request_refused(asked)
+            self.request_refused(message)
             reply.refused()
         else:
-            among = KeyOrder() if order is None else order
-            came = received or self._received_now()
-            reply.request = request = OpenRequest(self, request_id, asked, reply, among, came)
+            key_order = KeyOrder() if order is None else order
+            arrival = received or self._received_now()
+            reply.request = request = OpenRequest(self, request_id, message, reply, key_order, arrival)
             self._requests[request_id] = request
             self.figures.current += 1
-            request.arrived()
+            request.start()
             return
         reply.forgotten()
 
-    def request_refused(self, asked: Request) -> None:
-        """A request is refused at the door."""
-        if asked.request_class in self._classes:
-            self.figures.deferred[asked.request_class] += 1
+    def request_refused(self, message: Request) -> None:
+        """Count a request that was refused before it was accepted."""
+        if message.request_class in self._classes:
+            self.figures.deferred[message.request_class] += 1
 
     def client_gone(self, reply: Reply) -> None:
-        """The client that waits for this reply has left."""
+        """Handle the disconnection of the client that waits for this reply."""
         if reply.request is not None:
             reply.request.client_gone()
 
     def go_on(self, value: Value, descriptor: int, reply: Reply) -> MovedValue:
-        """Take up a value that another process began, and the server's connection that it comes on."""
+        """Continue the relay of a value that another process started.
+
+        `descriptor`: the connection to the server that sends the value, which the host now owns.
+        """
         moved = reply.request = MovedValue(self, value, reply)
         dialect = OriginConnection if value.flow.kind == "origin" else CacheConnection
         moved.begin(value.flow.left, self._pool.adopt(value.flow, descriptor, dialect, moved))
         return moved
 
-    def settle(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has nothing out."""
-        if request.closed and not request.out and request.id in self._requests:
+    def forget_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that has its final answer and no open attempts."""
+        if request.closed and not request.open_attempts and request.id in self._requests:
             del self._requests[request.id]
             request.reply.forgotten()
 
-    def _final(self, request_id: str, retry_after: int | None) -> None:
-        """Give a request its final answer: refused with this pause in nanoseconds, or failed."""
+    def _finish_request(self, request_id: str, retry_after: int | None) -> None:
+        """Give a request its final answer: refused, with `retry_after` in nanoseconds, or failed if None."""
         request = self._requests.get(request_id)
         if request is None or request.closed:
             return
         request.closed = True
         figures = self.figures
-        self.count(request, figures.errored if retry_after is None else figures.deferred)
+        self.count_end(request, figures.errored if retry_after is None else figures.deferred)
         if retry_after is None:
             request.reply.failed()
         else:
             request.reply.refused(-(-retry_after // NS_PER_MS))
-        self.settle(request)
+        self.forget_if_finished(request)
 
     def refuse(self, request: OpenRequest) -> None:
-        """Refuse a request that the module was never told of."""
-        self._final(request.id, 0)
+        """Refuse a request that was never passed to the decision module."""
+        self._finish_request(request.id, 0)
+
+    def set_final_deadline(self, span: int) -> None:
+        """Limit the deadlines of new requests to `span` nanoseconds from now, when the process will end."""
+        self.final_deadline = Deadline(time.monotonic_ns() + span)
 
-    def ends_in(self, span: int) -> None:
-        """The process ends after so many nanoseconds: what comes from now on has no longer than that."""
-        self.ends_at = Deadline(time.monotonic_ns() + span)
+    def finish_all_requests(self) -> None:
+        """Give every open request its final answer now, because the process is about to end.
 
-    def end_all(self) -> None:
-        """Give every open request its final answer: what is unanswered when the process ends is lost."""
+        Requests that surely never ran are refused, the others fail.
+        """
         for request in list(self._requests.values()):
-            never_ran = not request.ran and (not request.out or request.queued is not None)
-            self._final(request.id, 0 if never_ran else None)
+            never_ran = not request.may_have_run and (
+                not request.open_attempts or request.queued_attempt is not None
+            )
+            self._finish_request(request.id, 0 if never_ran else None)
 
-    # The list of servers
+    # Server list
 
     def servers_changed(self, listing: Listing) -> None:
-        """Take news of the list: the module hears of it before anything that follows from it."""
+        """Apply a change of the server list; the decision module gets it before any event caused by it."""
         self._events.append((listing.change, None))
         handling, self._handling = self._handling, True
         try:
@@ -271,68 +280,68 @@
         self._handle_events()
 
     def _list_servers(self, listing: Listing) -> None:
-        whole = listing.change.kind is not ListKind.DELTA
-        gone = set(self._places) if whole else set()
+        is_full_list = listing.change.kind is not ListKind.DELTA
+        gone = set(self._ready_servers) if is_full_list else set()
         for server in listing.change.servers:
             if server.state is ServerState.READY:
                 gone.discard(server.id)
                 is_origin = server.kind == self.settings.origin_kind
-                place = listing.addresses[server.id], OriginConnection if is_origin else CacheConnection
-                self._places[server.id] = place
+                endpoint = listing.addresses[server.id], OriginConnection if is_origin else CacheConnection
+                self._ready_servers[server.id] = endpoint
                 if server.id not in self._router.registry.out:
-                    self._pool.list_server(server.id, *place)
+                    self._pool.list_server(server.id, *endpoint)
             else:
                 gone.add(server.id)
         for server_id in gone:
-            self._places.pop(server_id, None)
+            self._ready_servers.pop(server_id, None)
             self._pool.unlist_server(server_id)
 
     def knows(self, server_id: str) -> bool:
-        """Whether a server is listed, was once, or is out by hand."""
+        """Whether a server is listed, was listed earlier, or is disabled by an operator."""
         return self._router.registry.knows(server_id)
 
     @property
-    def out(self) -> frozenset[str]:
-        """The servers that are out by hand."""
+    def disabled_servers(self) -> frozenset[str]:
+        """The ids of the servers that an operator has disabled."""
         return frozenset(self._router.registry.out)
 
-    def take_out(self, server_id: str) -> None:
-        """Send nothing more to a server, whatever the list says, until it is put back."""
-        self.tell(ServerOut(server_id))
+    def disable_server(self, server_id: str) -> None:
+        """Send no more requests to a server, whatever the list says, until `enable_server`."""
+        self.dispatch(ServerOut(server_id))
         self._pool.unlist_server(server_id)
 
-    def put_back(self, server_id: str) -> None:
-        """Use a server again, if it is listed as ready."""
-        if server_id in self._places:
-            self._pool.list_server(server_id, *self._places[server_id])
-        self.tell(ServerBack(server_id))
+    def enable_server(self, server_id: str) -> None:
+        """End the effect of `disable_server`: use the server again if it is listed as ready."""
+        if server_id in self._ready_servers:
+            self._pool.list_server(server_id, *self._ready_servers[server_id])
+        self.dispatch(ServerBack(server_id))
 
     def trials_due(self) -> dict[str, int]:
-        """The ejected servers, and when each may be tried."""
+        """Return the ejected servers and the earliest time of each one's next trial."""
         return trials.due(self._router.outliers)
 
     def hold_trial(self, server: str, until: int) -> None:
-        """Try an ejected server no sooner than this."""
+        """Postpone the next trial of an ejected server to the time `until` or later."""
         trials.hold(self._router.outliers, server, until)
 
     def begin_trial(self, server: str) -> None:
-        """Let the next request try an ejected server."""
+        """Allow the next request to be a trial of an ejected server."""
         trials.begin(self._router.outliers, server, time.monotonic_ns())
 
     def take_evidence(self) -> Evidence | None:
-        """What was found of the zones since the last call."""
+        """Return the observations of the zones since the last call, or None if there are none."""
         return self._router.replication.take_evidence()
 
     def discovery_failed(self) -> None:
-        """Tell the module that a watch has ended."""
-        self.tell(ServersChanged(ListKind.FAILED))
+        """Tell the decision module that the watch of the server list has ended."""
+        self.dispatch(ServersChanged(ListKind.FAILED))
 
     # Events and actions
 
-    def tell(self, event: Event, value: bytes | None = None) -> None:
-        """Give the module an event; one made while actions are carried out waits for its turn.
+    def dispatch(self, event: Event, value: bytes | None = None) -> None:
+        """Pass an event to the decision module; events raised while actions are carried out are queued.
 
-        The value that came with it can be copied while it is handled, and no longer.
+        `value`: the value that arrived with the event, which can be copied only while the event is handled.
         """
         self._events.append((event, value))
         if not self._handling:
@@ -344,22 +353,25 @@
         self._handling = True
         try:
             while self._events:
-                event, self._passing = self._events.popleft()
+                event, self._event_value = self._events.popleft()
                 try:
                     for action in self._router.handle(event, time.monotonic_ns()):
                         self._carry_out(action)
                 except Exception:
-                    log.exception("handling %s failed", type(event).__name__)
-                    self._give_what_is_owed(event)
+                    log.exception("decision module failed to handle %s", type(event).__name__)
+                    self._fail_if_unanswered(event)
         finally:
-            self._handling, self._passing = False, None
+            self._handling, self._event_value = False, None
+
+    def _fail_if_unanswered(self, event: Event) -> None:
+        """Fail the event's request if it has no open attempts, after an exception in the decision module.
 
-    def _give_what_is_owed(self, event: Event) -> None:
-        """A fault in the decisions must not leave a client without its answer."""
+        Without this its client would get no answer.
+        """
         if isinstance(event, RequestArrived | AttemptEnded):
             request = self._requests.get(event.request)
-            if request is not None and not request.out:
-                self._final(event.request, None)
+            if request is not None and not request.open_attempts:
+                self._finish_request(event.request, None)
 
     def _carry_out(self, action: Action) -> None:
         match action:
@@ -368,9 +380,9 @@
             case SetTimer():
                 self._set_timer(time.monotonic_ns() + action.delay, action.token)
             case Refuse():
-                self._final(action.request, action.retry_after)
+                self._finish_request(action.request, action.retry_after)
             case Fail():
-                self._final(action.request, None)
+                self._finish_request(action.request, None)
             case Subscribe():
                 self.subscribe()
             case Log():
@@ -387,50 +399,50 @@
     def _send(self, action: Send) -> None:
         request = self._requests.get(action.request)
         if request is None:
-            log.error("the module sent a request that is over")
+            log.error("decision module returned a Send for a request that has already ended")
             return
         now = time.monotonic_ns()
         attempt = Attempt(self, request, action)
         last = request.deadline.at_ns
-        attempt.wait_until(min(now + action.timeout, last) if action.timeout else last)
+        attempt.set_timeout_at(min(now + action.timeout, last) if action.timeout else last)
         self._pool.submit(action.server, attempt)
 
     def _answer(self, request_id: str) -> None:
-        """Give the receipt that was held."""
+        """Send the held receipt of a write to the client."""
         request = self._requests.get(request_id)
-        if request is None or request.closed or request.held is None:
+        if request is None or request.closed or request.held_receipt is None:
             return
         request.closed = True
-        self.count(request, self.figures.answered)
-        request.reply.served(request.held)
-        self.settle(request)
+        self.count_end(request, self.figures.answered)
+        request.reply.served(request.held_receipt)
+        self.forget_if_finished(request)
 
     def _copy(self, action: Copy) -> None:
-        """Write the value that passes by to one more node; it is kept nowhere here."""
+        """Write the current event's value to one more cache server; the router itself does not store it."""
 
-        def told(outcome: Outcome) -> Event:
+        def ended_event(outcome: Outcome) -> Event:
             return CopyEnded(action.key, action.server, outcome)
 
-        if self._passing is None:
-            self.tell(told(Outcome.MOOT))
+        if self._event_value is None:
+            self.dispatch(ended_event(Outcome.MOOT))
             return
         key, lease = action.key.encode(), Deadline(time.monotonic_ns() + action.lease)
-        copy = ReplicationWrite(self, key, self._passing, lease, self._probe_timeout, told)
+        copy = ReplicationWrite(self, key, self._event_value, lease, self._probe_timeout, ended_event)
         self._pool.submit(action.server, copy)
 
     def _invalidate(self, action: Invalidate) -> None:
-        def told(outcome: Outcome) -> Event:
+        def ended_event(outcome: Outcome) -> Event:
             return InvalidationEnded(action.key, action.server, outcome, action.turn)
 
-        invalidation = Invalidation(self, action.key.encode(), self._probe_timeout, told)
+        invalidation = Invalidation(self, action.key.encode(), self._probe_timeout, ended_event)
         self._pool.submit(action.server, invalidation)
 
     def _set_timer(self, due: int, token: str) -> None:
         def fire() -> None:
-            # Danger: a timer that comes early tells the module nothing, and the request waits for ever.
+            # Danger: the decision module ignores a timer that fires early; the request would wait for ever.
             if time.monotonic_ns() < due:
                 self._set_timer(due, token)
             else:
-                self.tell(TimerFired(token))
+                self.dispatch(TimerFired(token))
 
         self.call_at(due, fire)
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -1,4 +1,4 @@
-"""Open requests, their attempts, and values that are passed on as they come."""
+"""Open client requests, their attempts at servers, and the relay of long values."""
 
 from __future__ import annotations
 
@@ -31,40 +31,40 @@
 
 Order: TypeAlias = "KeyOrder[OpenRequest]"
 
-LOOK_S = 0.001  # in which the loop looks at the kernel once
-HELD_UP_NS = 5 * NS_PER_MS  # a timer that comes so late tells that the loop was held up
-STALL_S = 2.0  # a server pauses a value for 0.1 s at most; one silent for so long has vanished
+LOOP_POLL_WAIT_S = 0.001  # long enough for the loop to poll the kernel once
+LOOP_DELAY_THRESHOLD_NS = 5 * NS_PER_MS  # a timer that is later than this shows that the loop was blocked
+VALUE_STALL_TIMEOUT_S = 2.0  # servers pause within a value for 0.1 s at most
 
 
 class RequestHost(EventHost, Protocol):
-    """What open requests and their attempts need of the host that runs them."""
+    """The interface through which open requests and their attempts use the router host."""
 
     loop: asyncio.AbstractEventLoop
     lag: LagMeter
     figures: Figures
-    ends_at: Deadline
-    """By when all must have their final answers, once the process is ending."""
-    late_s: float
-    """For so long a connection waits for an answer that comes too late."""
+    final_deadline: Deadline
+    """Latest time for all final answers, once the process is shutting down."""
+    late_answer_wait_s: float
+    """How long a connection stays reserved for the answer to an attempt that has timed out."""
 
     def touched(self) -> None:
-        """An event from the kernel or the clock is dealt with."""
+        """Note that an event from the kernel or a timer is being handled."""
 
     def dialing(self, server_id: str) -> bool:
-        """Whether a connection to this server is coming up."""
+        """Whether a connection to the server is being established."""
 
-    def count(self, request: OpenRequest, ends: Counter[str] | None) -> None:
-        """Count a request's end, the first one only; None: its client has left."""
+    def count_end(self, request: OpenRequest, ends: Counter[str] | None) -> None:
+        """Count the end of a request once, in the counter `ends`; None: its client has left."""
 
-    def settle(self, request: OpenRequest) -> None:
-        """Forget a request that is answered and has nothing out."""
+    def forget_if_finished(self, request: OpenRequest) -> None:
+        """Remove a request that has its final answer and no open attempts."""
 
     def refuse(self, request: OpenRequest) -> None:
-        """Refuse a request that the decisions were never told of."""
+        """Refuse a request that was never passed to the decision module."""
 
 
 class Stage(Enum):
-    """Where a request stands among its connection's commands for its key."""
+    """State of a request in the order of its connection's commands for the same key."""
 
     WAITING = "waiting"
     BEGUN = "begun"
@@ -72,18 +72,19 @@
 
 
 class OpenRequest:
-    """A request that is owed an answer, or has attempts out still."""
+    """A client's request that has no final answer yet, or still has open attempts."""
 
     __slots__ = (
-        "_host", "_order", "_stage", "_timer", "asked", "attempts", "closed", "counted", "deadline",
-        "doubt_ns", "held", "id", "most_attempts", "out", "queued", "ran", "reply",
+        "_host", "_order", "_stage", "_timer", "arrival_uncertainty_ns", "attempts", "closed", "counted",
+        "deadline", "held_receipt", "id", "max_attempts", "may_have_run", "message", "open_attempts",
+        "queued_attempt", "reply",
     )  # fmt: skip
 
     def __init__(
         self,
         host: RequestHost,
         request_id: str,
-        asked: Request,
+        message: Request,
         reply: Reply,
         order: Order,
         received: Received,
@@ -91,36 +92,37 @@
         self._host, self._order = host, order
         self._stage = Stage.WAITING
         self._timer: asyncio.TimerHandle | None = None
-        self.id, self.asked, self.reply = request_id, asked, reply
-        self.deadline = received.deadline(asked.timeout_ms).no_later_than(host.ends_at)
-        """Until then it may be answered here."""
-        self.doubt_ns = received.doubt_ns
-        """By so much sooner its client's time may be over."""
-        self.attempts = self.out = 0
-        self.most_attempts = host.settings.max_attempts
+        self.id, self.message, self.reply = request_id, message, reply
+        self.deadline = received.deadline(message.timeout_ms).no_later_than(host.final_deadline)
+        """Latest time at which this router answers the request."""
+        self.arrival_uncertainty_ns = received.uncertainty_ns
+        """By how much the client's own time-out may be earlier than `deadline`."""
+        self.attempts = self.open_attempts = 0
+        self.max_attempts = host.settings.max_attempts
         self.closed = False
-        self.ran = False
-        """Whether an attempt ended so that nobody knows if it has run, or may run yet."""
+        self.may_have_run = False
+        """Whether an attempt ended whose server may have executed the request, or still may."""
         self.counted = False
-        """Whether the figures know its end."""
-        self.queued: Attempt | None = None
-        """The attempt that waits for a connection."""
-        self.held: bytes | None = None
-        """A write's receipt that the module has not let go yet."""
-
-    def arrived(self) -> None:
-        """Begin, or wait for the commands ahead of its connection that touch its key."""
-        asked = self.asked
-        if self._order.arrives(self, asked.key, asked.value is not None):
+        """Whether the request's end is counted in the figures."""
+        self.queued_attempt: Attempt | None = None
+        """The latest attempt, while it waits for a connection."""
+        self.held_receipt: bytes | None = None
+        """A write's receipt that the decision module has not yet released to the client."""
+
+    def start(self) -> None:
+        """Start the request, or queue it behind earlier commands of its connection for the same key."""
+        message = self.message
+        if self._order.arrives(self, message.key, message.value is not None):
             self._stage = Stage.BEGUN
             self._begin()
         else:
-            self._timer = self._host.call_at(self.deadline.at_ns, self._too_late)
+            self._timer = self._host.call_at(self.deadline.at_ns, self._deadline_passed)
 
-    def _released(self) -> None:
-        """Its turn has come.
+    def _begin_after_wait(self) -> None:
+        """Start the request after the earlier commands for its key have ended.
 
-        Danger: begun within the end of the one ahead, it would reach the module before that end does.
+        Danger: it must not start within the handling of the earlier command's end, because then the decision
+        module would receive the new request before that end.
         """
         self._stage = Stage.BEGUN
         self._stop_waiting()
@@ -131,282 +133,301 @@
             self._timer.cancel()
 
     def _begin(self) -> None:
-        """From here on the module decides."""
-        asked = self.asked
+        """Pass the request to the decision module."""
+        message = self.message
         if self.closed:
             return
-        self._host.tell(
+        self._host.dispatch(
             RequestArrived(
                 request=self.id,
-                request_class=asked.request_class,
+                request_class=message.request_class,
                 deadline=self.deadline.at_ns,
-                tenant=asked.tenant,
-                key=asked.key.decode(),
-                write=asked.value is not None,
-                retry=asked.retry,
+                tenant=message.tenant,
+                key=message.key.decode(),
+                write=message.value is not None,
+                retry=message.retry,
             )
         )
 
-    def _too_late(self) -> None:
-        """Its time is up while it waits: nothing of it was done."""
+    def _deadline_passed(self) -> None:
+        """Refuse the request, whose deadline passed while it was queued; nothing of it was executed."""
         self._host.refuse(self)
 
-    def took_effect(self, may_have_run: bool = False) -> None:
-        """What waits behind it for its key may go on; told again, it changes nothing."""
+    def complete_in_order(self, may_have_run: bool = False) -> None:
+        """Release the commands that wait behind this one for the same key; later calls have no effect.
+
+        `may_have_run`: whether it is unknown if this command was executed.
+        """
         stage, self._stage = self._stage, Stage.OVER
-        key = self.asked.key
+        key = self.message.key
         if stage is Stage.OVER:
             return
         if stage is Stage.WAITING:
             released = self._order.left(self, key)
             self._stop_waiting()
         else:
-            released = self._order.ended(key, self.asked.value is not None, may_have_run)
+            released = self._order.ended(key, self.message.value is not None, may_have_run)
             if released is NOTHING:
                 return
         for request in released.turn_down:
-            request._dismissed()
+            request._refuse_after_wait()
         for request in released.begin:
-            request._released()
+            request._begin_after_wait()
+
+    def _refuse_after_wait(self) -> None:
+        """Refuse the request because an earlier write may or may not have been executed.
 
-    def _dismissed(self) -> None:
-        """The order has forgotten it already: a write ahead of it may or may not have run."""
+        The key order has already removed the request.
+        """
         self._stage = Stage.OVER
         self._stop_waiting()
         self._host.refuse(self)
 
     def client_gone(self) -> None:
-        """Its client has left."""
+        """Handle the disconnection of the request's client."""
         host, source = self._host, self.reply.source
         self.closed = True
-        host.count(self, None)
+        host.count_end(self, None)
         if source is not None:
             source.client_left()
-        if self.queued is not None:
-            # Danger: left in the queue it would be sent for nobody, and those who wait for it wait as long.
-            self.queued.give_up(Outcome.MOOT)
-        host.settle(self)
-        host.tell(ClientGone(self.id))
+        if self.queued_attempt is not None:
+            # Danger: if it stayed in the queue it would be sent in vain, and delay the attempts behind it.
+            self.queued_attempt.give_up(Outcome.MOOT)
+        host.forget_if_finished(self)
+        host.dispatch(ClientGone(self.id))
 
 
 class Relay(Exchange):
-    """A value over 64 KiB on its way from its server to its client, and what holds it up on either side."""
+    """Relays a value over 64 KiB from a server to a client, with flow control and a stall time-out."""
 
-    # What most attempts never change costs nothing here.
+    # Class attributes: most attempts never set these, so they cost no memory or time per instance.
     _source: ValueSource | None = None
-    _came_at = 0.0
-    _begun_relay = 0.0
-    _given = _size = 0
+    _last_data_at = 0.0
+    _relay_started_at = 0.0
+    _relayed_bytes = _value_bytes = 0
     _timer: asyncio.TimerHandle | None = None
 
     def __init__(self, host: RequestHost, reply: Reply, request_class: str) -> None:
         self._host, self._reply, self._class = host, reply, request_class
 
     def _relay(self, length: int, source: ValueSource) -> None:
-        """Pass on what comes from this source, of a value that has so many bytes to go."""
-        self._source, self._size = source, length
-        self._came_at = self._begun_relay = self._host.loop.time()
-        self._timer = self._host.loop.call_later(STALL_S, self._check_stall)
+        """Start to relay the remaining `length` bytes of a value from `source`."""
+        self._source, self._value_bytes = source, length
+        self._last_data_at = self._relay_started_at = self._host.loop.time()
+        self._timer = self._host.loop.call_later(VALUE_STALL_TIMEOUT_S, self._check_stall)
 
     def value_came(self, data: bytes) -> None:
-        """Pass a part of a long value on."""
+        """Forward a part of a long value to the client."""
         if self._source is not None:
-            # Danger: what was on its way when the client was full says nothing of what follows; counted, a
-            # server that is not read would be given up as silent.
-            self._came_at = max(self._came_at, self._host.loop.time())
-            self._given += len(data)
+            # Danger: parts may still arrive after `pause` has set the time to infinity. They must not reset
+            # it: a server that is not being read would be given up as silent.
+            self._last_data_at = max(self._last_data_at, self._host.loop.time())
+            self._relayed_bytes += len(data)
             self._reply.part(data)
 
     def pause(self) -> None:
-        """The client can't take more: stop reading at the server."""
-        self._came_at = float("inf")
+        """Stop reading from the server because the client's buffer is full."""
+        self._last_data_at = float("inf")
         if self._source is not None:
             self._source.pause()
 
     def resume(self) -> None:
-        """The client takes again."""
-        self._came_at = self._host.loop.time()
+        """Read from the server again because the client's buffer has room."""
+        self._last_data_at = self._host.loop.time()
         if self._source is not None:
             self._source.resume()
 
     def _check_stall(self) -> None:
-        if self._host.loop.time() - self._came_at >= STALL_S:
+        if self._host.loop.time() - self._last_data_at >= VALUE_STALL_TIMEOUT_S:
             self.give_up(Outcome.RESET)
         else:
-            self._timer = self._host.loop.call_later(STALL_S / 4, self._check_stall)
+            self._timer = self._host.loop.call_later(VALUE_STALL_TIMEOUT_S / 4, self._check_stall)
 
     def client_left(self) -> None:
-        """Nobody reads the value any more."""
+        """Cancel the relay because the client has disconnected."""
         self.give_up(Outcome.CANCELLED)
 
     @property
     def progress(self) -> Progress:
-        """How it gets on."""
-        return Progress(self._size - self._given, self._given, self._host.loop.time() - self._begun_relay)
+        """Bytes left, bytes relayed and the time since the relay started."""
+        return Progress(
+            self._value_bytes - self._relayed_bytes,
+            self._relayed_bytes,
+            self._host.loop.time() - self._relay_started_at,
+        )
 
     @property
     def movable(self) -> bool:
-        """Whether another process could go on with it now."""
+        """Whether another process could take over the relay now."""
         return self._source is not None and self.connection is not None and self.connection.movable
 
     def copy_descriptor(self) -> int:
-        """A descriptor of the server's connection that is the caller's. Raises OSError."""
+        """Return a duplicate of the server connection's descriptor, which the caller owns; raises OSError."""
         assert self.connection is not None
         return self.connection.copy_descriptor()
 
     def suspend(self) -> Value:
-        """Stop here for good, for another process to go on with a copy of the descriptor."""
+        """End the relay in this process and return its state, for another process to continue it."""
         assert self.connection is not None
         flow = self.connection.suspend()
         value = Value(flow, self._class, self._reply.tail)
         self._source = None
-        self._moved()
+        self._count_transfer()
         self.end(Outcome.CANCELLED)
         return value
 
-    def _moved(self) -> None:
-        """The request is another process's: it ends in its figures."""
+    def _count_transfer(self) -> None:
+        """Stop counting the request here; the process that takes over the value counts its end."""
 
 
 class Attempt(Relay):
-    """One attempt at a request."""
+    """One attempt to have a client's request executed by a server."""
 
-    _latency = (0, 0)  # until a long value's first bytes
+    _latency = (0, 0)  # of a long value: time until its first bytes, and the router's own part of it
     _due = 0
-    _begun_at = 0
-    _patience = 0
+    _written_at = 0
+    _timeout = 0
     _was_held_back = False
-    _looked = False
+    _lateness_checked = False
 
-    def __init__(self, host: RequestHost, request: OpenRequest, told: Send) -> None:
-        super().__init__(host, request.reply, request.asked.request_class)
-        self._request, self._server, self._hold = request, told.server, told.hold
-        self._not_after_ns = told.not_after or request.deadline.at_ns
-        self.request = request.asked
+    def __init__(self, host: RequestHost, request: OpenRequest, send: Send) -> None:
+        super().__init__(host, request.reply, request.message.request_class)
+        self._request, self._server, self._hold = request, send.server, send.hold
+        self._not_after_ns = send.not_after or request.deadline.at_ns
+        self.request = request.message
         self._number = request.attempts
         self._sent_at = time.monotonic_ns()
         request.attempts += 1
-        request.out += 1
-        request.queued = self
+        request.open_attempts += 1
+        request.queued_attempt = self
 
     def remaining_ms(self) -> int:
-        """See Exchange: nothing if its client has left, a repeat would have effect, or it is one too many."""
+        """Return the time left in whole milliseconds; 0: the attempt must not be sent.
+
+        It is 0 if the client has left, if a repeat is no longer dropped as a duplicate, or if the request has
+        used up its attempts.
+        """
         request, now = self._request, time.monotonic_ns()
-        if request.closed or self._number >= request.most_attempts or now >= self._not_after_ns:
+        if request.closed or self._number >= request.max_attempts or now >= self._not_after_ns:
             return 0
-        # Danger: behind a stop, or in the queue of a listener, its end may have come long ago, unread.
+        # Danger: after a stop of the process, or a wait in the listener's queue, the client's disconnection
+        # may have arrived long ago without having been read.
         if request.reply.client_has_left():
             return 0
-        return request.deadline.remaining_ms(now + request.doubt_ns)
+        return request.deadline.remaining_ms(now + request.arrival_uncertainty_ns)
 
-    def wait_until(self, due: int) -> None:
-        """Give up at the time `due`."""
+    def set_timeout_at(self, due: int) -> None:
+        """Set the attempt's time-out to the time `due` in nanoseconds."""
         self._due = due
-        self._patience = due - self._sent_at
+        self._timeout = due - self._sent_at
         self._timer = self._host.call_at(due, self._timed_out)
 
-    def _wait_anew(self, now: int) -> None:
-        """Its server has not been asked yet, as this machine could not: from now on it has its whole time."""
+    def _restart_timeout(self, now: int) -> None:
+        """Restart the full time-out at `now`, for an attempt that a local shortage kept from being sent."""
         self.held_back, self._was_held_back = False, True
-        self._due = min(now + self._patience, self._request.deadline.at_ns)
+        self._due = min(now + self._timeout, self._request.deadline.at_ns)
         self._timer = self._host.call_at(self._due, self._timed_out)
 
     def _timed_out(self) -> None:
-        """Its time is up by the clock; what this router's own lag took of it is given back once.
+        """Handle an expired time-out, which is extended once by the delay that this router itself caused.
 
-        Danger: timers run before the loop looks at the kernel, and requests leave after it has. Judged at
-        once, an attempt would be held against its server though only this router was too busy for it.
+        Danger: timers run before the loop polls the kernel, and requests leave after it. Without the
+        extension, a time-out would count against the server although only this router was too busy.
         """
         host, now = self._host, time.monotonic_ns()
         host.touched()
         if self.held_back and not self._request.deadline.expired(now):
-            self._wait_anew(now)
+            self._restart_timeout(now)
             return
         late = now - self._due
-        if not self._looked:
-            self._looked = True
-            # While it has not begun, its dial has not been looked at either.
-            taken = self._lag() if self._begun_at else 2 * late
-            again = min(self._due + taken, self._request.deadline.at_ns)
-            if taken > HELD_UP_NS and again > now:
-                self._due = again
-                self._timer = host.call_at(again, self._timed_out)
+        if not self._lateness_checked:
+            self._lateness_checked = True
+            # While the attempt is not written, the loop has not polled its connection's dial either.
+            own_delay = self._send_delay() if self._written_at else 2 * late
+            extended_due = min(self._due + own_delay, self._request.deadline.at_ns)
+            if own_delay > LOOP_DELAY_THRESHOLD_NS and extended_due > now:
+                self._due = extended_due
+                self._timer = host.call_at(extended_due, self._timed_out)
                 return
-            if late > HELD_UP_NS or (self.connection is not None and self.connection.unread):
-                self._timer = host.loop.call_later(LOOK_S, self._timed_out)
+            if late > LOOP_DELAY_THRESHOLD_NS or (self.connection is not None and self.connection.unread):
+                self._timer = host.loop.call_later(LOOP_POLL_WAIT_S, self._timed_out)
                 return
-        # One that waits for a free connection never ran, and tells nothing of its server.
-        queued = not self._begun_at and (self.held_back or not host.dialing(self._server))
-        if self._begun_at and self._request.deadline.expired(now):
-            self.leave(Outcome.TIMEOUT, host.late_s)
+        # An attempt that waits for a free connection never ran, so it says nothing about the server.
+        queued = not self._written_at and (self.held_back or not host.dialing(self._server))
+        if self._written_at and self._request.deadline.expired(now):
+            self.leave(Outcome.TIMEOUT, host.late_answer_wait_s)
         else:
             self.give_up(Outcome.MOOT if queued else Outcome.TIMEOUT)
 
     def begun(self) -> None:
-        """Its request is written."""
-        self._begun_at = time.monotonic_ns()
-        self._request.queued = None
+        """Note that the request has been written to a connection."""
+        self._written_at = time.monotonic_ns()
+        self._request.queued_attempt = None
         if self.held_back or self._was_held_back:
             if self._timer is not None:
                 self._timer.cancel()
-            # Danger: counted in, the wait for this machine would pass for the server's slowness.
-            self._sent_at = self._begun_at
-            self._wait_anew(self._begun_at)
+            # Danger: if the latency included the wait for local resources, the server would seem slow.
+            self._sent_at = self._written_at
+            self._restart_timeout(self._written_at)
 
-    def _lag(self) -> int:
-        """The time from the module's word until the request had left."""
-        return self._host.lag.left(self._begun_at) - self._sent_at if self._begun_at else 0
+    def _send_delay(self) -> int:
+        """Return the time from the decision to send until the request left this process; 0 if unwritten."""
+        return self._host.lag.sent_at(self._written_at) - self._sent_at if self._written_at else 0
 
-    def _took(self) -> tuple[int, int]:
-        """How long it took until now, and this router's own part of that."""
+    def _elapsed(self) -> tuple[int, int]:
+        """Return the time since the decision to send, and the part of it that this router caused."""
         now = time.monotonic_ns()
-        took = now - self._sent_at
-        return took, min(self._lag() + self._host.lag.unread(now) + self.unread_ns, took)
+        elapsed = now - self._sent_at
+        return elapsed, min(
+            self._send_delay() + self._host.lag.max_unread_time(now) + self.unread_ns, elapsed
+        )
 
     def value_started(self, length: int, source: ValueSource) -> None:
-        """Begin the client's answer with a long value."""
-        self._latency = self._took()
+        """Start the client's answer with a long value of `length` bytes from `source`."""
+        self._latency = self._elapsed()
         request = self._request
         if request.closed:
-            self._size = length
-            return  # nobody reads it: the attempt's time runs on
+            self._value_bytes = length
+            return  # the request is already answered or abandoned: the attempt's time-out stays in force
         if self._timer is not None:
             self._timer.cancel()
         request.closed = True
         self._relay(length, source)
-        request.took_effect()
+        request.complete_in_order()
         request.reply.start(length, self)
-        self._host.tell(StreamStarted(request.id, self._number))
+        self._host.dispatch(StreamStarted(request.id, self._number))
 
-    def _moved(self) -> None:
-        self._host.count(self._request, None)
+    def _count_transfer(self) -> None:
+        self._host.count_end(self._request, None)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """The first OK is the client's answer; the module is told of every end."""
+        """Report the attempt's end to the decision module; the first success answers the client."""
         if self._timer is not None:
             self._timer.cancel()
         request, reply = self._request, self._reply
-        request.out -= 1
-        if request.queued is self:
-            request.queued = None
-        unsent = not self._begun_at
-        request.ran = request.ran or not (outcome is Outcome.OK or outcome.never_ran or unsent)
+        request.open_attempts -= 1
+        if request.queued_attempt is self:
+            request.queued_attempt = None
+        unsent = not self._written_at
+        request.may_have_run = request.may_have_run or not (
+            outcome is Outcome.OK or outcome.never_ran or unsent
+        )
         if self._source is not None:
             self._source = None
             if outcome is Outcome.OK:
-                self._host.count(request, self._host.figures.answered)
+                self._host.count_end(request, self._host.figures.answered)
                 reply.finish()
             else:
-                self._host.count(request, self._host.figures.errored)
+                self._host.count_end(request, self._host.figures.errored)
                 reply.cut_off()
         elif outcome is Outcome.OK and not request.closed and value is not None:
             if self._hold:
-                request.held = value
+                request.held_receipt = value
             else:
                 request.closed = True
-                self._host.count(request, self._host.figures.answered)
+                self._host.count_end(request, self._host.figures.answered)
                 reply.served(value)
-        latency, lag = self._latency if self._latency[0] else self._took()
+        latency, own_delay = self._latency if self._latency[0] else self._elapsed()
         event = AttemptEnded(
             request.id,
             self._number,
@@ -416,19 +437,20 @@
             latency,
             note,
             read_report(self.report, self._host.settings.load_fields) if self.report else None,
-            lag,
+            own_delay,
             self.kept,
-            self._size if value is None else len(value),
+            self._value_bytes if value is None else len(value),
             unsent,
         )
-        self._host.settle(request)
-        self._host.tell(event, value)
+        self._host.forget_if_finished(request)
+        self._host.dispatch(event, value)
 
 
 class MovedValue(Relay):
-    """A value that another process began. The module never hears of it: all that it decides is done.
+    """The relay of a long value that another process started.
 
-    Danger: told of its end, the module would count an attempt that it never made.
+    Danger: its end must not be reported to the decision module, which would count an attempt that it never
+    made.
     """
 
     def __init__(self, host: RequestHost, value: Value, reply: Reply) -> None:
@@ -437,25 +459,25 @@
         host.figures.current += 1
 
     def begin(self, left: int, source: ValueSource) -> None:
-        """So many bytes are still to come from this source."""
+        """Start to relay the `left` remaining bytes from `source`."""
         self._relay(left, source)
 
     def remaining_ms(self) -> int:
-        """See Exchange: its request left in another process."""
+        """Return 0: another process has already sent the request."""
         return 0
 
     def client_gone(self) -> None:
-        """Its client has left."""
-        self._moved()
+        """Cancel the relay because the client has disconnected; the request is not counted as answered."""
+        self._count_transfer()
         self.client_left()
 
-    def _moved(self) -> None:
+    def _count_transfer(self) -> None:
         if not self._counted:
             self._counted = True
             self._host.figures.ended(self._class, None)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        """The first end is the request's."""
+        """Finish the client's answer, or cut it off if the value is incomplete; only the first end counts."""
         if self._timer is not None:
             self._timer.cancel()
         self._source = None
@@ -463,9 +485,9 @@
             return
         self._counted = True
         figures = self._host.figures
-        whole = outcome is Outcome.OK
-        figures.ended(self._class, figures.answered if whole else figures.errored)
-        if whole:
+        complete = outcome is Outcome.OK
+        figures.ended(self._class, figures.answered if complete else figures.errored)
+        if complete:
             self._reply.finish()
         else:
             self._reply.cut_off()
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -270,4 +270,4 @@
 def test_the_router_s_own_time_ends_later_than_what_it_tells_by_the_doubt() -> None:
     received = Received(5 * NS_PER_MS, 8 * NS_PER_MS)
     assert received.deadline(100).at_ns == 108 * NS_PER_MS
-    assert received.doubt_ns == 3 * NS_PER_MS
+    assert received.uncertainty_ns == 3 * NS_PER_MS
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -19,7 +19,7 @@
 from benchmarks.platform import Platform, Process, platform
 from benchmarks.upgrades import measure
 from saltport.admin.client import ask
-from saltport.router.requests import STALL_S
+from saltport.router.requests import VALUE_STALL_TIMEOUT_S
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
 from tests.binary import FRONT, Binary
 from tests.sockets import (
@@ -55,11 +55,12 @@
         answer = self._head % len(LONG) + LONG + self._tail
         sent = self.first
         connection.sendall(answer[:sent])
-        # Danger: a node that is silent for STALL_S counts as vanished, and on a busy machine a process takes
-        # longer than that to start: it goes on, byte by byte, but where a test is about the very last ones.
+        # Danger: a node that is silent for VALUE_STALL_TIMEOUT_S counts as vanished, and on a busy machine a
+        # process takes longer than that to start: it goes on, byte by byte, but where a test is about the
+        # very last ones.
         step = int(len(answer) - sent > len(LONG) // 2)
         end = time.monotonic() + PATIENCE_S
-        while not self.goes.wait(STALL_S / 8):
+        while not self.goes.wait(VALUE_STALL_TIMEOUT_S / 8):
             assert time.monotonic() < end
             connection.sendall(answer[sent : sent + step])
             sent += step
@@ -201,7 +202,7 @@
         gate.goes.set()
         # They are stuck in the router: its client's kernel takes far less than eight of them.
         new = moved(held, old)
-        time.sleep(STALL_S + 1)
+        time.sleep(VALUE_STALL_TIMEOUT_S + 1)
         assert [client.answer() for _ in names] == [LONG] * len(names)
         eventually(lambda: ask(new.admin, "/stats")["current"] == 0, "nothing is owed any more")
 
--- a/tests/test_lag.py
+++ b/tests/test_lag.py
@@ -12,92 +12,92 @@
 
 def test_an_answer_that_the_loop_waited_for_was_read_at_once() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(11 * MS)
-    meter.turn_begins(15 * MS)  # after a wait of 4 ms
-    assert meter.unread(15 * MS) == 0
-    assert meter.unread(15 * MS + 300 * US) == 300 * US  # behind others of its turn
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(11 * MS)
+    meter.begin_iteration(15 * MS)  # after a wait of 4 ms
+    assert meter.max_unread_time(15 * MS) == 0
+    assert meter.max_unread_time(15 * MS + 300 * US) == 300 * US  # behind others of its turn
 
 
 def test_an_answer_found_without_a_wait_may_have_come_during_the_turn_before() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(40 * MS)
-    meter.turn_begins(40 * MS + 10 * US)
-    assert meter.unread(41 * MS) == 31 * MS
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(40 * MS)
+    meter.begin_iteration(40 * MS + 10 * US)
+    assert meter.max_unread_time(41 * MS) == 31 * MS
 
 
 def test_lag_does_not_add_up_over_turns() -> None:
     meter = LagMeter()
     for turn in range(100):
-        meter.turn_begins(turn * MS)
-        meter.turn_ends(turn * MS + 990 * US)
-    meter.turn_begins(100 * MS)
-    assert meter.unread(100 * MS) == MS
+        meter.begin_iteration(turn * MS)
+        meter.end_iteration(turn * MS + 990 * US)
+    meter.begin_iteration(100 * MS)
+    assert meter.max_unread_time(100 * MS) == MS
 
 
 def test_a_process_that_stood_still_read_nothing_meanwhile() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(11 * MS)
-    meter.turn_begins(311 * MS)  # the heartbeat would have ended the wait long before
-    assert meter.unread(311 * MS) == 300 * MS
-    meter.turn_ends(312 * MS)
-    assert meter.longest == 301 * MS
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(11 * MS)
+    meter.begin_iteration(311 * MS)  # the heartbeat would have ended the wait long before
+    assert meter.max_unread_time(311 * MS) == 300 * MS
+    meter.end_iteration(312 * MS)
+    assert meter.longest_stall == 301 * MS
     assert meter.stalls == 1
-    assert meter.take_longest() == 301 * MS
-    assert meter.take_longest() == 0
+    assert meter.take_longest_stall() == 301 * MS
+    assert meter.take_longest_stall() == 0
 
 
 def test_what_came_while_a_process_stood_still_may_be_read_a_turn_after_its_timers() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(11 * MS)
-    meter.turn_begins(311 * MS)  # woken without news of the kernel: a timer that was due
-    meter.turn_ends(311 * MS + 20 * US)
-    meter.turn_begins(312 * MS)  # the loop has looked at the kernel, on a busy machine
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(11 * MS)
+    meter.begin_iteration(311 * MS)  # woken without news of the kernel: a timer that was due
+    meter.end_iteration(311 * MS + 20 * US)
+    meter.begin_iteration(312 * MS)  # the loop has looked at the kernel, on a busy machine
     assert 312 * MS - meter.unread_since(312 * MS) == 301 * MS
-    assert meter.unread(312 * MS) <= MS  # a server that is silent still is not excused for the stop
-    meter.turn_ends(313 * MS)
-    meter.turn_begins(313 * MS + 10 * US)
+    assert meter.max_unread_time(312 * MS) <= MS  # a server that is silent still is not excused for the stop
+    meter.end_iteration(313 * MS)
+    meter.begin_iteration(313 * MS + 10 * US)
     now = 313 * MS + 10 * US
-    assert now - meter.unread_since(now) == meter.unread(now) == MS + 10 * US  # all that was is read
+    assert now - meter.unread_since(now) == meter.max_unread_time(now) == MS + 10 * US  # all that was is read
 
 
 def test_a_stop_is_over_for_what_is_read_after_a_wait() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(11 * MS)
-    meter.turn_begins(311 * MS)
-    meter.turn_ends(312 * MS)
-    meter.turn_begins(320 * MS)  # the kernel was looked at, and had nothing for 8 ms
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(11 * MS)
+    meter.begin_iteration(311 * MS)
+    meter.end_iteration(312 * MS)
+    meter.begin_iteration(320 * MS)  # the kernel was looked at, and had nothing for 8 ms
     assert meter.unread_since(320 * MS) == 320 * MS
 
 
 def test_a_wait_up_to_the_heartbeat_is_a_wait() -> None:
     meter = LagMeter()
-    meter.turn_begins(10 * MS)
-    meter.turn_ends(11 * MS)
-    meter.turn_begins(11 * MS + HEARTBEAT_NS + MS)
-    assert meter.unread(11 * MS + HEARTBEAT_NS + MS) == 0
+    meter.begin_iteration(10 * MS)
+    meter.end_iteration(11 * MS)
+    meter.begin_iteration(11 * MS + HEARTBEAT_NS + MS)
+    assert meter.max_unread_time(11 * MS + HEARTBEAT_NS + MS) == 0
 
 
 def test_what_a_long_turn_writes_leaves_at_its_end() -> None:
     meter = LagMeter()
     for begun, ended in ((10, 11), (20, 60), (70, 71), (80, 100)):
-        meter.turn_begins(begun * MS)
-        meter.turn_ends(ended * MS)
-    assert [meter.left(at * MS) // MS for at in (5, 10, 20, 59, 60, 70, 81, 100, 200)] == [
+        meter.begin_iteration(begun * MS)
+        meter.end_iteration(ended * MS)
+    assert [meter.sent_at(at * MS) // MS for at in (5, 10, 20, 59, 60, 70, 81, 100, 200)] == [
         5, 10, 60, 60, 60, 70, 100, 100, 200,
     ]  # fmt: skip
 
 
 def test_between_turns_nothing_is_told() -> None:
     meter = LagMeter()
-    assert meter.unread(5) == 0
-    assert not meter.open
-    meter.turn_begins(10)
-    assert meter.open
+    assert meter.max_unread_time(5) == 0
+    assert not meter.in_iteration
+    meter.begin_iteration(10)
+    assert meter.in_iteration
 
 
 @given(gaps=strategies.lists(strategies.tuples(strategies.integers(0, 10**8), strategies.integers(0, 10**8))))
@@ -106,12 +106,12 @@
     now, looks = 1, [1, 1]
     for waited, busy in gaps:
         now += waited
-        meter.turn_begins(now)
+        meter.begin_iteration(now)
         looks = [looks[1], now]
-        assert 0 <= meter.unread(now) <= now - looks[0]
+        assert 0 <= meter.max_unread_time(now) <= now - looks[0]
         now += busy
-        assert busy <= meter.unread(now) <= now - looks[0]
-        meter.turn_ends(now)
+        assert busy <= meter.max_unread_time(now) <= now - looks[0]
+        meter.end_iteration(now)
 
 
 @given(gaps=strategies.lists(strategies.tuples(strategies.integers(0, 10**8), strategies.integers(0, 10**8))))
@@ -123,18 +123,18 @@
         stood_still = number > 0 and waited > HEARTBEAT_NS + HEARTBEAT_SLACK_NS
         looks = [now, now] if stood_still else [looks[1], now + waited]
         now += waited
-        meter.turn_begins(now)
+        meter.begin_iteration(now)
         now += busy
-        assert busy <= meter.unread(now) <= now - meter.unread_since(now) <= now - looks[0]
-        meter.turn_ends(now)
+        assert busy <= meter.max_unread_time(now) <= now - meter.unread_since(now) <= now - looks[0]
+        meter.end_iteration(now)
 
 
 def test_report_of_a_loop_that_rests_between_turns() -> None:
     meter = LagMeter()
     meter.take_report(MS)
     for turn in range(1, 11):
-        meter.turn_begins(turn * 10 * MS)
-        meter.turn_ends(turn * 10 * MS + 2 * MS)
+        meter.begin_iteration(turn * 10 * MS)
+        meter.end_iteration(turn * 10 * MS + 2 * MS)
     busy, delay, span = meter.take_report(101 * MS)
     assert 0.1 < busy < 0.35
     assert delay == 10 * (2 * MS) ** 2 // (100 * MS)
@@ -145,8 +145,8 @@
     meter = LagMeter()
     meter.take_report(MS)
     for turn in range(1, 6):
-        meter.turn_begins(turn * 20 * MS + 10 * US)
-        meter.turn_ends((turn + 1) * 20 * MS)
+        meter.begin_iteration(turn * 20 * MS + 10 * US)
+        meter.end_iteration((turn + 1) * 20 * MS)
     busy, delay, span = meter.take_report(121 * MS)
     assert busy > 0.95
     assert 15 * MS < delay < 20 * MS
@@ -155,11 +155,11 @@
 
 def test_report_of_a_process_that_stood_still() -> None:
     meter = LagMeter()
-    meter.turn_begins(MS)
-    meter.turn_ends(2 * MS)
+    meter.begin_iteration(MS)
+    meter.end_iteration(2 * MS)
     meter.take_report(2 * MS)
-    meter.turn_begins(302 * MS)  # the heartbeat was due 280 ms ago
-    meter.turn_ends(303 * MS)
+    meter.begin_iteration(302 * MS)  # the heartbeat was due 280 ms ago
+    meter.end_iteration(303 * MS)
     busy, delay, span = meter.take_report(303 * MS)
     assert busy > 0.95
     assert delay > 250 * MS
