--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -31,7 +31,7 @@
 from saltport.membership.registry import Discovery
 from saltport.membership.start_times import StartTimes
 from saltport.messages import ClientDialect
-from saltport.router.config import Config, ConfigError, ConfigUnreadError, reload_config
+from saltport.router.config import Config, ConfigError, ConfigUnavailableError, reload_config
 from saltport.router.features import MemcachedFeatures
 from saltport.router.host import RouterHost
 from saltport.transport.shortage import outlast
@@ -375,7 +375,7 @@
             self._reload_again.cancel()
         try:
             plan = plan_reload(self._config, reload_config(self._environ, self._with_files))
-        except ConfigUnreadError as error:
+        except ConfigUnavailableError as error:
             # Danger: nobody sends the signal again, and the new configuration would never be in force.
             log.warning("the new configuration can't be read for now: %s", error)
             self._reload_again = self._loop.call_later(RELOAD_AGAIN_S, self._reload)
--- a/saltport/router/__main__.py
+++ b/saltport/router/__main__.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 from saltport.lifecycle.service import START_PATIENCE_S, Service
-from saltport.router.config import Config, ConfigError, ConfigUnreadError, load_config
+from saltport.router.config import Config, ConfigError, ConfigUnavailableError, load_config
 from saltport.router.log import make_logger
 from saltport.transport import shortage
 from saltport.transport.loop import on_router_loop
@@ -41,7 +41,7 @@
     while True:
         try:
             return load_config(os.environ, with_files)
-        except ConfigUnreadError:
+        except ConfigUnavailableError:
             if time.monotonic() >= given_up:
                 raise
         time.sleep(shortage.PAUSE_S)
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -1,4 +1,4 @@
-"""What a router is told at its start: the file named by LB_CONFIG and the variables beside it."""
+"""The router's configuration, read from the file named by LB_CONFIG and other environment variables."""
 
 from __future__ import annotations
 
@@ -31,20 +31,20 @@
 DEFAULT_IDLE_CLOSE_NS = 10_000_000_000
 DEFAULT_MEMORY_MB = 192
 DEFAULT_SOCKETS = 1024
-OPTIONAL = {"known", "seed"}  # keys of the file that tell of a start, and may be missing from a later one
+START_ONLY_KEYS = {"known", "seed"}  # matter only at a start; a file for a reload may omit them
 
 
 class ConfigError(Exception):
-    """The configuration can't be used; the text is one plain line."""
+    """The configuration can't be used; the message is a single line."""
 
 
-class ConfigUnreadError(ConfigError):
-    """This machine is short of what reading takes: the same file may be read a moment later."""
+class ConfigUnavailableError(ConfigError):
+    """The configuration can't be read for a temporary shortage of resources; a later attempt may succeed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
-    """The configuration in the router's own terms; times are nanoseconds."""
+    """The parsed configuration of a router; times are in nanoseconds."""
 
     name: str
     listen: Address
@@ -52,51 +52,54 @@
     seed: int
     settings: Settings
     max_open: int
-    """Most requests open at a time."""
+    """Maximum number of requests that are open at the same time."""
     dial_timeout: int
     idle_close: int
-    """After so long at the latest a cache server closes an idle connection."""
+    """Longest time after which a cache server closes an idle connection."""
     memory: int
-    """Bytes; over this the router is killed."""
+    """Memory limit in bytes, above which the platform kills the router."""
     sockets: int
     known: Any
-    """The list of servers as last held, in discovery's form; it may be old, or no list at all."""
+    """Last known server list in the form that discovery sends; not validated, and possibly outdated."""
     peers: PeerPlan | None = None
-    """Where this router is among those it knows; None: it knows none."""
+    """This router's address and its peers; None: communication between routers is off."""
     owners: OwnersPlan | None = None
-    """One owner at a time for the fleet's work; None: it takes no part."""
+    """Election of one owner for each task of the fleet; None: this router takes no part."""
     failover: bool = False
-    """Whether zones go by common plans."""
+    """Whether traffic between zones follows the plan that the routers share."""
     memcached: MemcachedFeatures = field(default_factory=MemcachedFeatures)
     access_log: AccessLogFeatures = field(default_factory=AccessLogFeatures)
     admin: Address | None = None
-    """Where operators call; None: nowhere."""
+    """Address of the administration interface; None: off."""
     listen_fd: int | None = None
-    """The descriptor of the clients' listening socket, where the platform holds it."""
+    """Descriptor of the clients' listening socket, if the platform passes one to the process."""
     keys: frozenset[str] = frozenset()
-    """The paths of the keys that the file has."""
+    """Dotted paths of the keys present in the file, without those that matter only at a start."""
 
 
 def load_config(environ: Mapping[str, str], with_files: Sequence[Path] = ()) -> Config:
-    """Read the configuration and the files of features; the variables go before what the file says."""
+    """Return the configuration from the file and the feature files; raises ConfigError.
+
+    Environment variables take precedence over the file.
+    """
     path = environ.get("LB_CONFIG")
     if not path:
         raise ConfigError("LB_CONFIG is not set")
     try:
-        told = typed("the file", orjson.loads(Path(path).read_bytes()), dict)
-        config = _config(told, environ)
+        data = typed("the file", orjson.loads(Path(path).read_bytes()), dict)
+        config = _config(data, environ)
         features = read_features(with_files)
         return replace(
             config,
             settings=features.settings(config.settings),
             memcached=features.memcached,
             access_log=_access_log(features.access_log),
-            peers=_peers(features.peers, told, config.name) if features.peers.on else None,
+            peers=_peers(features.peers, data, config.name) if features.peers.on else None,
             owners=_owners(features, config.name) if features.owners.on else None,
             failover=features.failover.on,
         )
     except OSError as error:
-        kind = ConfigUnreadError if error.errno in shortage.OF_RESOURCES else ConfigError
+        kind = ConfigUnavailableError if error.errno in shortage.OF_RESOURCES else ConfigError
         raise kind(f"LB_CONFIG: {error}") from None
     except KeyError as error:
         raise ConfigError(f"{path}: missing field {error.args[0]!r}") from None
@@ -107,9 +110,9 @@
 
 
 def reload_config(environ: Mapping[str, str], with_files: Sequence[Path] = ()) -> Config:
-    """Read the file again for a running router.
+    """Return the configuration read again for a running router; raises ConfigError.
 
-    What it says of discovery goes before the variable: that is as old as the process.
+    The file's discovery address takes precedence over LB_DISCOVERY, which dates from the process's start.
     """
     return load_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"}, with_files)
 
@@ -118,42 +121,42 @@
     return default if value is None else int(number(where, value, 1))
 
 
-def _descriptor(told: str | None) -> int | None:
-    if not told:
+def _descriptor(text: str | None) -> int | None:
+    if not text:
         return None
-    if not told.isdecimal():
-        raise ConfigError(f"LB_SOCKET_FD: expected a descriptor's number, got {told!r}")
-    return int(told)
+    if not text.isdecimal():
+        raise ConfigError(f"LB_SOCKET_FD: expected a descriptor's number, got {text!r}")
+    return int(text)
 
 
-def _paths(told: dict[str, Any], under: str = "") -> Iterator[str]:
-    for key, value in told.items():
+def _paths(data: dict[str, Any], under: str = "") -> Iterator[str]:
+    for key, value in data.items():
         yield under + key
-        if isinstance(value, dict) and key not in OPTIONAL:
+        if isinstance(value, dict) and key not in START_ONLY_KEYS:
             yield from _paths(value, f"{under}{key}.")
 
 
-def _peers(features: PeerFeatures, told: dict[str, Any], name: str) -> PeerPlan:
-    """Where this router is among its peers; raises FeatureError."""
-    # Danger: where it is off, not even its library is imported: memory counts.
+def _peers(features: PeerFeatures, data: dict[str, Any], name: str) -> PeerPlan:
+    """Return this router's address and those of its peers; raises FeatureError."""
+    # Danger: these imports must stay local: while the feature is off, its library must not use memory.
     from saltport.peers.envelope import KeyFileError, read_keys
     from saltport.peers.link import PeerPlan, packed
     from saltport.peers.messages import MOST_NAME
 
-    if not (told["settings"].get("ceilings") or {}).get("peers"):
+    if not (data["settings"].get("ceilings") or {}).get("peers"):
         raise FeatureError("peers.on: the settings do not allow routers to talk (settings.ceilings.peers)")
     if not features.key_file:
         raise FeatureError("peers.key_file: must be set")
     if len(name) > MOST_NAME or len(features.zone) > MOST_NAME:
         raise FeatureError(f"peers: names of routers and zones have at most {MOST_NAME} characters")
-    listen = features.listen or told.get("peer_listen")
+    listen = features.listen or data.get("peer_listen")
     if not listen:
         raise FeatureError("peers.listen: must be set, as the configuration has no peer_listen")
     try:
         keys = read_keys(Path(features.key_file))
         addresses = [parse_address("peers.listen", listen)]
         addresses += [
-            parse_address("peers.peers", peer) for peer in features.peers or told.get("peers") or ()
+            parse_address("peers.peers", peer) for peer in features.peers or data.get("peers") or ()
         ]
         for address in addresses:
             packed(address)
@@ -165,51 +168,53 @@
 
 
 def _access_log(features: AccessLogFeatures) -> AccessLogFeatures:
-    """The same; raises FeatureError where its folder is none."""
+    """Return `features` unchanged; raises FeatureError if the folder does not exist."""
     if features.folder and not Path(features.folder).is_dir():
         raise FeatureError(f"access_log.folder: {features.folder} is no folder")
     return features
 
 
 def _owners(features: Features, name: str) -> OwnersPlan:
-    """The plan of ownership; raises FeatureError."""
+    """Return the settings of the owner election; raises FeatureError."""
     from saltport.owners.link import OwnersPlan
     from saltport.owners.raft import NS_PER_MS, RaftSettings
     from saltport.owners.record import MOST_NAME
     from saltport.owners.settings import OwnerSettings
 
-    told, longest = features.owners, 14  # of a router's name: messages must fit the peers' datagrams
+    owners, max_name_length = features.owners, 14  # messages must fit the datagrams between peers
     if not features.peers.on:
         raise FeatureError("owners.on: needs peers.on")
-    if len(told.voters) not in (3, 5) or len(set(told.voters)) != len(told.voters):
-        raise FeatureError(f"owners.voters: three or five names, each once; found {len(told.voters)}")
-    if any(not 0 < len(voter) <= longest for voter in (*told.voters, name)):
-        raise FeatureError(f"owners: names of routers have at most {longest} characters")
-    if any(not 0 < len(piece) <= MOST_NAME for piece in told.pieces):
+    if len(owners.voters) not in (3, 5) or len(set(owners.voters)) != len(owners.voters):
+        raise FeatureError(f"owners.voters: three or five names, each once; found {len(owners.voters)}")
+    if any(not 0 < len(voter) <= max_name_length for voter in (*owners.voters, name)):
+        raise FeatureError(f"owners: names of routers have at most {max_name_length} characters")
+    if any(not 0 < len(piece) <= MOST_NAME for piece in owners.pieces):
         raise FeatureError(f"owners.pieces: names have 1 to {MOST_NAME} characters")
-    if told.election_ms < 500:
+    if owners.election_ms < 500:
         raise FeatureError("owners.election_ms: must be at least 500, for round trips and short pauses")
-    if told.lease_ms < 2 * told.election_ms:
+    if owners.lease_ms < 2 * owners.election_ms:
         raise FeatureError("owners.lease_ms: must be at least twice owners.election_ms")
-    folder = Path(told.folder) if told.folder else None
-    if folder is not None and name in told.voters and not folder.is_dir():
+    folder = Path(owners.folder) if owners.folder else None
+    if folder is not None and name in owners.voters and not folder.is_dir():
         raise FeatureError(f"owners.folder: {folder} is no folder")
-    raft = RaftSettings(election=told.election_ms * NS_PER_MS, heartbeat=told.election_ms * NS_PER_MS // 6)
-    lease = told.lease_ms * NS_PER_MS
+    raft = RaftSettings(
+        election=owners.election_ms * NS_PER_MS, heartbeat=owners.election_ms * NS_PER_MS // 6
+    )
+    lease = owners.lease_ms * NS_PER_MS
     settings = OwnerSettings(lease=lease, renew=lease // 6, raft=raft)
-    return OwnersPlan(told.voters, folder, told.begin, told.pieces, told.trials, settings)
+    return OwnersPlan(owners.voters, folder, owners.begin, owners.pieces, owners.trials, settings)
 
 
-def _config(told: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    facts = typed("settings", told["settings"], dict)
+def _config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
+    facts = typed("settings", data["settings"], dict)
     ceilings = facts.get("ceilings") or {}
-    limits = typed("limits", told.get("limits") or {}, dict)
-    admin = environ.get("LB_ADMIN_ADDR") or told.get("admin_addr")
+    limits = typed("limits", data.get("limits") or {}, dict)
+    admin = environ.get("LB_ADMIN_ADDR") or data.get("admin_addr")
     return Config(
-        name=environ.get("LB_NAME") or str(told.get("name") or "router"),
-        listen=parse_address("listen", environ.get("LB_LISTEN") or told["listen"]),
-        discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or told["discovery"]),
-        seed=int(str(told.get("seed") or "0"), 16),
+        name=environ.get("LB_NAME") or str(data.get("name") or "router"),
+        listen=parse_address("listen", environ.get("LB_LISTEN") or data["listen"]),
+        discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or data["discovery"]),
+        seed=int(str(data.get("seed") or "0"), 16),
         settings=read_settings(facts),
         max_open=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
         dial_timeout=_positive(
@@ -218,8 +223,8 @@
         idle_close=_positive("ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS),
         memory=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
         sockets=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
-        known=told.get("known"),
+        known=data.get("known"),
         admin=parse_address("admin_addr", admin) if admin else None,
         listen_fd=_descriptor(environ.get("LB_SOCKET_FD")),
-        keys=frozenset(_paths(told)) - OPTIONAL,
+        keys=frozenset(_paths(data)) - START_ONLY_KEYS,
     )
--- a/tests/router/test_hot_keys.py
+++ b/tests/router/test_hot_keys.py
@@ -174,7 +174,7 @@
     [
         ('fill = "copies"', 'expected "reads", "writes" or nothing'),
         ("fill = 3", "hot_keys.fill"),
-        ("max_keys = 1.5", "hot_keys.max_keys: expected a whole number"),
+        ("max_keys = 1.5", "hot_keys.max_keys: expected an integer"),
         ("fil = 1", "hot_keys.fil is unknown"),
     ],
 )
