--- a/saltport/router/__init__.py
+++ b/saltport/router/__init__.py
@@ -1,1 +1,1 @@
-"""The host that joins clients, decisions and servers: requests, attempts, timers, configuration."""
+"""The router host, which connects clients, the decision module and servers; configuration and start."""
--- a/saltport/router/__main__.py
+++ b/saltport/router/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the router."""
+"""Entry point of a single router, `python -m saltport.router`."""
 
 from __future__ import annotations
 
@@ -14,49 +14,49 @@
 
 from saltport.lifecycle.service import START_PATIENCE_S, Service
 from saltport.router.config import Config, ConfigError, ConfigUnavailableError, load_config
-from saltport.router.log import make_logger
+from saltport.router.log import configure_logger
 from saltport.transport import shortage
 from saltport.transport.loop import on_router_loop
 
-GC_THRESHOLD = 20_000  # young objects; requests leave hardly any cycles, and each pass stalls all of them
+GC_THRESHOLD = 20_000  # young objects; requests create few cycles, and each collection delays all requests
 
 log = logging.getLogger("saltport")
 
 
 async def serve(config: Config, with_files: Sequence[Path] = ()) -> None:
-    """Run until SIGTERM, and then until all that was taken is answered. Raises OSError."""
+    """Run the router until SIGTERM, and then until all accepted requests are answered; raises OSError."""
     await Service(asyncio.get_running_loop(), config, dict(os.environ), with_files).run()
 
 
-def _with_files(words: Sequence[str]) -> list[Path]:
-    """The files named by `--with`, the only option; raises ConfigError."""
-    if len(words) % 2 or any(word != "--with" for word in words[::2]):
+def _with_files(arguments: Sequence[str]) -> list[Path]:
+    """Return the feature files named by `--with`, the only option; raises ConfigError."""
+    if len(arguments) % 2 or any(argument != "--with" for argument in arguments[::2]):
         raise ConfigError("usage: python -m saltport.router [--with FILE]..., with LB_CONFIG set")
-    return [Path(word) for word in words[1::2]]
+    return [Path(argument) for argument in arguments[1::2]]
 
 
 def _load_config(with_files: Sequence[Path]) -> Config:
-    """Read the configuration, past a shortage of the machine; raises ConfigError."""
-    given_up = time.monotonic() + START_PATIENCE_S
+    """Return the configuration, read again during a temporary shortage of resources; raises ConfigError."""
+    end = time.monotonic() + START_PATIENCE_S
     while True:
         try:
             return load_config(os.environ, with_files)
         except ConfigUnavailableError:
-            if time.monotonic() >= given_up:
+            if time.monotonic() >= end:
                 raise
         time.sleep(shortage.PAUSE_S)
 
 
 def main() -> int:
-    """Read the configuration and serve; returns the exit status."""
+    """Read the configuration and run the router; return the exit status."""
     try:
         with_files = _with_files(sys.argv[1:])
         config = _load_config(with_files)
     except ConfigError as error:
         print(f"saltport: {error}", file=sys.stderr)
         return 2
-    make_logger(config.name)
-    # A start that hangs is found by how far it came, and a crash in the libraries' code by where.
+    configure_logger(config.name)
+    # The log line shows how far a hanging start came; faulthandler shows where native code crashed.
     faulthandler.enable()
     log.info("started, after %.2f s of processor time", time.process_time())
     if with_files:
--- a/saltport/router/check.py
+++ b/saltport/router/check.py
@@ -1,8 +1,8 @@
-"""Every fault of a configuration in one go, each with its path in the file.
+"""Validation of a configuration file that reports all faults at once, each with its path in the file.
 
-A router itself stops at the first fault (config.py); this is for whoever writes the file. The form is a JSON
-Schema, read by jsonschema; what a schema can't say is checked behind it, and at last the router's own reader
-has its say, so that what is found clean here is what a router takes.
+A router itself stops at the first fault (config.py); this module serves the authors of configuration files.
+A JSON Schema describes the form. Rules that a schema can't express are checked after it. If neither finds a
+fault, the router's own reader runs last, so that a file without faults is one that a router accepts.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault: `path` as in `settings.classes[1].aimNs`, empty for the whole file."""
+    """A fault; `path` is its place, like `settings.classes[1].aimNs`, or empty for the file itself."""
 
     path: str
     reason: str
@@ -129,92 +129,97 @@
 
 
 def _path(parts: Any) -> str:
-    told = ""
+    path = ""
     for part in parts:
-        told += f"[{part}]" if isinstance(part, int) else f".{part}" if told else str(part)
-    return told
+        path += f"[{part}]" if isinstance(part, int) else f".{part}" if path else str(part)
+    return path
 
 
-def _schema_faults(told: Any) -> Iterator[Fault]:
-    for error in Draft202012Validator(SCHEMA).iter_errors(told):
+def _schema_faults(config: Any) -> Iterator[Fault]:
+    for error in Draft202012Validator(SCHEMA).iter_errors(config):
         reason = error.message if len(error.message) <= 160 else f"{error.message[:157]}..."
         yield Fault(_path(error.absolute_path), reason)
 
 
-def _as_dict(told: Any) -> dict[str, Any]:
-    return told if isinstance(told, dict) else {}
+def _as_dict(value: Any) -> dict[str, Any]:
+    return value if isinstance(value, dict) else {}
 
 
-def _as_list(told: Any) -> list[Any]:
-    return told if isinstance(told, list) else []
+def _as_list(value: Any) -> list[Any]:
+    return value if isinstance(value, list) else []
 
 
-def _is_number(told: Any) -> TypeGuard[float]:
-    return isinstance(told, int | float) and not isinstance(told, bool)
+def _is_number(value: Any) -> TypeGuard[float]:
+    return isinstance(value, int | float) and not isinstance(value, bool)
 
 
-def _twice(path: str, entries: list[Any]) -> Iterator[Fault]:
+def _duplicate_names(path: str, entries: list[Any]) -> Iterator[Fault]:
     seen: dict[str, int] = {}
     for number, entry in enumerate(entries):
         name = _as_dict(entry).get("name")
         if isinstance(name, str) and name in seen:
-            yield Fault(f"{path}[{number}].name", f"{name!r} stands at {path}[{seen[name]}] already")
+            yield Fault(f"{path}[{number}].name", f"{name!r} is already defined at {path}[{seen[name]}]")
         elif isinstance(name, str):
             seen[name] = number
 
 
-def _meaning_faults(told: dict[str, Any]) -> Iterator[Fault]:
-    """What a schema can't say; passes over what is of the wrong kind, which the schema has told."""
+def _semantic_faults(config: dict[str, Any]) -> Iterator[Fault]:
+    """Yield the faults that a schema can't express.
+
+    Values of a wrong type are skipped, because the schema reports them.
+    """
     for name in ("listen", "discovery"):
-        if isinstance(told.get(name), str):
+        if isinstance(config.get(name), str):
             try:
-                parse_address(name, told[name])
+                parse_address(name, config[name])
             except ValueError as error:
                 yield Fault(name, str(error).partition(": ")[2])
-    settings = _as_dict(told.get("settings"))
+    settings = _as_dict(config.get("settings"))
     classes, tenants = _as_list(settings.get("classes")), _as_list(settings.get("tenants"))
-    yield from _twice("settings.classes", classes)
-    yield from _twice("settings.tenants", tenants)
+    yield from _duplicate_names("settings.classes", classes)
+    yield from _duplicate_names("settings.tenants", tenants)
     for number, entry in enumerate(map(_as_dict, classes)):
         path, aim, deadline = f"settings.classes[{number}]", entry.get("aimNs"), entry.get("giveUpNs")
         if _is_number(aim) and _is_number(deadline) and aim > deadline:
             yield Fault(f"{path}.aimNs", f"{aim} is later than giveUpNs, {deadline}")
         if entry.get("semantics") == "dedup" and not entry.get("dedupWindowNs"):
-            yield Fault(f"{path}.dedupWindowNs", "a class of semantics 'dedup' needs its window")
+            yield Fault(
+                f"{path}.dedupWindowNs", "a class with semantics 'dedup' needs a deduplication window"
+            )
     portions = [entry.get("portion") for entry in map(_as_dict, tenants)]
     shares = [portion for portion in portions if _is_number(portion) and 0 <= portion <= 1]
     total = sum(shares)
     if total > 1.001 and len(shares) == len(portions):
-        yield Fault("settings.tenants", f"the portions add up to {total:g}, which is over 1")
+        yield Fault("settings.tenants", f"the portions add up to {total:g}, more than 1")
     family, kinds = _as_dict(settings.get("familyInfo")), _as_list(settings.get("kinds"))
     origin = family.get("originKind")
     if family.get("mode") == "aside" and not (isinstance(origin, int) and 0 <= origin < len(kinds)):
-        yield Fault("settings.familyInfo.originKind", f"{origin!r} is no place in settings.kinds")
-    if isinstance(told.get("known"), dict):
+        yield Fault("settings.familyInfo.originKind", f"{origin!r} is not an index into settings.kinds")
+    if isinstance(config.get("known"), dict):
         try:
-            read_listing(told["known"], StartTimes())
+            read_listing(config["known"], StartTimes())
         except ValueError as error:
             yield Fault("known", str(error))
 
 
-def find_faults(told: Any) -> list[Fault]:
-    """Every fault of a configuration that has been read as JSON."""
-    faults = list(_schema_faults(told))
-    if isinstance(told, dict):
-        known = {fault.path for fault in faults}
-        faults += [fault for fault in _meaning_faults(told) if fault.path not in known]
+def find_faults(config: Any) -> list[Fault]:
+    """Return all faults of a configuration parsed from JSON, sorted by path."""
+    faults = list(_schema_faults(config))
+    if isinstance(config, dict):
+        reported_paths = {fault.path for fault in faults}
+        faults += [fault for fault in _semantic_faults(config) if fault.path not in reported_paths]
     return sorted(faults, key=lambda fault: fault.path)
 
 
 def check_file(path: Path, with_files: Sequence[Path] = ()) -> list[Fault]:
-    """Every fault of the file at this path; an empty list: a router takes it."""
+    """Return all faults of a configuration file and its feature files; empty if a router accepts them."""
     try:
-        told = orjson.loads(path.read_bytes())
+        config = orjson.loads(path.read_bytes())
     except OSError as error:
         return [Fault("", f"can't be read: {error.strerror or error}")]
     except orjson.JSONDecodeError as error:
-        return [Fault("", f"no JSON: {error}")]
-    faults = find_faults(told)
+        return [Fault("", f"not valid JSON: {error}")]
+    faults = find_faults(config)
     for file in with_files:
         try:
             read_features([file])
--- a/saltport/router/log.py
+++ b/saltport/router/log.py
@@ -1,15 +1,15 @@
-"""A log of few lines on standard error: a fault that repeats must not cost the CPU that it lacks."""
+"""A rate-limited log on standard error: a repeated fault must not use up the CPU by logging."""
 
 from __future__ import annotations
 
 import logging
 import time
 
-LINES_A_SECOND = 5
+MAX_LINES_PER_S = 5
 
 
-class _Limit(logging.Filter):
-    """Lets a few lines through each second and counts the rest."""
+class _RateLimitFilter(logging.Filter):
+    """Passes up to `MAX_LINES_PER_S` log records in each second, and counts the others."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -19,19 +19,19 @@
         second = int(time.monotonic())
         if second != self._second:
             if self._dropped:
-                record.msg = f"({self._dropped} lines left out) {record.msg}"
+                record.msg = f"({self._dropped} lines suppressed) {record.msg}"
             self._second, self._lines, self._dropped = second, 0, 0
         self._lines += 1
-        kept = self._lines <= LINES_A_SECOND
-        self._dropped += not kept
-        return kept
+        is_within_limit = self._lines <= MAX_LINES_PER_S
+        self._dropped += not is_within_limit
+        return is_within_limit
 
 
-def make_logger(name: str) -> logging.Logger:
-    """The router's logger."""
+def configure_logger(name: str) -> logging.Logger:
+    """Set up and return the logger "saltport", which writes rate-limited lines that include `name`."""
     handler = logging.StreamHandler()
     handler.setFormatter(logging.Formatter(f"%(asctime)s {name} %(levelname)s %(message)s"))
-    handler.addFilter(_Limit())
+    handler.addFilter(_RateLimitFilter())
     logger = logging.getLogger("saltport")
     logger.addHandler(handler)
     logger.setLevel(logging.INFO)
--- a/saltport/router/zones.py
+++ b/saltport/router/zones.py
@@ -1,4 +1,4 @@
-"""`[topology]` of a file of features into the module's terms."""
+"""Conversion of the section `[topology]` of a feature file into the decision module's topology."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
     zones: Sequence[str], here: str, regions: Mapping[str, str], costs: Mapping[str, Any],
     origins: Mapping[str, str], capacity: Mapping[str, Any],
 ) -> Topology:  # fmt: skip
-    """Raises ValueError with one plain line."""
-    places = {zone: place for place, zone in enumerate(zones)}
-    for name, told in (("regions", regions), ("capacity", capacity)):
-        for zone in told:
-            if zone not in places:
+    """Return the topology of `zones` as seen from the zone `here`; raises ValueError (one line of text)."""
+    indexes = {zone: index for index, zone in enumerate(zones)}
+    for name, table in (("regions", regions), ("capacity", capacity)):
+        for zone in table:
+            if zone not in indexes:
                 raise ValueError(f"topology.{name}: {zone!r} is none of {', '.join(zones)}")
-    between: dict[tuple[int, int], float] = {}
+    cost_by_pair: dict[tuple[int, int], float] = {}
     for path, cost in costs.items():
-        one, slash, two = path.partition("/")
-        if not slash or one not in places or two not in places:
+        source, slash, target = path.partition("/")
+        if not slash or source not in indexes or target not in indexes:
             raise ValueError(f"topology.costs: expected ZONE/ZONE, got {path!r}")
-        between[places[one], places[two]] = _number(f"topology.costs.{path}", cost)
+        cost_by_pair[indexes[source], indexes[target]] = _number(f"topology.costs.{path}", cost)
     return Topology(
         tuple(zones),
         here,
         tuple(regions.get(zone, zone if regions else "") for zone in zones),
-        between,
+        cost_by_pair,
         tuple(origins.items()),
         tuple(_number(f"topology.capacity.{zone}", capacity.get(zone, 0)) for zone in zones),
     )
--- a/saltport/simulator/__init__.py
+++ b/saltport/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""What the simulator starts: its wire, and the decisions behind it."""
+"""The program that the simulator runs: its protocol, connected to the decision module."""
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -1,4 +1,7 @@
-"""The simulator's wire (one JSON value a line) to the library's interface and back. No decisions."""
+"""Translation between the simulator's protocol, one JSON value per line, and the decision module's interface.
+
+This module makes no routing decisions of its own.
+"""
 
 from __future__ import annotations
 
@@ -116,13 +119,13 @@
 
 
 class Adapter:
-    """Hosts router instances by number and answers batches of wire events."""
+    """Hosts router instances, identified by number, and answers batches of protocol events."""
 
     def __init__(self) -> None:
         self._routers: dict[int, Router] = {}
 
     def answer(self, line: bytes) -> bytes:
-        """Answer one batch with one reply line; raises WireError on malformed input."""
+        """Return the reply line to one batch of events; raises WireError on malformed input."""
         try:
             batch = typed("batch", orjson.loads(line), dict)
             now = typed("batch.nowNs", batch["nowNs"], int)
@@ -158,7 +161,7 @@
         if name == "destroy":
             del self._routers[number]
             return
-        if name == "inbox":  # routers share nothing: a peer's message is no observation of one's own
+        if name == "inbox":  # a peer's message, which is ignored: in the simulator routers share no state
             return
         try:
             event = _EVENTS[name](fields)
@@ -169,7 +172,7 @@
             ) from None
         try:
             actions = router.handle(event, now)
-        except Exception as error:  # a failure in the decisions is reported where the wire provides for it
+        except Exception as error:  # reported in the protocol's own form
             orders.append({"panic": {"message": f"{type(error).__name__}: {error}"}})
             return
         for action in actions:
@@ -177,7 +180,7 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every line of `source` until it ends."""
+    """Answer every line of `source` on `sink` until `source` ends."""
     adapter = Adapter()
     for line in source:
         sink.write(adapter.answer(line))
@@ -185,7 +188,7 @@
 
 
 def main() -> int:
-    """Serve the simulator on standard input and output."""
+    """Serve the simulator on standard input and output; return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/tests/router/test_check.py
+++ b/tests/router/test_check.py
@@ -89,7 +89,7 @@
     path = tmp_path / "config.json"
     assert "can't be read" in check_file(path)[0].reason
     path.write_text("{")
-    assert "no JSON" in check_file(path)[0].reason
+    assert "not valid JSON" in check_file(path)[0].reason
     path.write_text(json.dumps({name: GOOD[name] for name in GOOD if name != "listen"}))
     assert check_file(path) == [Fault("", "missing field 'listen'")]
 
