--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Plugins of the whole suite, and the order of its files."""
+"""Plugins of the test suite, and the order in which its files run."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
     "tests/nemesis/",
     "tests/test_soak.py",
 )
-"""A worker takes a file whole: begun last, each of these would make the run longer by all it takes."""
+"""One worker runs all tests of a file, so a long file that starts last would prolong the whole run."""
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Begin with the longest files. The sort is stable: no file's tests change their order."""
+    """Run the longest files first; the sort is stable, so tests keep their order within a file."""
     items.sort(key=_rank)
 
 
--- a/tests/router/test_check.py
+++ b/tests/router/test_check.py
@@ -1,4 +1,4 @@
-"""`saltport check` tells every fault of a configuration at once, and agrees with what a router takes."""
+"""`saltport check` reports all faults of a configuration at once, and agrees with the router's reader."""
 
 from __future__ import annotations
 
@@ -26,18 +26,18 @@
 
 
 def changed(change: Callable[[dict[str, Any]], object]) -> dict[str, Any]:
-    told = copy.deepcopy(GOOD)
-    change(told)
-    return told
+    config = copy.deepcopy(GOOD)
+    change(config)
+    return config
 
 
 def put(path: str, value: Any) -> Callable[[dict[str, Any]], object]:
-    def change(told: dict[str, Any]) -> None:
+    def change(config: dict[str, Any]) -> None:
         *names, last = path.split("/")
-        held: Any = told
+        container: Any = config
         for name in names:
-            held = held[int(name) if name.isdigit() else name]
-        held[int(last) if last.isdigit() else last] = value
+            container = container[int(name) if name.isdigit() else name]
+        container[int(last) if last.isdigit() else last] = value
 
     return change
 
@@ -65,20 +65,20 @@
 
 
 @pytest.mark.parametrize("path", BAD)
-def test_each_fault_is_told_with_its_path(path: str) -> None:
+def test_each_fault_is_reported_with_its_path(path: str) -> None:
     assert [fault.path for fault in find_faults(changed(BAD[path]))] == [path]
 
 
-def test_all_faults_are_told_in_one_go() -> None:
-    told = copy.deepcopy(GOOD)
+def test_all_faults_are_reported_at_once() -> None:
+    config = copy.deepcopy(GOOD)
     paths = [path for path in BAD if path not in ("settings.classes", "settings.tenants")]
     for path in paths:
-        BAD[path](told)
-    assert {fault.path for fault in find_faults(told)} >= set(paths) - {"settings.classes[1].dedupWindowNs"}
+        BAD[path](config)
+    assert {fault.path for fault in find_faults(config)} >= set(paths) - {"settings.classes[1].dedupWindowNs"}
 
 
 def test_missing_fields_are_named() -> None:
-    faults = find_faults(changed(lambda told: told["settings"]["classes"][0].pop("giveUpNs")))
+    faults = find_faults(changed(lambda config: config["settings"]["classes"][0].pop("giveUpNs")))
     assert len(faults) == 1
     assert "giveUpNs" in str(faults[0])
     assert [fault.path for fault in find_faults({})] == [""]
@@ -101,15 +101,15 @@
         strategies.just([]), strategies.just({}), strategies.just([None]),
     ),
 )  # fmt: skip
-def test_what_is_found_good_a_router_takes(path: str, value: Any, tmp_path_factory: Any) -> None:
+def test_a_file_without_faults_is_accepted_by_a_router(path: str, value: Any, tmp_path_factory: Any) -> None:
     names = path.replace("[", "/").replace("]", "").replace(".", "/")
-    told = changed(put(names, value))
+    config = changed(put(names, value))
     file = tmp_path_factory.mktemp("check") / "config.json"
-    file.write_text(json.dumps(told))
+    file.write_text(json.dumps(config))
     faults = check_file(file)
     assert all(fault.reason for fault in faults)
     if not faults:
         try:
             load_config({"LB_CONFIG": str(file)})
         except ConfigError as error:
-            pytest.fail(f"found good, and turned down: {error}")
+            pytest.fail(f"no fault found, but rejected by the router's reader: {error}")
--- a/tests/router/test_descriptors.py
+++ b/tests/router/test_descriptors.py
@@ -1,6 +1,6 @@
-"""More servers than the router may hold descriptors for: each is dialed in its turn, nothing waits in vain.
+"""More servers than the router has descriptors: all are dialed in turn, and no request is forgotten.
 
-The pool's sweep is stopped in the first tests: what is left to it would come too late for most requests.
+The first tests stop the pool's periodic sweep: a request that only the sweep rescued would mostly be late.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 
 class Read(Exchange):
-    """A read that keeps how it ended."""
+    """A read that records its outcome."""
 
     def __init__(self, name: str) -> None:
         info = b"c=get,t=acme,d=60000"
@@ -53,7 +53,7 @@
 
 
 class Servers:
-    """Servers on loopback, in the test's loop; they count what is open, all together and each."""
+    """Servers on loopback in the test's loop, which count open connections and the requests of each."""
 
     def __init__(self, silent: bool = False) -> None:
         self.open = self.most = 0
@@ -120,7 +120,7 @@
     run(scene())
 
 
-def test_server_that_is_short_and_no_longer_wanted_takes_no_connection_from_another() -> None:
+def test_server_without_descriptor_and_requests_takes_no_connection_from_another() -> None:
     async def scene() -> None:
         fleet, pool = Servers(), pool_without_sweep(1)
         first, second = await fleet.listen(pool, 2)
@@ -132,7 +132,7 @@
         again = Read("again")
         pool.submit(first, again)
         assert await again.outcome is Outcome.OK
-        assert again.kept, "on the connection of before"
+        assert again.kept, "the second read reuses the connection"
         assert len(fleet.asked) == 1
         pool.close()
         fleet.close()
@@ -140,7 +140,7 @@
     run(scene())
 
 
-def test_descriptor_of_a_connection_that_waits_for_a_late_answer_goes_to_who_is_short() -> None:
+def test_descriptor_of_a_connection_that_waits_for_a_late_answer_goes_to_a_server_without_one() -> None:
     async def scene() -> None:
         slow, well, pool = Servers(silent=True), Servers(), pool_without_sweep(1)
         (silent,) = await slow.listen(pool, 1)
@@ -171,8 +171,8 @@
 ) -> None:
     peer = serving()
     discovery, port = DiscoveryPeer([entry(peer, f"s{n:04d}") for n in range(servers)]), free_port()
-    told = configuration(port, discovery, sockets=128) | {"admin_addr": f"127.0.0.1:{free_port()}"}
-    process = start_router(tmp_path, told)
+    config = configuration(port, discovery, sockets=128) | {"admin_addr": f"127.0.0.1:{free_port()}"}
+    process = start_router(tmp_path, config)
     try:
         eventually(lambda: is_ready(port), "the router is ready")
         router = Routed(process, port, discovery, tmp_path)
@@ -185,7 +185,7 @@
     finally:
         process.terminate()
         _, log = process.communicate(timeout=PATIENCE_S)
-        for held in (peer, discovery.peer):
-            held.close()
+        for server in (peer, discovery.peer):
+            server.close()
     assert process.returncode == 0, log
     assert "Traceback" not in log, log
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -1,7 +1,8 @@
-"""A router that is held up does not hold it against its servers: answers in the kernel are read first.
+"""A router whose event loop is blocked does not count the delay against its servers.
 
-The loop is blocked on purpose, until a peer's thread says that its answer is written and for longer than the
-attempt's patience: nothing rests on the machine's speed.
+Answers that wait in the kernel are read before a time-out is decided. The tests block the loop on purpose,
+until a peer's thread has written its answer and for longer than the attempt's time-out, so that the results
+do not depend on the machine's speed.
 """
 
 from __future__ import annotations
@@ -35,12 +36,12 @@
 from tests.sockets import MISS, PATIENCE_S, Peer, hit
 
 MS = 1_000_000
-PATIENCE_NS = 30 * MS
+ATTEMPT_TIMEOUT_NS = 30 * MS
 BLOCK_S = 0.2
 
 
 class Decisions:
-    """Sends each request to the server that its key names, with a short patience, and notes the ends."""
+    """A decision module that sends each request to the server named by its key and records the ends."""
 
     def __init__(self) -> None:
         self.ends: list[AttemptEnded] = []
@@ -49,7 +50,7 @@
 
     def handle(self, event: Event, now: int) -> list[Action]:
         if isinstance(event, RequestArrived):
-            return [Send(event.request, event.key or "", PATIENCE_NS)]
+            return [Send(event.request, event.key or "", ATTEMPT_TIMEOUT_NS)]
         if isinstance(event, AttemptEnded):
             self.ends.append(event)
             self.ended.set()
@@ -57,7 +58,7 @@
 
 
 class NoReply:
-    """A client's place that nobody reads."""
+    """A reply that is discarded."""
 
     request: Any = None
     source: Any = None
@@ -72,7 +73,7 @@
         return False
 
 
-def asked(number: int, server: str) -> Request:
+def request_to(number: int, server: str) -> Request:
     info = b"c=get,t=acme,d=20000"
     return Request(b"r%d" % number, server.encode(), "get", "acme", 20_000, None, False, info)
 
@@ -103,12 +104,12 @@
 
 async def end_of(host: RouterHost, decisions: Decisions, number: int, server: str) -> None:
     decisions.ended.clear()
-    host.request_arrived(asked(number, server), NoReply())  # type: ignore[arg-type]
+    host.request_arrived(request_to(number, server), NoReply())  # type: ignore[arg-type]
     await decisions.ended.wait()
 
 
 class Answering:
-    """A peer whose thread tells when an answer has been written."""
+    """A peer that sets `written` when its thread has written an answer."""
 
     def __init__(self, answer: bytes | None = None, after: threading.Event | None = None) -> None:
         self.written, self._after = threading.Event(), after
@@ -124,19 +125,24 @@
 
 def block(until: threading.Event) -> None:
     assert until.wait(PATIENCE_S)
-    time.sleep(BLOCK_S)  # far over the patience
+    time.sleep(BLOCK_S)  # far longer than the attempt's time-out
 
 
-async def held_up(host: RouterHost, decisions: Decisions, read_first: Answering, quick: Answering) -> None:
-    """Ask both, and block the loop where it reads the first answer: next are timers, and not the kernel."""
+async def block_while_reading(
+    host: RouterHost, decisions: Decisions, read_first: Answering, quick: Answering
+) -> None:
+    """Send a request to both servers, and block the loop while it reads the first answer.
+
+    After that the loop runs due timers before it polls the kernel again.
+    """
     await end_of(host, decisions, 1, "s1")
     await end_of(host, decisions, 2, "s2")
     quick.written.clear()
     blocking = NoReply()
     blocking.served = lambda value: block(quick.written)  # type: ignore[method-assign]
     read_first.written.clear()
-    host.request_arrived(asked(3, "s1"), blocking)  # type: ignore[arg-type]
-    host.request_arrived(asked(4, "s2"), NoReply())  # type: ignore[arg-type]
+    host.request_arrived(request_to(3, "s1"), blocking)  # type: ignore[arg-type]
+    host.request_arrived(request_to(4, "s2"), NoReply())  # type: ignore[arg-type]
     while len(decisions.ends) < 4:
         await asyncio.sleep(0.01)
 
@@ -146,16 +152,16 @@
     quick = Answering(after=read_first.written)
 
     async def scene(host: RouterHost, decisions: Decisions) -> None:
-        await held_up(host, decisions, read_first, quick)
+        await block_while_reading(host, decisions, read_first, quick)
 
     ends = play({"s1": read_first.peer, "s2": quick.peer}, scene)
-    told = {end.request: end for end in ends}
-    assert told["r4"].outcome is Outcome.OK
-    assert told["r4"].latency - told["r4"].lag < BLOCK_S * NS_PER_S / 2
+    ended = {end.request: end for end in ends}
+    assert ended["r4"].outcome is Outcome.OK
+    assert ended["r4"].latency - ended["r4"].lag < BLOCK_S * NS_PER_S / 2
 
 
 def test_a_request_that_left_late_gets_its_time_back() -> None:
-    """What is written in a turn leaves at its end: a stall right behind the write is not the server's."""
+    """Data leaves at the end of a loop iteration: a stall after the write is not the server's delay."""
     quick = Answering()
     stalled = threading.Event()
     stalled.set()
@@ -164,12 +170,12 @@
         await end_of(host, decisions, 1, "s1")
         decisions.ended.clear()
 
-        def turn() -> None:
+        def send_and_block() -> None:
             host.touched()
-            host.request_arrived(asked(2, "s1"), NoReply())  # type: ignore[arg-type]
+            host.request_arrived(request_to(2, "s1"), NoReply())  # type: ignore[arg-type]
             block(stalled)
 
-        asyncio.get_running_loop().call_later(0.005, turn)
+        asyncio.get_running_loop().call_later(0.005, send_and_block)
         await decisions.ended.wait()
 
     ends = play({"s1": quick.peer}, scene)
@@ -184,7 +190,7 @@
         await end_of(host, decisions, 1, "s1")
         quick.written.clear()
         decisions.ended.clear()
-        host.request_arrived(asked(2, "s1"), NoReply())  # type: ignore[arg-type]
+        host.request_arrived(request_to(2, "s1"), NoReply())  # type: ignore[arg-type]
         asyncio.get_running_loop().call_soon(block, quick.written)
         await decisions.ended.wait()
 
@@ -197,7 +203,7 @@
     stalled.set()
 
     async def scene(host: RouterHost, decisions: Decisions) -> None:
-        host.request_arrived(asked(1, "s1"), NoReply())  # type: ignore[arg-type]
+        host.request_arrived(request_to(1, "s1"), NoReply())  # type: ignore[arg-type]
         block(stalled)  # before the loop has seen the connection come up
         await decisions.ended.wait()
 
@@ -220,13 +226,13 @@
         await end_of(host, decisions, 2, "quick")
         quick.written.clear()
         for number, server in ((3, "silent"), (4, "quick")):
-            host.request_arrived(asked(number, server), NoReply())  # type: ignore[arg-type]
+            host.request_arrived(request_to(number, server), NoReply())  # type: ignore[arg-type]
         asyncio.get_running_loop().call_soon(block, quick.written)
         while len(decisions.ends) < 4:
             await asyncio.sleep(0.01)
 
     ends = play({"silent": silent, "quick": quick.peer}, scene)
-    told = {end.request: end.outcome for end in ends}
-    assert told == {"r1": Outcome.OK, "r2": Outcome.OK, "r3": Outcome.TIMEOUT, "r4": Outcome.OK}
+    ended = {end.request: end.outcome for end in ends}
+    assert ended == {"r1": Outcome.OK, "r2": Outcome.OK, "r3": Outcome.TIMEOUT, "r4": Outcome.OK}
     late = next(end for end in ends if end.request == "r3")
-    assert late.latency - late.lag >= PATIENCE_NS / 2
+    assert late.latency - late.lag >= ATTEMPT_TIMEOUT_NS / 2
--- a/tests/router/test_limits.py
+++ b/tests/router/test_limits.py
@@ -1,4 +1,4 @@
-"""Long values, floods, restarts and configuration of the real router, over loopback sockets."""
+"""Long values, overload, shutdown, reload and configuration of the real router, over loopback sockets."""
 
 from __future__ import annotations
 
@@ -74,12 +74,12 @@
     cache = Peer(lambda _, words: hit(LONG * 2))
     with routed(tmp_path, {"s1": cache}) as router:
         before = router.memory_kb()
-        clients = [router.client() for _ in range(15)]  # as many as may have an attempt at one server
+        clients = [router.client() for _ in range(15)]  # the maximum of attempts at one server
         for i, client in enumerate(clients):
             client.send(get(f"l{i}", f"k{i}"))
         eventually(lambda: len(cache.seen) == len(clients), "all attempts")
         assert router.client().ask(bulk(b"PING")) == b"+PONG"
-        assert router.memory_kb() - before < 15 * 1024  # of 60 MiB that are on their way
+        assert router.memory_kb() - before < 15 * 1024  # the values have 60 MiB in total
         for client in clients:
             client.close()
 
@@ -144,14 +144,14 @@
         halves = [router.client() for _ in range(3)]
         for client, cut in zip(halves, (3, 30, -2), strict=True):
             client.send(get("half")[:cut])
-        whole = router.client()
+        complete = router.client()
         for client in halves:
             assert client.answer().startswith(b"-ERR Protocol error: command not finished")
             assert client.at_end()
         took = time.monotonic() - begun
         assert took >= 2.0
-        assert whole.at_end()
-        assert PROGRESS_S + SWEEP_S < 3.0  # what a client is owed, whatever this machine took
+        assert complete.at_end()
+        assert PROGRESS_S + SWEEP_S < 3.0  # the limit for clients; the time taken here depends on the machine
 
 
 def test_deep_pipeline_is_answered_in_order(tmp_path: Path) -> None:
@@ -175,8 +175,10 @@
             assert client.ask(get(f"r{i}", f"k{i}")) in (b"r%d" % i, b"-BUSY")
 
 
-def _asking(router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str) -> None:
-    """A client that follows the protocol: a close between requests is met with a new connection."""
+def _run_client(
+    router_port: int, stop: threading.Event, lost: list[str], served: list[str], name: str
+) -> None:
+    """Run a client that follows the protocol: it reconnects if its connection is closed between requests."""
     client, i = Client(router_port), 0
     while not stop.is_set():
         i += 1
@@ -188,7 +190,7 @@
             try:
                 client = Client(router_port)
             except OSError:
-                return  # the router has gone, with nothing of ours
+                return  # the router has ended, with no request of this client open
             continue
         (served if answer == f"{name}.{i}".encode() else lost).append(answer.decode())
 
@@ -203,7 +205,7 @@
         slow = router.client()
         stop, lost, served = threading.Event(), list[str](), list[str]()
         threads = [
-            threading.Thread(target=_asking, args=(router.port, stop, lost, served, f"c{i}"))
+            threading.Thread(target=_run_client, args=(router.port, stop, lost, served, f"c{i}"))
             for i in range(6)
         ]
         for thread in threads:
@@ -243,7 +245,7 @@
         assert busy.answer() == b"old"
         client = router.client()
         names = (f"w{i}" for i in range(10_000))
-        eventually(lambda: client.ask(get(next(names))) == b"old", "what the new address tells later")
+        eventually(lambda: client.ask(get(next(names))) == b"old", "a later change from the new address")
         moved.peer.close()
 
 
--- a/tests/router/test_memcached.py
+++ b/tests/router/test_memcached.py
@@ -1,4 +1,4 @@
-"""Clients of the memcached binary protocol before the real router: a real library, and scripted ones."""
+"""Clients of the memcached binary protocol at the real router: a client library, and scripted clients."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
         client.disconnect_all()
     first, *both, last = [(key, body) for key, body, _ in store.writes]
     assert (first, last) == ((b"b", b"two"), (b"b", b""))
-    assert sorted(both) == [(b"c", b"three"), (b"d", b"four")]  # a batch runs side by side
-    # What is told is at most what is left, and the rest of the list goes as it was made here.
-    told = [re.findall(rb"Request-Info: c=put,t=acme,d=(\d+),k=", head) for _, _, head in store.writes]
-    assert all(len(found) == 1 and 0 < int(found[0]) <= 5000 for found in told)
+    assert sorted(both) == [(b"c", b"three"), (b"d", b"four")]  # the commands of a batch run concurrently
+    # The time-out sent is at most the time left; the rest of the list is the router's own.
+    timeouts_ms = [re.findall(rb"Request-Info: c=put,t=acme,d=(\d+),k=", head) for _, _, head in store.writes]
+    assert all(len(found) == 1 and 0 < int(found[0]) <= 5000 for found in timeouts_ms)
 
 
 def test_both_protocols_on_one_listener_see_the_same(tmp_path: Path) -> None:
@@ -72,10 +72,10 @@
         client = Binary(port)
         reads = [Packet(Opcode.GETKQ, b"k%d" % i, opaque=i) for i in range(1000)]
         client.send(*reads, Packet(Opcode.GETQ, b"broken", opaque=5000), Packet(Opcode.NOOP, opaque=6000))
-        told = client.answers(1002)
-        assert [packet.opaque for packet in told] == [*range(1000), 5000, 6000]
-        assert all(packet.key == b"k%d" % i for i, packet in enumerate(told[:1000]))
-        assert told[1000].status in (Status.BUSY, Status.TEMPORARY_FAILURE)
+        answers = client.answers(1002)
+        assert [packet.opaque for packet in answers] == [*range(1000), 5000, 6000]
+        assert all(packet.key == b"k%d" % i for i, packet in enumerate(answers[:1000]))
+        assert answers[1000].status in (Status.BUSY, Status.TEMPORARY_FAILURE)
         client.send(
             Packet(Opcode.SETQ, b"n", bytes(8), b"1"), Packet(Opcode.DELETEQ, b"n"), Packet(Opcode.NOOP)
         )
@@ -91,11 +91,11 @@
         client.send(Packet(Opcode.GET, b"k"), Packet(Opcode.QUIT, opaque=8))
         assert [packet.opcode for packet in client.answers(2)] == [Opcode.GET, Opcode.QUIT]
         assert client.at_end()
-        held = router.descriptors()
+        descriptors = router.descriptors()
         leaver = Binary(port)
         leaver.send(*[Packet(Opcode.GETQ, b"cold%d" % i) for i in range(200)])
         leaver.socket.close()
-        eventually(lambda: router.descriptors() <= held + 20, "the client's connection is closed")
+        eventually(lambda: router.descriptors() <= descriptors + 20, "the client's connection is closed")
         again = Binary(port)
         again.send(Packet(Opcode.GET, b"k"))
         assert again.answers(1)[0].value == b"v"
@@ -110,7 +110,7 @@
     ],
     ids=["ones", "4 GB", "response"],
 )
-def test_what_cannot_be_followed_gets_an_error_and_a_close_and_harms_nobody(
+def test_unparsable_stream_gets_an_error_and_a_close_and_affects_no_other_client(
     tmp_path: Path, junk: bytes
 ) -> None:
     store = Store()
@@ -140,22 +140,22 @@
         ('tenant_prefixes = "x"', "memcached.tenant_prefixes: expected a table"),
     ],
 )
-def test_slips_are_told_with_their_place(tmp_path: Path, line: str, words: str) -> None:
+def test_mistakes_are_reported_with_their_place(tmp_path: Path, line: str, words: str) -> None:
     name = line.split(" ", maxsplit=1)[0]
-    kept = [old for old in FRONT.format(port=1).splitlines() if not old.startswith(name + " ")]
+    others = [other for other in FRONT.format(port=1).splitlines() if not other.startswith(name + " ")]
     path = tmp_path / "memcached.toml"
-    path.write_text("\n".join([*kept, line]))
+    path.write_text("\n".join([*others, line]))
     with routed(tmp_path, {"s1": Peer(lambda _, words: hit(words[2]))}) as router:
-        told = router.told()
+        config_values = router.told()
     config = tmp_path / "config.json"
     with pytest.raises((ConfigError, FeatureError)) as raised:
         load_config({"LB_CONFIG": str(config)}, [path])
     assert words in str(raised.value)
-    process = start_router(tmp_path, told, ["--with", str(path)])
+    process = start_router(tmp_path, config_values, ["--with", str(path)])
     _, log = process.communicate(timeout=PATIENCE_S)
     assert (process.returncode, words in log) == (2, True)
 
 
 def test_the_shipped_file_is_good() -> None:
-    told = read_features([Path(__file__).parents[2] / "deploy/memcached.toml"]).memcached
-    assert (told.on, told.read_class) == (True, "fetch")
+    features = read_features([Path(__file__).parents[2] / "deploy/memcached.toml"]).memcached
+    assert (features.on, features.read_class) == (True, "fetch")
--- a/tests/router/test_outliers.py
+++ b/tests/router/test_outliers.py
@@ -1,4 +1,4 @@
-"""Servers that die, break and come back, seen through the real router and its operators' calls."""
+"""Ejection and return of failing servers, observed through the real router and its administration calls."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 
 
 def outliers(router: Routed) -> dict[str, Any]:
-    told: Any = ask(router.admin, "/state")["outliers"]
-    return dict(told)
+    state: Any = ask(router.admin, "/state")["outliers"]
+    return dict(state)
 
 
 def read_all(router: Routed, name: str, count: int = 40) -> None:
@@ -33,7 +33,7 @@
     with routed(tmp_path, {"s1": dying, "s2": good, "s3": other}) as router:
         read_all(router, "a", 5)
         assert outliers(router)["ejected"] == 0
-        dying.close()  # idle connections stay and are served; new ones are refused
+        dying.close()  # idle connections stay open and are served; new ones are refused
         dying.handler = lambda connection, _: reset(connection)
 
         def ejected() -> bool:
@@ -41,9 +41,9 @@
             return bool(outliers(router)["servers"].get("s1", {}).get("state") == "ejected")
 
         eventually(ejected, "s1 is ejected")
-        told = outliers(router)
-        assert (told["ejected"], told["panic"]) == (1, False)
-        assert "in a row" in (reason := told["servers"]["s1"]["reason"]) or "trial" in reason
+        state = outliers(router)
+        assert (state["ejected"], state["panic"]) == (1, False)
+        assert "in a row" in (reason := state["servers"]["s1"]["reason"]) or "trial" in reason
         back = Peer(lambda _, words: hit(words[2]), port=dying.port)
         try:
 
--- a/tests/router/test_overload.py
+++ b/tests/router/test_overload.py
@@ -1,4 +1,4 @@
-"""A router that gets too little CPU sheds, says so, blames nobody, and takes all again afterwards."""
+"""A router with too little CPU sheds requests, reports that, ejects no server, and recovers afterwards."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class Starved:
-    """Leaves a process some 5 ms of every 205."""
+    """Lets a process run for about 5 ms of every 205 ms."""
 
     def __init__(self, pid: int) -> None:
         self._pid, self._over = pid, threading.Event()
@@ -49,8 +49,8 @@
         client = router.client()
 
         def state() -> dict[str, Any]:
-            told: Any = ask(router.admin, "/state", timeout_s=20.0)
-            return dict(told)
+            answer: Any = ask(router.admin, "/state", timeout_s=20.0)
+            return dict(answer)
 
         assert client.ask(get("r0")) == b"r0"
         assert state()["overload"]["overloaded"] is False
@@ -65,17 +65,17 @@
         with Starved(router.process.pid):
             answer: bytes = eventually(refused, "a read is shed")
             assert int(answer.split()[1]) > 0
-            told = state()
-        assert told["overload"]["overloaded"]
-        (given_up,) = told["given_up"]
+            overloaded = state()
+        assert overloaded["overload"]["overloaded"]
+        (given_up,) = overloaded["given_up"]
         assert given_up["name"][1] == "router overloaded"
         assert given_up["last_60_s"] >= 1
-        assert told["outliers"]["ejected"] == 0
+        assert overloaded["outliers"]["ejected"] == 0
 
         def recovered() -> bool:
             return state()["overload"]["overloaded"] is False
 
         eventually(recovered, "the overload is over")
-        client = router.client()  # the other one was idle for too long
+        client = router.client()  # the first connection was idle for too long
         for i in range(50):
             assert client.ask(get(f"z{i}", f"k{i}", d=60_000)) == b"z%d" % i
--- a/tests/router/test_routing.py
+++ b/tests/router/test_routing.py
@@ -52,9 +52,9 @@
         (message,) = origin.seen
         assert message[:2] == [b"GET", b"/p/kg"]
         assert b"Request-Id: id1\r\n" in message[2]
-        # What is told is at most what is left, and the rest of the list goes as it came.
-        (told,) = re.findall(rb"Request-Info: c=get,t=acme,d=(\d+)\r\n", message[2])
-        assert 0 < int(told) <= 4321
+        # The time-out sent is at most the time left; the rest of the list is forwarded unchanged.
+        (timeout_ms,) = re.findall(rb"Request-Info: c=get,t=acme,d=(\d+)\r\n", message[2])
+        assert 0 < int(timeout_ms) <= 4321
 
 
 def test_write_goes_to_the_origin_with_its_value(tmp_path: Path) -> None:
@@ -68,13 +68,13 @@
 
 
 def test_errors_of_the_origin_leave_a_part_of_the_fetches_that_it_took(tmp_path: Path) -> None:
-    held = threading.Event()
+    release = threading.Event()
 
     def fetch(_: socket.socket, message: list[bytes]) -> bytes:
         if message[1].startswith(b"/bad"):
             return http_answer(500)
         if message[1].startswith(b"/held"):
-            held.wait(PATIENCE_S)
+            release.wait(PATIENCE_S)
         return http_answer(200, message[1][1:])
 
     cache, origin = Peer(lambda _, words: MISS), Peer(fetch, True)
@@ -84,22 +84,22 @@
             assert client.ask(get(f"r{i}", f"k{i}")) == b"k%d" % i
         for i in range(2):
             assert client.ask(get(f"b{i}", f"bad{i}")).startswith(b"-BUSY ")
-        time.sleep(5.5)  # the window forgets what was counted; the limit stays
+        time.sleep(5.5)  # the counts leave the window, but the limit stays
         client = router.client()
         client.send(b"".join(get(f"h{i}", f"held{i}", 15_000) for i in range(6)))
         eventually(lambda: sum(m[1].startswith(b"/held") for m in origin.seen) == 6, "all six fetches")
-        held.set()
+        release.set()
         assert [client.answer() for _ in range(6)] == [b"held%d" % i for i in range(6)]
 
 
 def test_pipelined_commands_are_answered_in_their_order(tmp_path: Path) -> None:
-    held = threading.Event()
+    release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
         if words[2] == b"slow":
-            held.wait(10)
+            release.wait(10)
         else:
-            held.set()
+            release.set()
         return hit(words[2])
 
     cache = Peer(answer)
@@ -148,7 +148,7 @@
     with routed(tmp_path, {"s1": bad, "s2": good}) as router:
         client = router.client()
         for name in ("error", "junk", "reset"):
-            for i in range(30):  # keys enough that each cache is asked first for some
+            for i in range(30):  # enough keys that each cache server is asked first for some of them
                 sent = name if i % 2 else "fine"
                 answer = client.ask(get(f"{name}" if sent == name else f"fine{name}{i}", f"k{i}"))
                 assert answer in (name.encode(), f"fine{name}{i}".encode())
@@ -170,7 +170,7 @@
     dead.close()
     with routed(tmp_path, {"s1": dead, "s2": good}) as router:
         client = router.client()
-        for i in range(20):  # keys enough that each cache is asked first for some
+        for i in range(20):  # enough keys that each cache server is asked first for some of them
             assert client.ask(get(f"r{i}", f"k{i}", d=15_000)) == b"r%d" % i
 
 
@@ -180,7 +180,7 @@
         client = router.client()
         for i in range(60):
             assert client.ask(get(f"r{i}", f"k{i}", d=15_000)) == b"r%d" % i
-        assert len(bad.seen) <= 12  # two until it counts as down, and trials if the machine is slow
+        assert len(bad.seen) <= 12  # two until it is ejected, and trials if the machine is slow
 
 
 def test_server_that_turns_reads_away_is_asked_less(tmp_path: Path) -> None:
@@ -189,7 +189,7 @@
         client = router.client()
         answers = [client.ask(get(f"r{i}", f"k{i}", d=15_000)) for i in range(100)]
         assert all(a == b"r%d" % i or a.startswith(b"-BUSY ") for i, a in enumerate(answers))
-        # About half the keys are the full server's: some go to the other one, then it is the load.
+        # About half of the keys belong to the full server: some are moved to the other one, then refused.
         assert any(a.startswith(b"-BUSY ") for a in answers)
         assert len(full.seen) < 20
 
@@ -208,7 +208,7 @@
         assert client.ask(get("first", d=200)).startswith(b"-BUSY")
         release.set()
         for i in range(10):
-            # refusals are the module's caution after a time-out; an answer must be the request's own
+            # The router may refuse reads after a time-out, but an answer must belong to its request.
             answer_came = client.ask(get(f"r{i}"))
             assert answer_came == b"r%d" % i or answer_came.startswith(b"-BUSY")
 
@@ -229,7 +229,7 @@
         client.send(b"".join(get(f"a{i}") for i in range(4)))
         router.until("current", 0)
         time.sleep(IDLE_S + 2 * SWEEP_S)
-        # Late, and quick from here on: by a window of 4 KB the values take seconds.
+        # Read late, but fast from now on: with a window of 4 KB the values would take seconds.
         client.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
         client.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_WINDOW_CLAMP, 1 << 20)
         assert [client.answer() for _ in range(4)] == [value] * 4
@@ -253,11 +253,11 @@
         client = router.client()
         for i in range(30):
             assert client.ask(get(f"r{i}", f"k{i}")) == b"r%d" % i
-        assert cache.accepted <= 10  # one, and one more whenever this machine holds the test up
+        assert cache.accepted <= 10  # one, and another whenever the machine delays the test
         begun = time.monotonic()
         assert client.ask(get("last")) == b"last"
         assert ended.wait(PATIENCE_S)
-        assert time.monotonic() - begun > 0.3  # not with the answer either
+        assert time.monotonic() - begun > 0.3  # the connection was not closed right after the answer
 
 
 @pytest.mark.parametrize("more", [b"\x00noise\r\n", b"x", hit(b"stray"), b"$3\r\nab", b"*999999999\r\n"])
@@ -267,7 +267,7 @@
         client = router.client()
         assert [client.ask(get(f"r{i}")) for i in range(3)] == [b"r0", b"r1", b"r2"]
         assert len(cache.seen) == 3
-        assert cache.accepted == 2  # the connection with more on it is of no further use
+        assert cache.accepted == 2  # a connection with further data is not used again
 
 
 @pytest.mark.parametrize(
@@ -301,7 +301,7 @@
         assert router.client().ask(get("r1", d=15_000)).startswith(b"-BUSY ")
 
 
-def test_breaks_of_kept_connections_are_not_held_against_a_server(tmp_path: Path) -> None:
+def test_breaks_of_reused_connections_do_not_count_against_a_server(tmp_path: Path) -> None:
     used: set[socket.socket] = set()
     together = threading.Barrier(2)
 
@@ -320,14 +320,14 @@
         assert [client.answer() for _ in range(2)] == [b"open1", b"open2"]
         assert (
             client.ask(get("r0", "k3", d=15_000)) == b"r0"
-        )  # after a break on each of the two that were kept
+        )  # after a break of each of the two idle connections
         assert cache.accepted == 3
         assert [client.ask(get(f"r{i}", f"k{i}", d=15_000)) for i in range(1, 20)] == [
             b"r%d" % i for i in range(1, 20)
         ]
 
 
-def test_fetch_whose_kept_connection_breaks_is_made_once_more(tmp_path: Path) -> None:
+def test_fetch_whose_reused_connection_breaks_is_repeated(tmp_path: Path) -> None:
     used: set[socket.socket] = set()
 
     def fetch(connection: socket.socket, message: list[bytes]) -> bytes:
@@ -344,10 +344,10 @@
 
 
 class Ask(Exchange):
-    """An exchange of its own, outside any router."""
+    """An exchange that is submitted directly to a pool, without a router."""
 
     def __init__(self) -> None:
-        self.came: asyncio.Future[tuple[Outcome, bytes | None]] = asyncio.get_running_loop().create_future()
+        self.result: asyncio.Future[tuple[Outcome, bytes | None]] = asyncio.get_running_loop().create_future()
 
     request = Request(b"r", b"k", "get", "acme", 5000, None, False, b"c=get,t=acme,d=5000")
 
@@ -355,11 +355,11 @@
         return 5000
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
-        self.came.set_result((outcome, value))
+        self.result.set_result((outcome, value))
 
 
 class Full(Ask):
-    """A reader of a long value who can't take more at its last part, and takes again only later."""
+    """A reader of a long value that pauses the source at the last part."""
 
     def value_started(self, length: int, source: ValueSource) -> None:
         self.source, self.left = source, length
@@ -371,7 +371,7 @@
 
 
 @pytest.mark.parametrize("is_origin", [False, True])
-def test_value_whose_client_was_full_at_its_end_leaves_a_connection_that_is_read(is_origin: bool) -> None:
+def test_pause_at_the_end_of_a_value_leaves_a_connection_that_is_read(is_origin: bool) -> None:
     long = b"v" * 100_000
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -385,9 +385,9 @@
         pool.list_server("s1", ("127.0.0.1", peer.port), connect)
         first, second = Full(), Ask()
         pool.submit("s1", first)
-        assert await first.came == (Outcome.OK, None)
+        assert await first.result == (Outcome.OK, None)
         pool.submit("s1", second)
-        assert await second.came == (Outcome.OK, b"short")
+        assert await second.result == (Outcome.OK, b"short")
         assert second.kept
         pool.close()
 
@@ -411,10 +411,10 @@
             server.settimeout(PATIENCE_S)
             assert await loop.run_in_executor(None, server.recv, 4096) == get("r")
             server.sendall(hit(b"first"))
-            assert await first.came == (Outcome.OK, b"first")
+            assert await first.result == (Outcome.OK, b"first")
             (connection,) = pool._servers["s1"].idle
             assert connection.transport is not None
-            # Nothing below lets the loop run before the second exchange is submitted.
+            # The loop must not run between here and the submission of the second exchange.
             if then == "closes":
                 server.close()
             else:
@@ -426,7 +426,7 @@
             other.settimeout(PATIENCE_S)
             assert await loop.run_in_executor(None, other.recv, 4096) == get("r")
             other.sendall(hit(b"second"))
-            assert await second.came == (Outcome.OK, b"second")
+            assert await second.result == (Outcome.OK, b"second")
             pool.close()
             server.close()
             other.close()
@@ -465,7 +465,7 @@
         assert len(old.seen) == count
 
 
-def test_what_waits_for_a_server_that_drains_goes_to_another(tmp_path: Path) -> None:
+def test_attempts_queued_for_a_draining_server_go_to_another(tmp_path: Path) -> None:
     release = threading.Event()
 
     def answer(_: socket.socket, words: list[bytes]) -> bytes:
@@ -495,9 +495,9 @@
         router.discovery.change(entry(second, "s1"))
         names = (f"w{i}" for i in range(10_000))
         eventually(lambda: client.ask(get(next(names))) == b"second", "the new address")
-        asked = len(first.seen)
+        seen_before = len(first.seen)
         assert [client.ask(get(f"r{i}", f"k{i}")) for i in range(1, 20)] == [b"second"] * 19
-        assert len(first.seen) == asked
+        assert len(first.seen) == seen_before
 
 
 def test_answer_from_the_old_address_counts_and_its_connection_is_used_no_more(tmp_path: Path) -> None:
@@ -535,9 +535,9 @@
     cache = Peer(lambda _, words: hit(words[2]))
     with routed(tmp_path, {"s1": cache}) as router:
         router.discovery.junk = junk
-        asked = len(router.discovery.peer.seen)
+        seen_before = len(router.discovery.peer.seen)
         router.discovery.change(entry(cache, "s1"))
-        eventually(lambda: len(router.discovery.peer.seen) > asked + 2, "more calls of discovery")
+        eventually(lambda: len(router.discovery.peer.seen) > seen_before + 2, "more calls of discovery")
         assert router.client().ask(get("r1")) == b"r1"
 
 
@@ -627,26 +627,26 @@
 
 
 def test_server_that_reports_to_be_slow_gives_part_of_its_keys_to_the_next(tmp_path: Path) -> None:
-    def told(latency: bytes) -> Callable[[socket.socket, list[bytes]], bytes]:
+    def reporting(latency: bytes) -> Callable[[socket.socket, list[bytes]], bytes]:
         return lambda _, words: hit(words[2]).replace(b"$22\r\nlatency_ms=1.5,queue=2", latency)
 
-    slow = Peer(told(b"$23\r\nlatency_ms=9500,queue=2"))
-    good, noisy = Peer(told(b"$20\r\nqueue=2,latency_ms=7")), Peer(told(b"$7\r\nlatency"))
+    slow = Peer(reporting(b"$23\r\nlatency_ms=9500,queue=2"))
+    good, noisy = Peer(reporting(b"$20\r\nqueue=2,latency_ms=7")), Peer(reporting(b"$7\r\nlatency"))
     with routed(tmp_path, {"slow": slow, "good": good, "noisy": noisy}) as router:
         client = router.client()
         keys = [f"k{i}" for i in range(60)]
         for key in keys:
             assert client.ask(get(f"first-{key}", key)) == f"first-{key}".encode()
-        its = {words[1] for words in slow.seen}
-        turns = count()
+        slow_keys = {words[1] for words in slow.seen}
+        rounds = count()
 
-        def given() -> bool:
-            turn = next(turns)
+        def keys_moved() -> bool:
+            round_number = next(rounds)
             for key in keys:
-                assert client.ask(get(f"{turn}-{key}", key)) == f"{turn}-{key}".encode()
-            return any(words[1] in its for words in [*good.seen, *noisy.seen])
+                assert client.ask(get(f"{round_number}-{key}", key)) == f"{round_number}-{key}".encode()
+            return any(words[1] in slow_keys for words in [*good.seen, *noisy.seen])
 
-        eventually(given, "keys at the next server")
+        eventually(keys_moved, "keys at the next server")
 
 
 def test_time_out_with_the_request_s_end_leaves_its_connection_to_the_late_answer(tmp_path: Path) -> None:
@@ -661,7 +661,7 @@
     with routed(tmp_path, {"s1": cache}) as router:
         client = router.client()
         assert client.ask(get("a1")) == b"a1"
-        assert client.ask(get("a2", "slow", 60)).startswith(b"-BUSY"), "final at once, though it still runs"
+        assert client.ask(get("a2", "slow", 60)).startswith(b"-BUSY"), "refused while the attempt still runs"
         late.set()
         eventually(lambda: ask(router.admin, "/state")["late"] == 0, "the late answer has come")
         assert client.ask(get("a3")) == b"a3"
@@ -669,7 +669,7 @@
         assert ask(router.admin, "/stats")["answered"]["get"] == 2
 
 
-def test_late_answers_keep_nobody_from_a_silent_server() -> None:
+def test_late_answers_do_not_block_attempts_at_a_silent_server() -> None:
     async def play() -> None:
         loop = asyncio.get_running_loop()
         pool = Pool(loop, 64, PATIENCE_S, PATIENCE_S)
@@ -680,7 +680,7 @@
             while exchange.connection is None:
                 await asyncio.sleep(0.001)
             exchange.leave(Outcome.TIMEOUT, PATIENCE_S)
-            assert await exchange.came == (Outcome.TIMEOUT, None)
+            assert await exchange.result == (Outcome.TIMEOUT, None)
             server = pool._servers["s1"]
             assert server.held <= PER_SERVER
             assert len(server.late) <= PER_SERVER
--- a/tests/router/test_second_connection.py
+++ b/tests/router/test_second_connection.py
@@ -1,4 +1,4 @@
-"""Requests that seldom meet at a server share its one connection; those that often do get a second one."""
+"""Requests that rarely overlap at a server share one connection; frequent overlaps open a second one."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 def test_wait_is_twice_the_usual_answer_until_requests_meet_often() -> None:
     second = SecondConnection(IDLE_S)
-    assert second.wait_s(0.0) == LONGEST_WAIT_S, "nothing is known yet"
+    assert second.wait_s(0.0) == LONGEST_WAIT_S, "no answer time is known yet"
     second.answered(ANSWER_S)
     waits = [second.wait_s(turn * IDLE_S / MEETINGS) for turn in range(1, MEETINGS + 1)]
     assert waits == [2 * ANSWER_S] * (MEETINGS - 2) + [0.0, 0.0]
-    assert second.wait_s(3 * IDLE_S) == 2 * ANSWER_S, "they don't any more"
+    assert second.wait_s(3 * IDLE_S) == 2 * ANSWER_S, "the overlaps have become rare again"
 
 
 @pytest.mark.parametrize(("waits_s", "connections"), [(PATIENCE_S, 1), (0.0, 2)])
@@ -48,22 +48,22 @@
 
 
 def test_read_behind_a_silent_answer_has_a_second_connection_in_time(tmp_path: Path) -> None:
-    let_go = threading.Event()
+    release = threading.Event()
 
     def serve(_: object, words: list[bytes]) -> bytes:
         if words[1] == b"silent":
-            let_go.wait(PATIENCE_S)
+            release.wait(PATIENCE_S)
         return hit(words[2])
 
     cache = Peer(serve)
     with routed(tmp_path, {"s1": cache}) as router:
-        held, client = router.client(), router.client()
+        waiting, client = router.client(), router.client()
         assert client.ask(get("a0")) == b"a0"
-        held.send(get("a1", "silent"))
-        eventually(lambda: len(cache.seen) == 2, "the silent one is out")
+        waiting.send(get("a1", "silent"))
+        eventually(lambda: len(cache.seen) == 2, "the server has the silent request")
         begun = time.monotonic()
         assert client.ask(get("a2", "other")) == b"a2"
-        assert time.monotonic() - begun < 1.0, "long before the silent one's time is over"
+        assert time.monotonic() - begun < 1.0, "long before the silent request times out"
         assert cache.accepted == 2
-        let_go.set()
-        assert held.answer() == b"a1"
+        release.set()
+        assert waiting.answer() == b"a1"
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter over a pipe: batches in, replies out, plain words on malformed input."""
+"""The simulator's adapter over a pipe: batches of events in, replies out, error messages for bad input."""
 
 from __future__ import annotations
 
@@ -95,7 +95,7 @@
     assert orders(second, 3) == [{"listen": {"want": True}}]
 
 
-def test_every_event_of_the_wire_is_taken() -> None:
+def test_every_event_of_the_protocol_is_accepted() -> None:
     result = run(
         create(),
         batch(10, ask("r", key=None)),
@@ -149,7 +149,7 @@
     assert result.returncode == 2
     assert words in result.stderr
     assert len(result.stderr.splitlines()) == 1
-    assert len(result.stdout.splitlines()) == 1  # the good batch was answered, the bad one was not
+    assert len(result.stdout.splitlines()) == 1  # the valid batch was answered, the invalid one was not
 
 
 def test_failure_in_the_decisions_is_a_panic() -> None:
--- a/tests/test_deadline.py
+++ b/tests/test_deadline.py
@@ -1,4 +1,4 @@
-"""What is left until a moment, in whole milliseconds and never more than there is."""
+"""Deadlines: the remaining time in whole milliseconds, rounded down, and comparison of deadlines."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
         (AT + 9 * NS_PER_MS, 0),
     ],
 )
-def test_what_is_left_is_rounded_down_and_never_below_nothing(now: int, left: int) -> None:
+def test_remaining_time_is_rounded_down_and_never_negative(now: int, left: int) -> None:
     assert Deadline(AT).remaining_ms(now) == left
 
 
-def test_deadline_is_over_from_its_moment_on() -> None:
+def test_deadline_is_expired_from_its_time_on() -> None:
     assert [Deadline(AT).expired(AT + step) for step in (-1, 0, 1)] == [False, True, True]
 
 
-def test_of_two_the_earlier_one_holds() -> None:
+def test_no_later_than_returns_the_earlier_deadline() -> None:
     early, late = Deadline(AT), Deadline(AT + 1)
     assert early.no_later_than(late) == late.no_later_than(early) == early.no_later_than(NEVER) == early
