--- a/saltport/router/check.py
+++ b/saltport/router/check.py
@@ -128,7 +128,8 @@
 }
 
 
-def _path(parts: Any) -> str:
+def _format_path(parts: Any) -> str:
+    """Return a path like `settings.classes[1].aimNs` for a sequence of keys and indexes."""
     path = ""
     for part in parts:
         path += f"[{part}]" if isinstance(part, int) else f".{part}" if path else str(part)
@@ -136,9 +137,10 @@
 
 
 def _schema_faults(config: Any) -> Iterator[Fault]:
+    """Yield the violations of the JSON Schema."""
     for error in Draft202012Validator(SCHEMA).iter_errors(config):
         reason = error.message if len(error.message) <= 160 else f"{error.message[:157]}..."
-        yield Fault(_path(error.absolute_path), reason)
+        yield Fault(_format_path(error.absolute_path), reason)
 
 
 def _as_dict(value: Any) -> dict[str, Any]:
@@ -154,6 +156,7 @@
 
 
 def _duplicate_names(path: str, entries: list[Any]) -> Iterator[Fault]:
+    """Yield a fault for each entry whose name an earlier entry of the list has."""
     seen: dict[str, int] = {}
     for number, entry in enumerate(entries):
         name = _as_dict(entry).get("name")
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -87,15 +87,15 @@
         raise ConfigError("LB_CONFIG is not set")
     try:
         data = typed("the file", orjson.loads(Path(path).read_bytes()), dict)
-        config = _config(data, environ)
+        config = _parse_config(data, environ)
         features = read_features(with_files)
         return replace(
             config,
             settings=features.settings(config.settings),
             memcached=features.memcached,
-            access_log=_access_log(features.access_log),
-            peers=_peers(features.peers, data, config.name) if features.peers.on else None,
-            owners=_owners(features, config.name) if features.owners.on else None,
+            access_log=_check_access_log(features.access_log),
+            peers=_peer_plan(features.peers, data, config.name) if features.peers.on else None,
+            owners=_owners_plan(features, config.name) if features.owners.on else None,
             failover=features.failover.on,
         )
     except OSError as error:
@@ -117,11 +117,11 @@
     return load_config({name: value for name, value in environ.items() if name != "LB_DISCOVERY"}, with_files)
 
 
-def _positive(where: str, value: Any, default: int) -> int:
+def _positive_or_default(where: str, value: Any, default: int) -> int:
     return default if value is None else int(number(where, value, 1))
 
 
-def _descriptor(text: str | None) -> int | None:
+def _parse_descriptor(text: str | None) -> int | None:
     if not text:
         return None
     if not text.isdecimal():
@@ -129,14 +129,15 @@
     return int(text)
 
 
-def _paths(data: dict[str, Any], under: str = "") -> Iterator[str]:
+def _key_paths(data: dict[str, Any], prefix: str = "") -> Iterator[str]:
+    """Yield the dotted path of each key of `data` and of the tables in it."""
     for key, value in data.items():
-        yield under + key
+        yield prefix + key
         if isinstance(value, dict) and key not in START_ONLY_KEYS:
-            yield from _paths(value, f"{under}{key}.")
+            yield from _key_paths(value, f"{prefix}{key}.")
 
 
-def _peers(features: PeerFeatures, data: dict[str, Any], name: str) -> PeerPlan:
+def _peer_plan(features: PeerFeatures, data: dict[str, Any], name: str) -> PeerPlan:
     """Return this router's address and those of its peers; raises FeatureError."""
     # Danger: these imports must stay local: while the feature is off, its library must not use memory.
     from saltport.peers.envelope import KeyFileError, read_keys
@@ -167,14 +168,14 @@
     return PeerPlan(addresses[0], tuple(addresses[1:]), features.zone, keys)
 
 
-def _access_log(features: AccessLogFeatures) -> AccessLogFeatures:
+def _check_access_log(features: AccessLogFeatures) -> AccessLogFeatures:
     """Return `features` unchanged; raises FeatureError if the folder does not exist."""
     if features.folder and not Path(features.folder).is_dir():
         raise FeatureError(f"access_log.folder: {features.folder} is no folder")
     return features
 
 
-def _owners(features: Features, name: str) -> OwnersPlan:
+def _owners_plan(features: Features, name: str) -> OwnersPlan:
     """Return the settings of the owner election; raises FeatureError."""
     from saltport.owners.link import OwnersPlan
     from saltport.owners.raft import NS_PER_MS, RaftSettings
@@ -205,7 +206,7 @@
     return OwnersPlan(owners.voters, folder, owners.begin, owners.pieces, owners.trials, settings)
 
 
-def _config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def _parse_config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
     facts = typed("settings", data["settings"], dict)
     ceilings = facts.get("ceilings") or {}
     limits = typed("limits", data.get("limits") or {}, dict)
@@ -216,15 +217,17 @@
         discovery=parse_address("discovery", environ.get("LB_DISCOVERY") or data["discovery"]),
         seed=int(str(data.get("seed") or "0"), 16),
         settings=read_settings(facts),
-        max_open=_positive("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
-        dial_timeout=_positive(
+        max_open=_positive_or_default("ceilings.maxOpen", ceilings.get("maxOpen"), DEFAULT_MAX_OPEN),
+        dial_timeout=_positive_or_default(
             "ceilings.dialTimeoutNs", ceilings.get("dialTimeoutNs"), DEFAULT_DIAL_TIMEOUT_NS
         ),
-        idle_close=_positive("ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS),
-        memory=_positive("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
-        sockets=_positive("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
+        idle_close=_positive_or_default(
+            "ceilings.idleCloseNs", ceilings.get("idleCloseNs"), DEFAULT_IDLE_CLOSE_NS
+        ),
+        memory=_positive_or_default("limits.memory_mb", limits.get("memory_mb"), DEFAULT_MEMORY_MB) << 20,
+        sockets=_positive_or_default("limits.sockets", limits.get("sockets"), DEFAULT_SOCKETS),
         known=data.get("known"),
         admin=parse_address("admin_addr", admin) if admin else None,
-        listen_fd=_descriptor(environ.get("LB_SOCKET_FD")),
-        keys=frozenset(_paths(data)) - START_ONLY_KEYS,
+        listen_fd=_parse_descriptor(environ.get("LB_SOCKET_FD")),
+        keys=frozenset(_key_paths(data)) - START_ONLY_KEYS,
     )
--- a/saltport/router/features.py
+++ b/saltport/router/features.py
@@ -367,7 +367,7 @@
         except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
             raise FeatureError(f"{path}: not valid TOML: {error}") from None
         for section, values in file_sections.items():
-            _check(path, section, values)
+            _check_section(path, section, values)
             sections.setdefault(section, {}).update(values)
     features = Features(
         **{section: _SECTION_CLASSES[section](**values) for section, values in sections.items()}
@@ -377,13 +377,14 @@
     return features
 
 
-def _check(path: Path, section: str, values: Any) -> None:
+def _check_section(path: Path, section: str, values: Any) -> None:
+    """Check the names and types of a section's values; raises FeatureError."""
     known = _VALIDATORS.get(section)
     if known is None or not isinstance(values, dict):
-        raise FeatureError(f"{path}: unknown section [{section}]; there are {', '.join(_VALIDATORS)}")
+        raise FeatureError(f"{path}: unknown section [{section}]; known are {', '.join(_VALIDATORS)}")
     for name, value in values.items():
         if name not in known:
-            raise FeatureError(f"{path}: {section}.{name} is unknown; there are {', '.join(known)}")
+            raise FeatureError(f"{path}: {section}.{name} is unknown; known are {', '.join(known)}")
         is_valid, expected = known[name]
         if not is_valid(value):
             raise FeatureError(f"{path}: {section}.{name}: expected {expected}, got {value!r}")
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -76,9 +76,9 @@
         self.loop, self.settings = loop, settings
         self.ready = False
         self.final_deadline = NEVER
-        """By when all must have their final answers, once the process is ending."""
+        """Latest time for all final answers, once the process is shutting down."""
         self.subscribe: Callable[[], None] = lambda: None
-        """Begins a watch where discovery is message; whoever owns the watch sets it."""
+        """Starts a watch of the server list, if discovery has to be asked; set by the watch's owner."""
         self._router = Router(settings, seed)
         self._pool, self._max_open = pool, max_open
         self.figures = Figures(())
