--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -275,4 +275,4 @@
 def test_deadline_of_the_router_is_later_than_the_sent_one_by_the_uncertainty() -> None:
     received = Received(5 * NS_PER_MS, 8 * NS_PER_MS)
     assert received.deadline(100).at_ns == 108 * NS_PER_MS
-    assert received.doubt_ns == 3 * NS_PER_MS
+    assert received.uncertainty_ns == 3 * NS_PER_MS
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -19,7 +19,7 @@
 from benchmarks.platform import Platform, Process, platform
 from benchmarks.upgrades import measure
 from saltport.admin.client import ask
-from saltport.router.requests import STALL_S
+from saltport.router.requests import VALUE_STALL_TIMEOUT_S
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
 from tests.binary import MEMCACHED_FEATURE, MemcachedClient
 from tests.sockets import (
@@ -55,12 +55,12 @@
         answer = self._head % len(LONG) + LONG + self._tail
         sent = self.first
         connection.sendall(answer[:sent])
-        # Danger: the router treats a node that is silent for STALL_S as failed, and on a busy machine a
-        # process takes longer than that to start. So the node sends byte by byte, except in tests of the last
-        # bytes.
+        # Danger: the router treats a node that is silent for VALUE_STALL_TIMEOUT_S as failed, and on a busy
+        # machine a process takes longer than that to start. So the node sends byte by byte, except in tests
+        # of the last bytes.
         step = int(len(answer) - sent > len(LONG) // 2)
         end = time.monotonic() + TIMEOUT_S
-        while not self.released.wait(STALL_S / 8):
+        while not self.released.wait(VALUE_STALL_TIMEOUT_S / 8):
             assert time.monotonic() < end
             connection.sendall(answer[sent : sent + step])
             sent += step
@@ -202,7 +202,7 @@
         node.released.set()
         # The values are buffered in the router: the client's kernel takes far less than eight of them.
         new = upgrade(cluster, old)
-        time.sleep(STALL_S + 1)
+        time.sleep(VALUE_STALL_TIMEOUT_S + 1)
         assert [client.answer() for _ in names] == [LONG] * len(names)
         eventually(lambda: ask(new.admin, "/stats")["current"] == 0, "all replies have been sent")
 
