--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -74,7 +74,7 @@
         host.retune(plan.config.settings)
         longest = max(longest, time.perf_counter() - begun)
         spent += time.process_time() - cpu
-        if not plan.retunes:
+        if not plan.settings_changed:
             raise RuntimeError("the change was not seen")
         held = plan.config
     each = spent / CHANGES
--- a/saltport/lifecycle/__init__.py
+++ b/saltport/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a router's process: start, signals, drain, reload, replacement, and what outlives it."""
+"""The lifecycle of a router process: start, signals, drain, reload, replacement, and stored bans."""
--- a/saltport/lifecycle/drain.py
+++ b/saltport/lifecycle/drain.py
@@ -1,61 +1,76 @@
-"""How a router is emptied, step by step. No I/O and no clock; all times are seconds since the drain began."""
+"""The steps of draining a router. No I/O and no clock; all times are seconds since the drain began."""
 
 from __future__ import annotations
 
 import math
 from dataclasses import dataclass
 
-# The protocol's terms: after SIGTERM new connections go on coming for FRONT_S; what came by KILL_SLACK_S may
-# be found unanswered by SIGKILL, and that comes no sooner than so long after the longest deadline, of which
-# LONGEST_S count at the most.
-FRONT_S, KILL_SLACK_S, LONGEST_S = 0.4, 0.7, 3.0
-# The operators' terms for a drain by call: at DRAINED_S no client's connection is idle, or has a request
-# that came within the last 2 s.
-DRAINED_S = 4.0
+# The protocol: new connections still arrive for NEW_CONNECTIONS_S after SIGTERM. A request received up to
+# KILL_SLACK_S after SIGTERM may be unanswered when SIGKILL arrives. The earliest SIGKILL is at the longest
+# deadline, limited to MAX_DEADLINE_S, plus KILL_SLACK_S after SIGTERM.
+NEW_CONNECTIONS_S, KILL_SLACK_S, MAX_DEADLINE_S = 0.4, 0.7, 3.0
+# The operators' requirement for a drain by call: at this time no client connection is idle or has a request
+# that was received within the last 2 s.
+OPERATOR_DRAIN_S = 4.0
 
-LATE_S = 0.1  # by which a step may come late, or a last answer leave
-HELD_UP_S = 0.15  # STANDING: for which a router may be held up between reading its clock and writing
-END_MARGIN_S = HELD_UP_S + LATE_S / 2  # between the last answers and the earliest SIGKILL
-ACCEPT_S = FRONT_S + LATE_S
-IDLE_S = 1.0
-MIDWAY_S = DRAINED_S - 0.8  # a command that is whole by then is answered, as long as it takes
-END_MIDWAY_S = KILL_SLACK_S - LATE_S / 2
+MAX_STEP_DELAY_S = 0.1  # maximum delay of a step, or of sending a last reply
+MAX_WRITE_DELAY_S = 0.15  # STANDING: maximum delay of a router between reading its clock and writing
+# Between the last replies and the earliest SIGKILL.
+SIGKILL_MARGIN_S = MAX_WRITE_DELAY_S + MAX_STEP_DELAY_S / 2
+ACCEPT_S = NEW_CONNECTIONS_S + MAX_STEP_DELAY_S
+CLOSE_IDLE_S = 1.0
+# A command that is complete by this time is answered, however long that takes.
+CLOSE_MID_COMMAND_S = OPERATOR_DRAIN_S - 0.8
+SHUTDOWN_CLOSE_MID_COMMAND_S = KILL_SLACK_S - MAX_STEP_DELAY_S / 2
 
 
 @dataclass(frozen=True, slots=True)
-class Step:
-    """What holds at one moment of a drain."""
+class DrainStep:
+    """Which connections are to be closed at one moment of a drain."""
 
-    leaving: bool
-    """Connections close after the answer that they wait for."""
-    idle: bool
-    """Connections that stand between requests close."""
-    midway: bool
-    """Connections within a command close, too."""
-    over: bool
-    """Nothing is waited for any longer: what is still open gets its final answer now."""
+    close_when_answered: bool
+    """Connections close once their outstanding requests are answered."""
+    close_idle: bool
+    """Connections without an outstanding request or a partial command close."""
+    close_mid_command: bool
+    """Connections with a partially received command close too."""
+    expired: bool
+    """The drain ends: every request still open gets its final reply now."""
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
-    """From when on each of a drain's steps holds."""
+class DrainPlan:
+    """The start time of each step of a drain."""
 
-    leaving: float
-    idle: float
-    midway: float
-    over: float
+    close_when_answered: float
+    close_idle: float
+    close_mid_command: float
+    expired: float
 
-    def step(self, since: float) -> Step:
-        """What holds so long after the drain began."""
-        return Step(since >= self.leaving, since >= self.idle, since >= self.midway, since >= self.over)
+    def step(self, elapsed_s: float) -> DrainStep:
+        """Return the step in force `elapsed_s` after the drain began."""
+        return DrainStep(
+            elapsed_s >= self.close_when_answered,
+            elapsed_s >= self.close_idle,
+            elapsed_s >= self.close_mid_command,
+            elapsed_s >= self.expired,
+        )
 
 
-BY_CALL = Plan(ACCEPT_S, IDLE_S, MIDWAY_S, math.inf)
-"""An operator empties the router; it goes on answering until it is told to go back to work."""
+OPERATOR_DRAIN = DrainPlan(ACCEPT_S, CLOSE_IDLE_S, CLOSE_MID_COMMAND_S, math.inf)
+"""The plan for an operator's drain call: the router answers requests until an operator ends the drain."""
 
 
-def at_the_end(longest: float, replaced: bool) -> Plan:
-    """At SIGTERM; `longest`: the longest deadline in seconds, `replaced`: another process accepts clients."""
-    # Danger: clients are sent here for a while yet, and what they send to a closed door is lost.
-    leaving = 0.0 if replaced else ACCEPT_S
-    return Plan(leaving, leaving, END_MIDWAY_S, min(longest, LONGEST_S) + KILL_SLACK_S - END_MARGIN_S)
+def shutdown_plan(longest_deadline_s: float, replaced: bool) -> DrainPlan:
+    """Return the plan for a drain after SIGTERM.
+
+    `replaced`: whether another process accepts clients in place of this one.
+    """
+    # Danger: clients still connect here for a while; requests sent to a closed listener are lost.
+    close_when_answered = 0.0 if replaced else ACCEPT_S
+    return DrainPlan(
+        close_when_answered,
+        close_when_answered,
+        SHUTDOWN_CLOSE_MID_COMMAND_S,
+        min(longest_deadline_s, MAX_DEADLINE_S) + KILL_SLACK_S - SIGKILL_MARGIN_S,
+    )
--- a/saltport/lifecycle/reload.py
+++ b/saltport/lifecycle/reload.py
@@ -1,4 +1,4 @@
-"""What a new configuration changes in a running router, and what it can't. No I/O."""
+"""Which parts of a new configuration a running router applies, and which need a restart. No I/O."""
 
 from __future__ import annotations
 
@@ -7,54 +7,61 @@
 from saltport.decisions import Settings
 from saltport.router.config import Config, ConfigError
 
-LIVE = ("settings", "discovery", "peers")
-AT_START = ("known", "seed", "keys")  # what tells of a start only, or of the file
-SETTINGS_AT_START = (
+RELOADABLE_FIELDS = ("settings", "discovery", "peers")
+NOT_COMPARED_FIELDS = ("known", "seed", "keys")  # they matter only at start, or describe the file itself
+RESTART_ONLY_SETTINGS = (
     "origin_kind", "weighted", "must_subscribe", "load_fields", "slots", "vectors", "hot_keys", "topology",
 )  # fmt: skip
 
 
 @dataclass(frozen=True, slots=True)
 class ReloadPlan:
-    """A configuration that may be taken, whole."""
+    """The effects of a valid new configuration on a running router."""
 
     config: Config
-    moves: bool
-    """Whether discovery is at another address."""
-    retunes: bool
-    """Whether settings differ."""
-    rekeys: bool
-    """Whether the keys between routers differ."""
-    waits: tuple[str, ...]
-    """What differs and has to wait for a restart."""
-
-
-def plan_reload(held: Config, told: Config) -> ReloadPlan:
-    """What to do with a configuration that was read; raises ConfigError where it is incomplete."""
-    missing = sorted(held.keys - told.keys)
+    """The configuration in force after the reload."""
+    discovery_changed: bool
+    """Whether the address of discovery changes."""
+    settings_changed: bool
+    """Whether settings change."""
+    peer_keys_changed: bool
+    """Whether the keys for messages between routers change."""
+    restart_required: tuple[str, ...]
+    """Names of the fields and settings that differ but change only at a restart."""
+
+
+def plan_reload(current: Config, loaded: Config) -> ReloadPlan:
+    """Return the effects of a newly loaded configuration; raises ConfigError if it lacks a current field."""
+    missing = sorted(current.keys - loaded.keys)
     if missing:
         raise ConfigError(
             f"missing field {missing[0]!r}" + (f" and {len(missing) - 1} more" * (len(missing) > 1))
         )
-    waits = [
+    restart_required = [
         field.name
         for field in fields(Config)
-        if field.name not in (*LIVE, *AT_START) and getattr(held, field.name) != getattr(told, field.name)
+        if field.name not in (*RELOADABLE_FIELDS, *NOT_COMPARED_FIELDS)
+        and getattr(current, field.name) != getattr(loaded, field.name)
     ]
-    waits += [
+    restart_required += [
         f"settings.{name}"
-        for name in SETTINGS_AT_START
-        if getattr(held.settings, name) != getattr(told.settings, name)
+        for name in RESTART_ONLY_SETTINGS
+        if getattr(current.settings, name) != getattr(loaded.settings, name)
     ]
-    rekeys = held.peers is not None and told.peers is not None and held.peers.keys != told.peers.keys
-    peers = replace(held.peers, keys=told.peers.keys) if held.peers and told.peers else held.peers
-    if peers != told.peers:
-        waits.append("peers")
-    settings = _live(held.settings, told.settings)
-    config = replace(held, settings=settings, discovery=told.discovery, keys=told.keys, peers=peers)
-    moves, retunes = told.discovery != held.discovery, settings != held.settings
-    return ReloadPlan(config, moves, retunes, rekeys, tuple(waits))
-
-
-def _live(held: Settings, told: Settings) -> Settings:
-    return replace(told, **{name: getattr(held, name) for name in SETTINGS_AT_START})
+    peer_keys_changed = (
+        current.peers is not None and loaded.peers is not None and current.peers.keys != loaded.peers.keys
+    )
+    peers = (
+        replace(current.peers, keys=loaded.peers.keys) if current.peers and loaded.peers else current.peers
+    )
+    if peers != loaded.peers:
+        restart_required.append("peers")
+    settings = _reloadable_settings(current.settings, loaded.settings)
+    config = replace(current, settings=settings, discovery=loaded.discovery, keys=loaded.keys, peers=peers)
+    discovery_changed, settings_changed = loaded.discovery != current.discovery, settings != current.settings
+    return ReloadPlan(config, discovery_changed, settings_changed, peer_keys_changed, tuple(restart_required))
+
+
+def _reloadable_settings(current: Settings, loaded: Settings) -> Settings:
+    """Return the loaded settings with the restart-only ones replaced by their current values."""
+    return replace(loaded, **{name: getattr(current, name) for name in RESTART_ONLY_SETTINGS})
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -1,4 +1,4 @@
-"""The router's process from start to end: its parts, operators' calls, signals, and its replacement."""
+"""The router process from start to exit: its components, operators' calls, signals, and its replacement."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from saltport.downstream.clients import ClientServer
 from saltport.downstream.resp import RespDialect
 from saltport.lifecycle.bans import Bans, BanStore
-from saltport.lifecycle.drain import BY_CALL, LATE_S, Plan, at_the_end
+from saltport.lifecycle.drain import MAX_STEP_DELAY_S, OPERATOR_DRAIN, DrainPlan, shutdown_plan
 from saltport.lifecycle.reload import plan_reload
 from saltport.lifecycle.takeover import Takeover
 from saltport.membership.listing import Listing, read_listing
@@ -44,24 +44,24 @@
     from saltport.peers.agent import MembershipEvent
     from saltport.peers.link import PeerLink
 
-READY_S = 1.0  # the wait for discovery's first list, after which the known one must do
-START_PATIENCE_S = 10.0  # for a listener that the machine has no resources for
-STEP_S = 0.01  # between two looks at what is left to drain
-RELOAD_AGAIN_S = 0.05  # where the machine is short of what reading the configuration needs
-LAST_ANSWERS_S = LATE_S / 2  # in which the last answers leave before SIGKILL may come
-FOLLOW_S = 0.1  # between two looks at what another process has put out or back
+FIRST_LIST_TIMEOUT_S = 1.0  # wait for the first list from discovery before the cached list is used
+START_TIMEOUT_S = 10.0  # for retries of a listener while the machine lacks resources
+POLL_S = 0.01  # between two checks of a drain, or of the readiness to accept
+RELOAD_RETRY_S = 0.05  # retry delay while the machine lacks the resources to read the configuration
+LAST_REPLIES_S = MAX_STEP_DELAY_S / 2  # to send the last replies before SIGKILL can arrive
+BAN_SYNC_S = 0.1  # between two checks for bans changed by another process
 OWN_DESCRIPTORS = 32  # standard streams, the listener, the event loop, discovery
-ADMIN_DESCRIPTORS = 36  # the operators' listener, and the most callers
-CLIENT_SHARE = 0.6
-BUDGET_SHARE = 0.2  # of the memory, for clients' long commands
-BANS = "saltport.out"
-LAG_WINDOW_NS = 500_000_000  # for so long a slow turn of the loop counts in its peers' favour
+ADMIN_DESCRIPTORS = 36  # the operators' listener and its maximum number of connections
+CLIENT_DESCRIPTOR_SHARE = 0.6
+COMMAND_MEMORY_SHARE = 0.2  # part of the memory limit for long commands of clients
+BANS_FOLDER = "saltport.out"
+LAG_WINDOW_NS = 500_000_000  # the longest loop delay in this window extends the time allowed to peers
 
 log = logging.getLogger("saltport")
 
 
 class Service:
-    """One router's process."""
+    """One router process: it builds all components, runs them, and carries out operators' calls."""
 
     def __init__(
         self,
@@ -72,21 +72,23 @@
     ) -> None:
         self._loop, self._config, self._environ, self._with_files = loop, config, environ, with_files
         self._terminated = asyncio.Event()
-        self._draining: asyncio.Task[None] | None = None
-        self._reload_again: asyncio.TimerHandle | None = None
+        self._drain_task: asyncio.Task[None] | None = None
+        self._reload_retry: asyncio.TimerHandle | None = None
         self._start_times = StartTimes()
-        self._has_list = False
-        """Whether discovery has told anything to this process."""
-        own = OWN_DESCRIPTORS + (ADMIN_DESCRIPTORS if config.admin else 0)
-        descriptors = max(config.sockets - own, 8)
-        for_clients = int(descriptors * CLIENT_SHARE)
-        dial, idle = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
-        self._pool = Pool(loop, descriptors - for_clients, dial, idle)
+        self._has_received_list = False
+        """Whether discovery has sent a list to this process."""
+        reserved = OWN_DESCRIPTORS + (ADMIN_DESCRIPTORS if config.admin else 0)
+        descriptors = max(config.sockets - reserved, 8)
+        client_descriptors = int(descriptors * CLIENT_DESCRIPTOR_SHARE)
+        dial_timeout_s, idle_close_s = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
+        self._pool = Pool(loop, descriptors - client_descriptors, dial_timeout_s, idle_close_s)
         self._host = RouterHost(loop, config.settings, config.seed, self._pool, config.max_open)
         self._pool.touched = self._host.touched
         self._memcached = _memcached(config.memcached) if config.memcached.on else None
-        budget = int(config.memory * BUDGET_SHARE)
-        self._clients = ClientServer(loop, self._host, self._dialect(), for_clients, budget)
+        command_memory = int(config.memory * COMMAND_MEMORY_SHARE)
+        self._clients = ClientServer(
+            loop, self._host, self._default_dialect(), client_descriptors, command_memory
+        )
         self._clients.dialects[RespDialect.name] = RespDialect
         if config.access_log.folder:
             self._clients.access_log = _access_log(loop, config)
@@ -96,15 +98,15 @@
             config.discovery,
             config.settings.must_subscribe,
             self._start_times,
-            self._take,
+            self._apply_listing,
             self._host.discovery_failed,
             config.settings.ask_within / NS_PER_S,
             random.Random(config.seed),
         )
         self._host.subscribe = self._discovery.subscribe
-        # What outlives the process has a place only where the platform gives one.
+        # State outlives the process only if the platform provides a folder for it.
         folder = environ.get("TMPDIR")
-        store = BanStore(Path(folder) / BANS) if folder and config.admin else None
+        store = BanStore(Path(folder) / BANS_FOLDER) if folder and config.admin else None
         self._bans = Bans(store, lambda: self._host.out, self._host.take_out, self._host.put_back)
         self._peers = _peer_link(loop, config, self._host) if config.peers is not None else None
         self._owners = (
@@ -114,12 +116,12 @@
         )
         self._failover = _failover_link(loop, config, self._peers, self._owners, self._host)
         self._takeover = (
-            Takeover(loop, Path(folder), self._clients.adopt, self._share, self._learnt)
+            Takeover(loop, Path(folder), self._clients.adopt, self._on_links_changed, self._learned_state)
             if folder and config.listen_fd is not None
             else None
         )
 
-    def _dialect(self) -> Callable[[], ClientDialect]:
+    def _default_dialect(self) -> Callable[[], ClientDialect]:
         if self._memcached is None or not self._config.memcached.shared:
             return RespDialect
         from saltport.downstream.memcached import DetectingDialect
@@ -127,48 +129,50 @@
         return partial(DetectingDialect, self._memcached, RespDialect)
 
     async def run(self) -> None:
-        """Run until SIGTERM, and then until all that was taken is answered. Raises OSError."""
+        """Run until SIGTERM, then until all received requests are answered. Raises OSError."""
         loop, config = self._loop, self._config
-        # Danger: a fault in one callback, printed each time it comes, would take the CPU of the others.
+        # Danger: a callback that keeps failing would take the CPU from others if each failure were printed.
         loop.set_exception_handler(
             lambda _, context: log.error("%s", context["message"], exc_info=context.get("exception"))
         )
         loop.add_signal_handler(signal.SIGTERM, self._terminated.set)
-        # Danger: without a handler SIGHUP ends the process and all that it has taken.
+        # Danger: without a handler, SIGHUP ends the process and loses all requests it has received.
         loop.add_signal_handler(signal.SIGHUP, self._reload)
-        self._bans.follow()
-        known = self._known()
-        # Danger: told in any case, as where discovery is asked the first watch follows from it.
+        self._bans.sync()
+        known = self._read_cached_list()
+        # Danger: sent even without a list, as the first watch follows from this event if discovery needs a
+        # subscription.
         self._host.servers_changed(known or Listing(0, ServersChanged(ListKind.CACHED), {}))
         admin = None
         if config.admin is not None:
-            from saltport.admin.listener import AdminListener  # only where operators call
+            from saltport.admin.listener import AdminListener  # imported only if enabled
 
             admin = AdminListener(self)
-            await outlast(partial(admin.listen, config.admin), START_PATIENCE_S)
+            await outlast(partial(admin.listen, config.admin), START_TIMEOUT_S)
         if config.listen_fd is None:
-            await outlast(partial(self._clients.listen, config.listen), START_PATIENCE_S)
+            await outlast(partial(self._clients.listen, config.listen), START_TIMEOUT_S)
         if self._memcached is not None and config.memcached.listen:
             address = parse_address("memcached.listen", config.memcached.listen)
-            await outlast(partial(self._clients.listen, address, self._memcached), START_PATIENCE_S)
-        log.info("listening, after %.2f s of processor time", time.process_time())
+            await outlast(partial(self._clients.listen, address, self._memcached), START_TIMEOUT_S)
+        log.info("listening after %.2f s of CPU time", time.process_time())
         if not config.settings.must_subscribe:
             self._discovery.start()
         if known is not None:
-            loop.call_later(READY_S, self._make_do)
+            loop.call_later(FIRST_LIST_TIMEOUT_S, self._use_cached_list)
         opening = loop.create_task(self._peers.open()) if self._peers is not None else None
         if config.listen_fd is not None:
-            await self._stand_beside(config.listen_fd)
+            await self._accept_beside_predecessor(config.listen_fd)
         await self._terminated.wait()
         if self._peers is not None and opening is not None:
-            # Danger: the next process of this router waits for the address, and is unknown until it has it.
+            # Danger: the next process of this router waits for the peer address, and other routers do not
+            # know that process until it has the address.
             opening.cancel()
             if self._failover is not None:
                 self._failover.close()
             if self._owners is not None:
-                await self._owners.close()  # what it holds is given back before it goes
-            await self._peers.close(self._takeover is not None and self._takeover.replaced)
-        await self._end()
+                await self._owners.close()  # releases its leases before the peer link closes
+            await self._peers.close(self._takeover is not None and self._takeover.has_successor)
+        await self._shut_down()
         if admin is not None:
             admin.close()
         if self._takeover is not None:
@@ -180,225 +184,244 @@
         self._pool.close()
         await asyncio.sleep(0)
 
-    async def _stand_beside(self, descriptor: int) -> None:
-        """Accept at the platform's socket, beside the process before this one, once it is of use."""
-        listener = await outlast(partial(_listening, descriptor), START_PATIENCE_S)
+    async def _accept_beside_predecessor(self, descriptor: int) -> None:
+        """Accept clients on the platform's socket beside the predecessor, once this process is ready."""
+        listener = await outlast(partial(_duplicate_listener, descriptor), START_TIMEOUT_S)
         if self._takeover is not None:
             await self._takeover.open()
-        self._follow_bans()
+        self._sync_bans()
         while not self._host.ready and not self._terminated.is_set():
-            await asyncio.sleep(STEP_S)
-        given_up = self._loop.time() + READY_S
-        while self._takeover is not None and self._takeover.learning and self._loop.time() < given_up:
-            await asyncio.sleep(STEP_S)
-        if self._takeover is not None and self._takeover.inherited:
+            await asyncio.sleep(POLL_S)
+        deadline = self._loop.time() + FIRST_LIST_TIMEOUT_S
+        while (
+            self._takeover is not None
+            and self._takeover.awaits_learned_state
+            and self._loop.time() < deadline
+        ):
+            await asyncio.sleep(POLL_S)
+        if self._takeover is not None and self._takeover.inherited_state:
             try:
-                self._host.inherit(orjson.loads(self._takeover.inherited))
+                self._host.inherit(orjson.loads(self._takeover.inherited_state))
             except ValueError as error:
-                log.warning("what the process before has learnt can't be read: %s", error)
+                log.warning("cannot use the learned state of the previous process: %s", error)
         self._clients.listen_at(listener)
 
-    def _learnt(self) -> bytes:
+    def _learned_state(self) -> bytes:
         return orjson.dumps(self._host.learnt())
 
-    def _follow_bans(self) -> None:
-        self._bans.follow()
-        self._loop.call_later(FOLLOW_S, self._follow_bans)
+    def _sync_bans(self) -> None:
+        self._bans.sync()
+        self._loop.call_later(BAN_SYNC_S, self._sync_bans)
 
-    def _share(self) -> None:
-        """Another process of this router has come or gone."""
+    def _on_links_changed(self) -> None:
+        """Adapt to the start or end of another process of this router."""
         assert self._takeover is not None
-        log.info("another process of this router %s", "runs beside" if self._takeover.shared else "has ended")
-        self._pool.share(self._takeover.shared)
+        log.info(
+            "another process of this router %s",
+            "is running" if self._takeover.has_other_process else "has ended",
+        )
+        self._pool.share(self._takeover.has_other_process)
 
     # The list of servers
 
-    def _known(self) -> Listing | None:
-        """The list as this router last had it; one that can't be read is no reason to end."""
-        told = self._config.known
-        if told is None:
+    def _read_cached_list(self) -> Listing | None:
+        """Return the cached server list from the configuration, or None if there is none or it is invalid."""
+        entries = self._config.known
+        if entries is None:
             return None
         try:
-            known = read_listing(told, self._start_times, ListKind.CACHED)
+            listing = read_listing(entries, self._start_times, ListKind.CACHED)
         except ValueError as error:
-            log.warning("known: %s; the router starts without it", error)
+            log.warning("known: invalid cached server list: %s; starting without it", error)
             return None
-        self._discovery.hold(told, known.generation)
-        return known
+        self._discovery.hold(entries, listing.generation)
+        return listing
 
-    def _take(self, listing: Listing) -> None:
-        if not self._has_list:
-            self._has_list = True
-            log.info("the first list has come: generation %d", listing.generation)
+    def _apply_listing(self, listing: Listing) -> None:
+        if not self._has_received_list:
+            self._has_received_list = True
+            log.info("received the first server list: generation %d", listing.generation)
         self._host.servers_changed(listing)
         self._host.ready = self._host.ready or not listing.more
 
-    def _make_do(self) -> None:
+    def _use_cached_list(self) -> None:
         self._host.ready = True
 
     # Operators' calls
 
     def healthy(self) -> bool:
-        """See Operations."""
+        """Whether this process accepts clients."""
         return self._clients.takes_clients and self._clients.accepting
 
     def stats(self) -> dict[str, Any]:
-        """See Operations."""
+        """Return the counters of requests, attempts and configuration loads."""
         return self._host.stats()
 
     def state(self) -> dict[str, Any]:
-        """See Operations."""
-        about = {"name": self._config.name, "pid": os.getpid(), "version": __version__}
-        now = {
+        """Return the internal state of the router, for reading by people."""
+        identity = {"name": self._config.name, "pid": os.getpid(), "version": __version__}
+        status = {
             "draining": self._clients.draining,
             "connected": self._clients.connected,
-            "shared": self._takeover is not None and self._takeover.shared,
-            "taken_over": self._takeover.taken if self._takeover is not None else 0,
+            "shared": self._takeover is not None and self._takeover.has_other_process,
+            "taken_over": self._takeover.adopted if self._takeover is not None else 0,
             "servers_may_hold": self._pool.limit,
             "late": self._pool.late,
         }
-        known = {"generation": self._discovery.generation, "peers": self.peers(), "owners": self.owners()}
-        return {**about, **now, **known, **self._host.view()}
+        registries = {
+            "generation": self._discovery.generation,
+            "peers": self.peers(),
+            "owners": self.owners(),
+        }
+        return {**identity, **status, **registries, **self._host.view()}
 
     def peers(self) -> dict[str, Any]:
-        """See Operations."""
+        """Return the membership of the fleet as this router sees it."""
         return {"on": True, **self._peers.view()} if self._peers is not None else {"on": False}
 
     def owners(self) -> dict[str, Any]:
-        """See Operations."""
+        """Return the work that this router owns; a voter also returns its record of all owners."""
         return {"on": True, **self._owners.view()} if self._owners is not None else {"on": False}
 
     def zones(self) -> dict[str, Any]:
-        """See Operations."""
+        """Return how reads are distributed over zones, the plan in force, and the plan owner's view."""
         return {"on": True, **self._failover.view()} if self._failover is not None else {"on": False}
 
     def order_zones(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
-        """See Operations."""
+        """Send the plan owner an order and return its number, or None if there is no such zone.
+
+        Raises CallError.
+        """
         if self._failover is None:
             raise CallError("failover is off")
         return self._failover.order(what, zone, way_ms, force)
 
     def step_down(self, to: str) -> None:
-        """See Operations."""
+        """Transfer leadership to the voter `to`, or to any voter if it is empty. Raises CallError."""
         reason = self._owners.step_down(to) if self._owners is not None else "owners are off"
         if reason:
             raise CallError(reason)
-        log.info("owners: leadership is handed over, by hand")
+        log.info("owners: leadership transferred by an operator")
 
     def settle_peers(self) -> bool:
-        """See Operations."""
+        """Compute majorities from the present members from now on; return False if membership is off."""
         if self._peers is not None:
-            log.info("peers: the present view is the yardstick, by hand")
+            log.info("peers: majorities reset to the present members by an operator")
             self._peers.settle()
         return self._peers is not None
 
     def take_out(self, server: str) -> bool:
-        """See Operations."""
-        return self._ban(server, self._bans.take_out)
+        """Send no more requests to a cache server; return False if it is unknown. Raises CallError."""
+        return self._change_ban(server, self._bans.ban)
 
     def put_back(self, server: str) -> bool:
-        """See Operations."""
-        return self._ban(server, self._bans.put_back)
+        """Lift the ban of a cache server; return False if it is unknown. Raises CallError."""
+        return self._change_ban(server, self._bans.unban)
 
-    def _ban(self, server: str, do: Callable[[str], None]) -> bool:
+    def _change_ban(self, server: str, change: Callable[[str], None]) -> bool:
         if not self._host.knows(server):
             return False
         try:
-            do(server)
+            change(server)
         except OSError as error:
-            raise CallError(f"it can't be kept: {error.strerror or error}") from None
-        log.info("%s: by hand: %s", server, "out" if server in self._host.out else "back")
+            raise CallError(f"cannot store the change: {error.strerror or error}") from None
+        log.info("%s: taken %s by an operator", server, "out" if server in self._host.out else "back")
         return True
 
     def drain(self) -> None:
-        """See Operations."""
-        if self._draining is None and not self._terminated.is_set():
-            log.info("drained by hand")
+        """Start to drain this process: it reports itself unhealthy and closes connections once answered."""
+        if self._drain_task is None and not self._terminated.is_set():
+            log.info("drain started by an operator")
             self._clients.draining = True
-            self._draining = self._loop.create_task(self._empty(BY_CALL, health=False))
+            self._drain_task = self._loop.create_task(
+                self._drain_connections(OPERATOR_DRAIN, close_health_checks=False)
+            )
 
     def resume(self) -> None:
-        """See Operations."""
+        """End a drain and return to normal service. Raises CallError."""
         if self._terminated.is_set():
             raise CallError("the process is ending")
-        if self._draining is not None:
-            log.info("back to work by hand")
-            self._draining.cancel()
-            self._draining = None
+        if self._drain_task is not None:
+            log.info("drain ended by an operator")
+            self._drain_task.cancel()
+            self._drain_task = None
         self._clients.draining = self._clients.closing_when_answered = False
 
-    async def _empty(self, plan: Plan, health: bool) -> None:
-        """Bring clients' connections to their end; `health`: also those that only ask how the router is."""
-        begun = self._loop.time()
-        while not (step := plan.step(self._loop.time() - begun)).over:
-            self._clients.closing_when_answered = step.leaving
-            if step.idle:
-                self._clients.finish(step.midway, health)
-            if step.leaving and health:
+    async def _drain_connections(self, plan: DrainPlan, close_health_checks: bool) -> None:
+        """Close client connections step by step as planned.
+
+        `close_health_checks`: also close connections that have sent only health checks.
+        """
+        started_at = self._loop.time()
+        while not (step := plan.step(self._loop.time() - started_at)).expired:
+            self._clients.closing_when_answered = step.close_when_answered
+            if step.close_idle:
+                self._clients.finish(step.close_mid_command, close_health_checks)
+            if step.close_when_answered and close_health_checks:
                 self._clients.stop_accepting()
-                if self._clients.empty and not self._giving:
+                if self._clients.empty and not self._handing_over:
                     return
-            await asyncio.sleep(STEP_S)
-
-    async def _end(self) -> None:
-        """Answer what was taken, and pass on to the next process what it can go on with."""
-        if self._draining is not None:
-            self._draining.cancel()
-        longest = max(cls.deadline for cls in self._config.settings.classes) / NS_PER_S
-        shared = self._config.listen_fd is not None
-        plan = at_the_end(longest, shared)
+            await asyncio.sleep(POLL_S)
+
+    async def _shut_down(self) -> None:
+        """Hand connections over to the successor and answer all other received requests before the exit."""
+        if self._drain_task is not None:
+            self._drain_task.cancel()
+        longest_deadline_s = max(cls.deadline for cls in self._config.settings.classes) / NS_PER_S
+        has_platform_socket = self._config.listen_fd is not None
+        plan = shutdown_plan(longest_deadline_s, has_platform_socket)
         if self._takeover is not None:
             self._takeover.accept_rest()
-        if self._takeover is not None and self._takeover.replaced:
+        if self._takeover is not None and self._takeover.has_successor:
             self._clients.successor = self._takeover
-            self._clients.exits_at = self._loop.time() + plan.over
-        self._host.ends_in(int(plan.over * NS_PER_S))
-        await self._empty(plan, health=True)
+            self._clients.exits_at = self._loop.time() + plan.expired
+        self._host.ends_in(int(plan.expired * NS_PER_S))
+        await self._drain_connections(plan, close_health_checks=True)
         self._host.end_all()
         self._clients.finish(even_mid_command=True)
-        ended = self._loop.time()
-        while self._clients.connected and self._loop.time() - ended < LAST_ANSWERS_S:
-            await asyncio.sleep(STEP_S)
+        expired_at = self._loop.time()
+        while self._clients.connected and self._loop.time() - expired_at < LAST_REPLIES_S:
+            await asyncio.sleep(POLL_S)
 
     @property
-    def _giving(self) -> bool:
-        """Whether connections are on their way to the next process."""
-        return self._takeover is not None and self._takeover.giver.busy
+    def _handing_over(self) -> bool:
+        """Whether connections are being handed over to the successor."""
+        return self._takeover is not None and self._takeover.sender.busy
 
     # A new configuration
 
     def _reload(self) -> None:
         figures = self._host.figures
-        if self._reload_again is not None:
-            self._reload_again.cancel()
+        if self._reload_retry is not None:
+            self._reload_retry.cancel()
         try:
             plan = plan_reload(self._config, reload_config(self._environ, self._with_files))
         except ConfigUnreadError as error:
-            # Danger: nobody sends the signal again, and the new configuration would never be in force.
-            log.warning("the new configuration can't be read for now: %s", error)
-            self._reload_again = self._loop.call_later(RELOAD_AGAIN_S, self._reload)
+            # Danger: the signal is sent only once; without a retry the new configuration would never apply.
+            log.warning("cannot read the new configuration, retrying: %s", error)
+            self._reload_retry = self._loop.call_later(RELOAD_RETRY_S, self._reload)
             return
         except (ConfigError, ValueError) as error:
             figures.conf_invalid += 1
-            log.error("the new configuration can't be used, the old one stays: %s", error)
+            log.error("invalid new configuration, keeping the current one: %s", error)
             return
         figures.conf_loaded += 1
         self._config = plan.config
-        if plan.waits:
-            log.warning("of the new configuration this waits for a restart: %s", ", ".join(plan.waits))
-        if plan.retunes:
+        if plan.restart_required:
+            log.warning("changes that take effect only after a restart: %s", ", ".join(plan.restart_required))
+        if plan.settings_changed:
             self._host.retune(plan.config.settings)
             self._discovery.ask_within(plan.config.settings.ask_within / NS_PER_S)
-        if plan.rekeys and self._peers is not None and plan.config.peers is not None:
+        if plan.peer_keys_changed and self._peers is not None and plan.config.peers is not None:
             self._peers.use_keys(plan.config.peers.keys)
-        if plan.moves:
+        if plan.discovery_changed:
             self._discovery.move(plan.config.discovery)
 
 
 def _owners_link(
     loop: asyncio.AbstractEventLoop, plan: OwnersPlan, peers: PeerLink, host: RouterHost, seed: int
 ) -> OwnersLink:
-    from saltport.owners.link import OwnersLink  # only where it is on
+    from saltport.owners.link import OwnersLink  # imported only if enabled
 
     return OwnersLink(loop, plan, peers, host, seed)
 
@@ -413,13 +436,13 @@
     topology = config.settings.topology
     if not config.failover or topology is None or peers is None or owners is None:
         return None
-    from saltport.failover.link import FailoverLink  # only where it is on
+    from saltport.failover.link import FailoverLink  # imported only if enabled
 
     return FailoverLink(loop, topology, config.settings.cold_time, peers, owners, host, config.seed)
 
 
 def _peer_link(loop: asyncio.AbstractEventLoop, config: Config, host: RouterHost) -> PeerLink:
-    from saltport.peers.event_log import EventLog  # only where it is on
+    from saltport.peers.event_log import EventLog  # imported only if enabled
     from saltport.peers.link import PeerLink
 
     def lag() -> int:
@@ -427,40 +450,44 @@
 
     event_log = EventLog()
 
-    def told(event: MembershipEvent) -> None:
-        for grave, line in event_log.take(event):
-            log.log(logging.WARNING if grave else logging.INFO, "peers: %s", line)
+    def on_event(event: MembershipEvent) -> None:
+        for is_grave, line in event_log.take(event):
+            log.log(logging.WARNING if is_grave else logging.INFO, "peers: %s", line)
 
     assert config.peers is not None
-    return PeerLink(loop, config.name, config.peers, config.seed, lag, told)
+    return PeerLink(loop, config.name, config.peers, config.seed, lag, on_event)
 
 
-def _listening(descriptor: int) -> socket.socket:
-    """A copy of the platform's listening socket; raises OSError in plain words."""
+def _duplicate_listener(descriptor: int) -> socket.socket:
+    """Return a duplicate of the platform's listening socket; raises OSError that names the setting."""
     try:
         copy = socket.socket(fileno=os.dup(descriptor))
     except OSError as error:
-        plain = OSError(f"LB_SOCKET_FD: {descriptor}: {error.strerror or error}")
-        plain.errno = error.errno
-        raise plain from None
+        named_error = OSError(f"LB_SOCKET_FD: {descriptor}: {error.strerror or error}")
+        named_error.errno = error.errno
+        raise named_error from None
     if copy.family != socket.AF_INET or not copy.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         copy.close()
-        raise OSError(f"LB_SOCKET_FD: {descriptor} is no socket that listens for TCP over IPv4")
+        raise OSError(f"LB_SOCKET_FD: {descriptor} is not a listening TCP/IPv4 socket")
     copy.setblocking(False)
     return copy
 
 
 def _access_log(loop: asyncio.AbstractEventLoop, config: Config) -> AccessLog:
-    from saltport.downstream.access_log import AccessLog  # only where it is on
+    from saltport.downstream.access_log import AccessLog  # imported only if enabled
 
     path = Path(config.access_log.folder) / f"access-{config.name}-{os.getpid()}.jsonl"
     return AccessLog(loop, path, config.access_log.max_mb << 20)
 
 
-def _memcached(told: MemcachedFeatures) -> Callable[[], ClientDialect]:
-    from saltport.downstream.memcached import MemcachedDialect, MemcachedRules  # only where it is on
+def _memcached(features: MemcachedFeatures) -> Callable[[], ClientDialect]:
+    from saltport.downstream.memcached import MemcachedDialect, MemcachedRules  # imported only if enabled
 
     rules = MemcachedRules(
-        told.read_class, told.write_class, told.delete_class, told.tenants(), told.deadline_ms
+        features.read_class,
+        features.write_class,
+        features.delete_class,
+        features.tenants(),
+        features.deadline_ms,
     )
     return partial(MemcachedDialect, rules)
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -1,8 +1,8 @@
-"""The link between a process and the one that takes its place: its sockets, and whom each end trusts.
+"""The link between a router process and the new process that replaces it: its sockets and its peer check.
 
-The old process listens at a Unix socket in the folder that both share; the new one connects when it starts.
-As long as the link stands both run, and each knows it. Messages keep their bounds (SOCK_SEQPACKET),
-descriptors come with them (SCM_RIGHTS); what they mean is in handover/exchange.py.
+The old process listens on a Unix socket in a folder that both share; the new process connects when it starts.
+While the link is open, each process knows that the other runs. The link preserves message boundaries
+(SOCK_SEQPACKET), and messages carry descriptors (SCM_RIGHTS); handover/exchange.py defines the messages.
 """
 
 from __future__ import annotations
@@ -36,181 +36,193 @@
 from saltport.transport.packets import Packet, PacketLink
 from saltport.transport.shortage import OF_DIALS, outlast
 
-NAME = "saltport.takeover"
-MAX_PATH = 107  # bytes that the kernel takes
-MAX_MESSAGE = 96 << 10
-MAX_HEARD = 256
-PATIENCE_S = 5.0  # with a machine that is short of what joining takes
-AGAIN_S = 0.01  # after which a full link is tried again: its own end is what makes room
+SOCKET_NAME = "saltport.takeover"
+MAX_SOCKET_PATH_BYTES = 107  # limit of the kernel
+MAX_MESSAGE_BYTES = 96 << 10
+MAX_REPLY_BYTES = 256
+OPEN_TIMEOUT_S = 5.0  # for retries while the machine lacks the resources to open a socket
+RETRY_S = 0.01  # delay before a full link is tried again; the other process frees it by receiving
 CREDENTIALS = struct.Struct("3i")
 
 log = logging.getLogger("saltport")
 
 
 class Takeover:
-    """Both ends: towards the process before this one, and towards the one after it."""
+    """The links of this process to the predecessor that it replaces and the successor that replaces it."""
 
     def __init__(
         self,
         loop: asyncio.AbstractEventLoop,
         folder: Path,
         adopt: Callable[[ConnectionRecord, Sequence[int]], None],
-        changed: Callable[[], None],
-        learnt: Callable[[], bytes],
+        links_changed: Callable[[], None],
+        learned_state: Callable[[], bytes],
     ) -> None:
-        """`adopt` takes a connection that comes, or raises RecordError; `changed`: a link begins or ends.
-
-        `learnt` words what the next process should know.
+        """`adopt` takes over a received connection or raises RecordError; `links_changed` is called when a
+        link opens or closes; `learned_state` returns the serialized state for the successor.
         """
-        self._loop, self._folder, self._adopt, self._changed = loop, folder, adopt, changed
-        self._learnt = learnt
-        self.inherited = b""
-        """What the process before this one had learnt, once that is told."""
-        self._has_learnt = False
-        self._before: PacketLink | None = None
-        self._after: PacketLink | None = None
+        self._loop, self._folder, self._adopt, self._links_changed = loop, folder, adopt, links_changed
+        self._learned_state = learned_state
+        self.inherited_state = b""
+        """The learned state of the predecessor, once completely received; empty before."""
+        self._has_inherited = False
+        self._predecessor: PacketLink | None = None
+        self._successor: PacketLink | None = None
         self._acceptor: Acceptor | None = None
-        self.giver = TransferSender(_close_all)
-        self._taker = TransferReceiver()
-        self._again: asyncio.TimerHandle | None = None
-        self.taken = 0
-        """Connections that came with what was under way on them."""
+        self.sender = TransferSender(_close_all)
+        self._receiver = TransferReceiver()
+        self._retry: asyncio.TimerHandle | None = None
+        self.adopted = 0
+        """Number of connections adopted with requests or a partial command in progress."""
 
     @property
-    def shared(self) -> bool:
-        """Whether another process of this router runs, as far as known."""
-        return self._before is not None or self._after is not None
+    def has_other_process(self) -> bool:
+        """Whether another process of this router runs, as far as the links show."""
+        return self._predecessor is not None or self._successor is not None
 
     @property
-    def learning(self) -> bool:
-        """Whether the process before this one has not told yet, or not all, of what it has learnt."""
-        return self._before is not None and not self._has_learnt
+    def awaits_learned_state(self) -> bool:
+        """Whether the predecessor runs and has not completely sent its learned state."""
+        return self._predecessor is not None and not self._has_inherited
 
     @property
-    def replaced(self) -> bool:
-        """Whether another process is there to take this one's place."""
-        return self._after is not None
+    def has_successor(self) -> bool:
+        """Whether a successor is linked."""
+        return self._successor is not None
 
     async def open(self) -> None:
-        """Join the process that runs, if there is one, and stand where the next one will look."""
+        """Connect to the predecessor, if one runs, and listen for the successor."""
         try:
-            path = own_folder(self._folder) / NAME
+            path = private_folder(self._folder) / SOCKET_NAME
         except OSError as error:
-            log.warning("%s: %s; connections will not outlive this process", self._folder, error)
+            log.warning("%s: %s; client connections will close when this process ends", self._folder, error)
             return
-        if len(os.fsencode(path)) > MAX_PATH - len(f".{os.getpid()}"):
-            log.warning("%s: too long a path; connections will not outlive this process", path)
+        if len(os.fsencode(path)) > MAX_SOCKET_PATH_BYTES - len(f".{os.getpid()}"):
+            log.warning(
+                "%s: the path is too long for a socket; client connections will close when this process ends",
+                path,
+            )
             return
-        # Danger: a process that can't join for a moment would start as if it were alone, and the other one's
-        # connections would all end with it. And its own place would then be taken for the other's.
-        with suppress(OSError):  # nobody is there, or has died, or is a stranger
-            link = await outlast(partial(_join, path), PATIENCE_S, OF_DIALS)
-            self._before = PacketLink(
-                self._loop, link, self._receive, MAX_MESSAGE, 1 + MAX_VALUES_IN_PROGRESS
+        # Danger: a process that gives up on a temporary error would start as if alone, and all connections of
+        # the predecessor would end with the predecessor. Its own socket, bound below at the same path, would
+        # also be mistaken for that of the predecessor.
+        with suppress(OSError):  # no process listens, it has died, or it belongs to another user
+            link = await outlast(partial(_connect, path), OPEN_TIMEOUT_S, OF_DIALS)
+            self._predecessor = PacketLink(
+                self._loop,
+                link,
+                self._receive_from_predecessor,
+                MAX_MESSAGE_BYTES,
+                1 + MAX_VALUES_IN_PROGRESS,
             )
-            self._changed()
+            self._links_changed()
         try:
-            listener = await outlast(partial(_listen, path), PATIENCE_S)
+            listener = await outlast(partial(_listen, path), OPEN_TIMEOUT_S)
         except OSError as error:
-            log.warning("%s: %s; connections will not outlive this process", path, error.strerror or error)
+            log.warning(
+                "%s: %s; client connections will close when this process ends", path, error.strerror or error
+            )
             return
         self._acceptor = Acceptor(self._loop, listener, self._accepted)
 
     def accept_rest(self) -> None:
-        """Take the next process that has joined by now, be it that nobody has looked yet."""
+        """Accept a successor that has connected but has not been accepted yet."""
         if self._acceptor is not None:
             self._acceptor.accept_rest()
 
-    # Towards the process after this one
+    # Link to the successor
 
     def _accepted(self, link: socket.socket) -> None:
         try:
             is_same = _same_user(link)
         except OSError:
-            self._loop.call_later(AGAIN_S, self._accepted, link)
+            self._loop.call_later(RETRY_S, self._accepted, link)
             return
         if not is_same:
-            log.warning("another user's process asked to take this one's place")
+            log.warning("rejected a takeover link from a process of another user")
             link.close()
             return
-        if self._after is not None:
-            # Danger: a process that died before it took over must not keep the next one out.
-            self._end_after()
-        self._after = PacketLink(self._loop, link, self._hear, MAX_HEARD)
-        self.giver.send_learned(self._learnt())
-        self._give_more()
-        self._changed()
-
-    def _hear(self, packet: Packet) -> None:
-        """Take its version, its answers, or its end, which is all that an older program lets hear."""
+        if self._successor is not None:
+            # Danger: a successor that died before it took over must not block the next one.
+            self._close_successor()
+        self._successor = PacketLink(self._loop, link, self._receive_from_successor, MAX_REPLY_BYTES)
+        self.sender.send_learned(self._learned_state())
+        self._send_queued()
+        self._links_changed()
+
+    def _receive_from_successor(self, packet: Packet) -> None:
+        """Receive the successor's version, its replies to records, or the end of its link.
+
+        An older version of the program sends only the end.
+        """
         if not packet.data:
-            self._end_after()
-            self._changed()
+            self._close_successor()
+            self._links_changed()
             return
-        if why := self.giver.receive(packet.data):
-            log.warning("the next process can't go on with a connection: %s", why)
-        self._give_more()
+        if reason := self.sender.receive(packet.data):
+            log.warning("the next process rejected a connection: %s", reason)
+        self._send_queued()
 
-    def _end_after(self) -> None:
-        assert self._after is not None
-        self._after.close()
-        self._after = None
-        self.giver.link_closed()
+    def _close_successor(self) -> None:
+        assert self._successor is not None
+        self._successor.close()
+        self._successor = None
+        self.sender.link_closed()
 
     @property
     def takes_records(self) -> bool:
-        """See Successor."""
-        return self._after is not None and self.giver.receiver_version == RECORD_VERSION
+        """Whether the successor accepts connections with outstanding replies as well as idle ones."""
+        return self._successor is not None and self.sender.receiver_version == RECORD_VERSION
 
     @property
     def room(self) -> int:
-        """See Successor."""
-        return self.giver.free_capacity
+        """How many more connections may be frozen for the successor now."""
+        return self.sender.free_capacity
 
     def give(self, descriptor: int, pending: bytes) -> bool:
-        """See Successor."""
-        return self._after is not None and self._after.send(IDLE_CONNECTION + pending, [descriptor])
+        """Send an idle connection and its partial command; return False if that is not possible now."""
+        return self._successor is not None and self._successor.send(IDLE_CONNECTION + pending, [descriptor])
 
     def offer(self, parcel: ConnectionTransfer) -> None:
-        """See Successor."""
-        if self._after is None:
+        """Queue a frozen connection for the successor; without a successor, resume the connection here."""
+        if self._successor is None:
             parcel.resume()
             return
-        self.giver.enqueue(parcel)
-        self._give_more()
-
-    def _give_more(self) -> None:
-        while self._after is not None and (message := self.giver.next_message()) is not None:
-            if not self._after.send(message.data, message.descriptors):
-                # Danger: waiting for the link alone would wait for ever where the kernel's count of
-                # descriptors under way is what is full.
-                if self._again is None:
-                    self._again = self._loop.call_later(AGAIN_S, self._try_again)
+        self.sender.enqueue(parcel)
+        self._send_queued()
+
+    def _send_queued(self) -> None:
+        while self._successor is not None and (message := self.sender.next_message()) is not None:
+            if not self._successor.send(message.data, message.descriptors):
+                # Danger: waiting only until the link is writable would never end if the kernel's limit of
+                # descriptors in flight is reached.
+                if self._retry is None:
+                    self._retry = self._loop.call_later(RETRY_S, self._retry_send)
                 return
-            self.giver.message_sent()
+            self.sender.message_sent()
 
-    def _try_again(self) -> None:
-        self._again = None
-        self._give_more()
+    def _retry_send(self) -> None:
+        self._retry = None
+        self._send_queued()
 
-    # Towards the process before this one
+    # Link to the predecessor
 
-    def _receive(self, packet: Packet) -> None:
-        assert self._before is not None
+    def _receive_from_predecessor(self, packet: Packet) -> None:
+        assert self._predecessor is not None
         message, descriptors = packet.data, packet.descriptors
         if not message:
             _close_all(descriptors)
-            self._before.close()
-            self._before = None
-            self._taker = TransferReceiver()
-            self._changed()
+            self._predecessor.close()
+            self._predecessor = None
+            self._receiver = TransferReceiver()
+            self._links_changed()
             return
         kind = message[:1]
         if kind in (LEARNED_PART, LEARNED_LAST):
-            self.inherited = self._taker.receive_learned(message) or self.inherited
-            self._has_learnt = kind == LEARNED_LAST
+            self.inherited_state = self._receiver.receive_learned(message) or self.inherited_state
+            self._has_inherited = kind == LEARNED_LAST
         elif kind in (RECORD_PART, RECORD_LAST):
-            self._take(message, descriptors, packet.is_cut)
+            self._receive_record(message, descriptors, packet.is_cut)
             return
         elif kind == IDLE_CONNECTION and len(descriptors) == 1:
             with suppress(RecordError):
@@ -218,65 +230,71 @@
                 return
         _close_all(descriptors)
 
-    def _take(self, message: bytes, descriptors: Sequence[int], cut: bool) -> None:
-        """Take a piece of a record; what is no record is dropped whole, and the other process told why."""
-        answer = ACCEPTED
+    def _receive_record(self, message: bytes, descriptors: Sequence[int], is_cut: bool) -> None:
+        """Receive a part of a connection record and adopt the connection once the record is complete.
+
+        An invalid record is discarded with its descriptors, and the reason is sent to the predecessor.
+        """
+        reply = ACCEPTED
         try:
-            record = self._taker.receive_record(message, -1 if cut else len(descriptors))
+            record = self._receiver.receive_record(message, -1 if is_cut else len(descriptors))
             if record is None:
                 _close_all(descriptors)
                 return
             _check_sockets(descriptors)
             self._adopt(record, descriptors)
-            self.taken += 1
+            self.adopted += 1
         except RecordError as error:
             _close_all(descriptors)
-            answer = REJECTED + str(error).encode()[: MAX_HEARD - 1]
-        assert self._before is not None
-        self._before.answer(answer)
+            reply = REJECTED + str(error).encode()[: MAX_REPLY_BYTES - 1]
+        assert self._predecessor is not None
+        self._predecessor.answer(reply)
 
     def close(self) -> None:
-        """Leave; the place in the folder stays with whoever holds it now."""
-        if self._again is not None:
-            self._again.cancel()
-        for link in (self._before, self._after):
+        """Close all links and the listener; the socket file stays, as it may be the successor's by now."""
+        if self._retry is not None:
+            self._retry.cancel()
+        for link in (self._predecessor, self._successor):
             if link is not None:
                 link.close()
-        self._before = self._after = None
+        self._predecessor = self._successor = None
         if self._acceptor is not None:
             self._acceptor.close()
             self._acceptor = None
 
 
-def own_folder(folder: Path) -> Path:
-    """Where nobody else can take a name before this user: the folder itself or one in it; raises OSError."""
-    if _is_own(folder):
+def private_folder(folder: Path) -> Path:
+    """Return a folder in which only this user can create files: `folder` itself or a subfolder.
+
+    Raises OSError if there is no such folder.
+    """
+    if _is_private(folder):
         return folder
     inner = folder / f"saltport-{os.getuid()}"
     with suppress(FileExistsError):
         inner.mkdir(0o700)
-    if not _is_own(inner):
-        raise OSError(f"{inner} is not this user's alone")
+    if not _is_private(inner):
+        raise OSError(f"{inner} is not private to this user")
     return inner
 
 
-def _is_own(folder: Path) -> bool:
-    facts = os.lstat(folder)
-    private = not facts.st_mode & (stat.S_IWGRP | stat.S_IWOTH)
-    return stat.S_ISDIR(facts.st_mode) and facts.st_uid == os.getuid() and private
+def _is_private(folder: Path) -> bool:
+    status = os.lstat(folder)
+    private = not status.st_mode & (stat.S_IWGRP | stat.S_IWOTH)
+    return stat.S_ISDIR(status.st_mode) and status.st_uid == os.getuid() and private
 
 
 def _same_user(link: socket.socket) -> bool:
-    told = link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
-    return int(CREDENTIALS.unpack(told)[1]) == os.getuid()
+    credentials = link.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, CREDENTIALS.size)
+    return int(CREDENTIALS.unpack(credentials)[1]) == os.getuid()
 
 
 def _check_sockets(descriptors: Sequence[int]) -> None:
-    """Raises RecordError where one is no connection of TCP over IPv4."""
+    """Raise RecordError if a descriptor is not a TCP socket over IPv4."""
     for descriptor in descriptors:
         try:
-            with socket.socket(fileno=os.dup(descriptor)) as end:
-                if end.family != socket.AF_INET or end.type != socket.SOCK_STREAM:
+            with socket.socket(fileno=os.dup(descriptor)) as connection:
+                if connection.family != socket.AF_INET or connection.type != socket.SOCK_STREAM:
                     raise RecordError("a descriptor is no TCP connection")
         except OSError:
             raise RecordError("a descriptor is no socket") from None
@@ -287,13 +305,13 @@
         os.close(descriptor)
 
 
-def _join(path: Path) -> socket.socket:
-    """Connect to the process that stands there, and say hello; raises OSError."""
-    link = _seqpacket()
+def _connect(path: Path) -> socket.socket:
+    """Connect to the process that listens at `path` and send it the version of this one; raises OSError."""
+    link = _seqpacket_socket()
     try:
         link.connect(str(path))
         if not _same_user(link):
-            raise PermissionError("another user's process is there")
+            raise PermissionError("the listening process belongs to another user")
         link.send(HELLO + b"%d" % RECORD_VERSION)
     except OSError:
         link.close()
@@ -302,23 +320,23 @@
 
 
 def _listen(path: Path) -> socket.socket:
-    """Take the place where the next process looks, in one step; raises OSError."""
-    listener = _seqpacket()
-    name = f"{path}.{os.getpid()}"
+    """Listen at `path`, replacing the predecessor's socket file atomically; raises OSError."""
+    listener = _seqpacket_socket()
+    temporary_path = f"{path}.{os.getpid()}"
     try:
         with suppress(FileNotFoundError):
-            os.unlink(name)
-        listener.bind(name)
-        os.chmod(name, 0o600)
+            os.unlink(temporary_path)
+        listener.bind(temporary_path)
+        os.chmod(temporary_path, 0o600)
         listener.listen(1)
-        os.replace(name, path)
+        os.replace(temporary_path, path)
     except OSError:
         listener.close()
         raise
     return listener
 
 
-def _seqpacket() -> socket.socket:
-    end = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    end.setblocking(False)
-    return end
+def _seqpacket_socket() -> socket.socket:
+    sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
+    sock.setblocking(False)
+    return sock
--- a/saltport/router/__main__.py
+++ b/saltport/router/__main__.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from saltport.lifecycle.service import START_PATIENCE_S, Service
+from saltport.lifecycle.service import START_TIMEOUT_S, Service
 from saltport.router.config import Config, ConfigError, ConfigUnreadError, load_config
 from saltport.router.log import make_logger
 from saltport.transport import shortage
@@ -37,7 +37,7 @@
 
 def _load_config(with_files: Sequence[Path]) -> Config:
     """Read the configuration, past a shortage of the machine; raises ConfigError."""
-    given_up = time.monotonic() + START_PATIENCE_S
+    given_up = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             return load_config(os.environ, with_files)
--- a/tests/crossings/test_shutdown.py
+++ b/tests/crossings/test_shutdown.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from saltport.lifecycle.drain import KILL_SLACK_S, LONGEST_S, at_the_end
-from saltport.lifecycle.service import LAST_ANSWERS_S, STEP_S
+from saltport.lifecycle.drain import KILL_SLACK_S, MAX_DEADLINE_S, shutdown_plan
+from saltport.lifecycle.service import LAST_REPLIES_S, POLL_S
 from saltport.upstream.pool import PER_SERVER
 from saltport.wire.memcached import REQUEST_MAGIC, Opcode, Packet, encode
 from tests.binary import MEMCACHED_FEATURE
@@ -57,17 +57,17 @@
 
 @pytest.mark.parametrize("longest", [0.03, 0.5, 3.0, 4.0, 30.0])
 def test_last_replies_are_sent_before_the_process_may_be_killed(longest: float) -> None:
-    over = at_the_end(longest, replaced=False).over
-    killed = min(longest, LONGEST_S) + KILL_SLACK_S
+    over = shutdown_plan(longest, replaced=False).expired
+    killed = min(longest, MAX_DEADLINE_S) + KILL_SLACK_S
     assert killed - 0.21 < over < killed - 0.15
 
 
 def test_last_replies_are_sent_in_time_even_if_the_router_is_delayed() -> None:
     for longest in (0.03, 0.1, 0.5, 3.0, 30.0):
-        killed = min(longest, LONGEST_S) + KILL_SLACK_S
-        over = at_the_end(longest, replaced=False).over
+        killed = min(longest, MAX_DEADLINE_S) + KILL_SLACK_S
+        over = shutdown_plan(longest, replaced=False).expired
         # STANDING: a router may be delayed by 0.15 s between reading its clock and writing.
-        assert over + STEP_S + MAX_DELAY_S + LAST_ANSWERS_S / 2 <= killed
+        assert over + POLL_S + MAX_DELAY_S + LAST_REPLIES_S / 2 <= killed
 
 
 def test_requests_in_progress_at_exit_get_a_final_reply(tmp_path: Path) -> None:
--- a/tests/handover/test_learnt.py
+++ b/tests/handover/test_learnt.py
@@ -19,7 +19,7 @@
     TransferReceiver,
     TransferSender,
 )
-from saltport.lifecycle.takeover import MAX_MESSAGE
+from saltport.lifecycle.takeover import MAX_MESSAGE_BYTES
 from tests.sockets import TIMEOUT_S, echo_cache, entry, eventually, get
 
 SERVERS = 1_600
@@ -39,7 +39,7 @@
     """Deliver all messages of the sender; return the learned state that the receiver assembled."""
     learned = b""
     while (message := sender.next_message()) is not None:
-        assert len(message.data) <= MAX_MESSAGE, "a message exceeds the maximum that the link transmits"
+        assert len(message.data) <= MAX_MESSAGE_BYTES, "a message exceeds the maximum that the link transmits"
         assert not learned, "a message follows the last part"
         sender.message_sent()
         learned = receiver.receive_learned(message.data)
@@ -106,7 +106,7 @@
         eventually(lambda: after.connect_ex(str(tmp_path / "saltport.takeover")) == 0, "the process listens")
         receiver, received = TransferReceiver(), b""
         while not received:
-            received = receiver.receive_learned(after.recv(MAX_MESSAGE))
+            received = receiver.receive_learned(after.recv(MAX_MESSAGE_BYTES))
         assert json.loads(received)["servers"] == learned["servers"]
         assert cluster.client().ask(get("c1")) == b"c1"
         before.close()
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -296,7 +296,7 @@
             link.send(b"Nno room")
             node.released.set()
             assert client.answer() == LONG
-        assert "can't go on with a connection: no room" in old.end()
+        assert "rejected a connection: no room" in old.end()
 
 
 def invalid_messages() -> list[tuple[str, Callable[[socket.socket], Any]]]:
--- a/tests/lifecycle/test_bans.py
+++ b/tests/lifecycle/test_bans.py
@@ -1,4 +1,4 @@
-"""Servers out by hand: the folder that keeps them, and every send after the yes counted at real sockets."""
+"""Operators' bans of servers: their store, and that no request goes to a server once its ban is confirmed."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 IDS = ["s-1", "ü/ ä", "..", ".", "a%2Eb", "x" * 80, "a\nb"]
 
 
-def test_store_gives_back_what_it_was_given(tmp_path: Path) -> None:
+def test_store_returns_the_servers_that_were_added(tmp_path: Path) -> None:
     store = BanStore(tmp_path / "out")
     assert store.read() == set()
     for server in IDS:
@@ -28,7 +28,7 @@
     assert store.read() == {IDS[0]}
 
 
-def test_what_is_no_servers_file_is_left_alone_and_no_crash(tmp_path: Path) -> None:
+def test_files_that_name_no_server_are_ignored(tmp_path: Path) -> None:
     store = BanStore(tmp_path / "out")
     store.add("s-1")
     for name in ("%ff", "not quoted", "half%2", ".hidden"):
@@ -39,47 +39,47 @@
         store.add("x" * 300)
 
 
-class Held:
-    """A router's side of it."""
+class FakeRouter:
+    """The bans in force in one router process."""
 
     def __init__(self) -> None:
-        self.out: set[str] = set()
+        self.banned: set[str] = set()
 
     def bans(self, store: BanStore | None) -> Bans:
-        return Bans(store, lambda: frozenset(self.out), self.out.add, self.out.discard)
+        return Bans(store, lambda: frozenset(self.banned), self.banned.add, self.banned.discard)
 
 
-def test_two_processes_follow_one_folder_and_one_that_cant_be_read_changes_nothing(tmp_path: Path) -> None:
-    old, new = Held(), Held()
+def test_processes_sync_through_one_folder_and_an_unreadable_folder_changes_nothing(tmp_path: Path) -> None:
+    old, new = FakeRouter(), FakeRouter()
     first, second = old.bans(BanStore(tmp_path / "out")), new.bans(BanStore(tmp_path / "out"))
-    first.take_out("a")
-    second.take_out("b")
-    first.follow()
-    second.follow()
-    assert old.out == new.out == {"a", "b"}
-    second.put_back("a")
-    first.follow()
-    assert old.out == {"b"}
+    first.ban("a")
+    second.ban("b")
+    first.sync()
+    second.sync()
+    assert old.banned == new.banned == {"a", "b"}
+    second.unban("a")
+    first.sync()
+    assert old.banned == {"b"}
     (tmp_path / "out" / "b").unlink()
     (tmp_path / "out").rmdir()
     (tmp_path / "out").write_text("a file where the folder was")
-    first.follow()
-    assert old.out == {"b"}
+    first.sync()
+    assert old.banned == {"b"}
     with pytest.raises(OSError, match="exists"):
-        first.take_out("c")
-    assert old.out == {"b"}, "what can't be kept is not done"
+        first.ban("c")
+    assert old.banned == {"b"}, "a ban that cannot be stored is not applied"
 
 
-def test_no_send_follows_the_yes_over_list_changes_and_a_restart(tmp_path: Path) -> None:
+def test_no_request_follows_a_confirmed_ban_despite_list_changes_and_a_restart(tmp_path: Path) -> None:
     caches = {f"s{i}": echo_cache() for i in range(3)}
     with run_router(tmp_path, caches) as router:
-        over = threading.Event()
+        stop = threading.Event()
         answered: list[bytes] = []
 
         def load(number: int) -> None:
             client = router.client()
             count = 0
-            while not over.is_set():
+            while not stop.is_set():
                 name = f"r{number}x{count}"
                 answer = client.ask(get(name, f"k{count % 40}"))
                 answered.append(answer)
@@ -89,9 +89,9 @@
         clients = [threading.Thread(target=load, args=(n,)) for n in range(4)]
         for client in clients:
             client.start()
-        eventually(lambda: caches["s0"].seen, "it is in use")
+        eventually(lambda: caches["s0"].seen, "the server is in use")
         assert router.ban("s0") == 200
-        time.sleep(0.2)  # what was sent before the yes arrives
+        time.sleep(0.2)  # requests sent before the confirmation arrive
         before = len(caches["s0"].seen)
         entries = [entry(peer, name) for name, peer in caches.items()]
         router.discovery.change(*entries[1:])
@@ -101,25 +101,25 @@
         moved = echo_cache()
         router.discovery.change({**restarted, "hostPort": f"127.0.0.1:{moved.port}"}, *entries[1:])
         done = len(answered)
-        eventually(lambda: len(answered) > done + 400, "the others serve")
+        eventually(lambda: len(answered) > done + 400, "the other servers answer")
         assert len(caches["s0"].seen) == before
         assert not moved.seen
-        told = ask(router.admin, "/stats")
-        assert (told["cluster_size"], told["cluster_unhealthy"]) == (3, 1)
+        stats = ask(router.admin, "/stats")
+        assert (stats["cluster_size"], stats["cluster_unhealthy"]) == (3, 1)
         assert router.ban("s0") == 200
         assert router.ban("s0", "ready") == 200
-        eventually(lambda: moved.seen, "it is used again, where it is now")
-        over.set()
+        eventually(lambda: moved.seen, "the server is used again at its new address")
+        stop.set()
         for client in clients:
             client.join()
         moved.close()
 
 
-def test_what_waits_for_a_server_is_answered_elsewhere_when_it_is_taken_out(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_requests_waiting_for_a_server_are_answered_elsewhere_when_it_is_banned(tmp_path: Path) -> None:
+    release = threading.Event()
 
     def slow(_: object, words: list[bytes]) -> bytes:
-        held.wait(5)
+        release.wait(5)
         return hit(words[2])
 
     first, second = Peer(slow), echo_cache()
@@ -127,13 +127,13 @@
         clients = [router.client() for _ in range(24)]
         for i, client in enumerate(clients):
             client.send(get(f"w{i}", f"k{i}", d=15_000))
-        eventually(lambda: first.seen, "some wait at it")
+        eventually(lambda: first.seen, "some requests wait at the server")
         assert router.ban("s1") == 200
-        held.set()
+        release.set()
         assert [client.answer() for client in clients] == [b"w%d" % i for i in range(24)]
 
 
-def test_bans_of_a_process_that_was_killed_hold_in_the_next(tmp_path: Path) -> None:
+def test_bans_of_a_killed_process_apply_in_the_next_one(tmp_path: Path) -> None:
     first, second = echo_cache(), echo_cache()
     store = BanStore(tmp_path / "saltport.out")
     store.add("s1")
