--- a/saltport/admin/__init__.py
+++ b/saltport/admin/__init__.py
@@ -1,1 +1,1 @@
-"""Where operators call: the table of calls, the figures, and the listener."""
+"""The operators' HTTP interface of a router: the table of calls, the counters, the listener, and a client."""
--- a/saltport/admin/calls.py
+++ b/saltport/admin/calls.py
@@ -1,4 +1,4 @@
-"""The table of operators' calls: which there are, and how each is answered. No I/O; it decides nothing."""
+"""The table of operators' calls, and the handler of each. No I/O and no decisions."""
 
 from __future__ import annotations
 
@@ -7,187 +7,203 @@
 from typing import Any, NamedTuple, Protocol
 from urllib.parse import parse_qs, unquote
 
-SERVERS = "cache-servers"
-VOTERS = "voters"
-ZONES = "zones"
+SERVERS_SEGMENT = "cache-servers"
+VOTERS_SEGMENT = "voters"
+ZONES_SEGMENT = "zones"
 
 
-LONGEST_WAY_MS = 3_600_000
+MAX_TRANSITION_MS = 3_600_000
 
 
 class CallError(Exception):
-    """What was asked for could not be done; the text is for the operator."""
+    """An operator's call that could not be carried out; its text is shown to the operator."""
 
 
 class Operations(Protocol):
-    """What the router can be asked for. Each is done, whole, when it returns."""
+    """The operations that operators can call on a router. Each is complete when its method returns."""
 
     def healthy(self) -> bool:
-        """Whether this process takes clients."""
+        """Whether this process accepts clients."""
 
     def stats(self) -> dict[str, Any]:
-        """The figures."""
+        """Return the counters of requests, attempts and configuration loads."""
 
     def state(self) -> dict[str, Any]:
-        """The state of decisions and loop, for people."""
+        """Return the internal state of the router, for reading by people."""
 
     def peers(self) -> dict[str, Any]:
-        """What this router believes of the others."""
+        """Return the membership of the fleet as this router sees it."""
 
     def owners(self) -> dict[str, Any]:
-        """What this router holds of the fleet's work, and what the record says where it is a voter."""
+        """Return the work that this router owns; a voter also returns its record of all owners."""
 
     def zones(self) -> dict[str, Any]:
-        """Where reads go by zones, by which plan, and what its owner sees."""
+        """Return how reads are distributed over zones, the plan in force, and the plan owner's view."""
 
-    def order_zones(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
-        """Have the owner evacuate a zone, return to it, freeze or thaw; the order's number.
+    def order_zones(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
+        """Send the plan owner an order and return the order's number, or None if there is no such zone.
 
-        None: there is no such zone. Raises CallError.
+        `action`: `evacuate` or `return` for a zone, `freeze` or `thaw` for the plan; `transition_ms`: the
+        duration of the shift of reads. Raises CallError.
         """
 
     def step_down(self, to: str) -> None:
-        """Hand the lead over to this voter; empty: to any. Raises CallError."""
+        """Transfer leadership to the voter `to`, or to any voter if it is empty. Raises CallError."""
 
     def settle_peers(self) -> bool:
-        """Take the present view as the yardstick of majorities; False: it knows no others."""
+        """Compute majorities from the present members from now on; return False if membership is off."""
 
-    def take_out(self, server: str) -> bool:
-        """Send nothing more to a cache server; False: it was never listed. Raises CallError."""
+    def ban_server(self, server: str) -> bool:
+        """Send no more requests to a cache server; return False if it is unknown. Raises CallError."""
 
-    def put_back(self, server: str) -> bool:
-        """Use a cache server again; False: it was never listed. Raises CallError."""
+    def unban_server(self, server: str) -> bool:
+        """Lift the ban of a cache server; return False if it is unknown. Raises CallError."""
 
     def drain(self) -> None:
-        """Empty the router."""
+        """Start to drain this process: it reports itself unhealthy and closes connections once answered."""
 
     def resume(self) -> None:
-        """Go back to work."""
+        """End a drain and return to normal service. Raises CallError."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """What a call is answered: an HTTP status, an object, and the methods allowed where it had another."""
+class CallResponse:
+    """The response to a call."""
 
     status: int
+    """The HTTP status."""
     body: dict[str, Any] = field(default_factory=dict)
+    """The JSON object."""
     allow: str = ""
+    """The allowed methods, for a call with another method; otherwise empty."""
 
 
-class Asked(NamedTuple):
-    """What a call names: the id in its path, if it has one, and what stands behind the question mark."""
+class CallArguments(NamedTuple):
+    """The arguments of a call: the decoded id in its path, if it has one, and its query string."""
 
     name: str = ""
     query: str = ""
 
 
-_Call = Callable[[Operations, Asked], Answer]
+_Handler = Callable[[Operations, CallArguments], CallResponse]
 
 
-def _health(operations: Operations, _: Asked) -> Answer:
-    return Answer(200, {"healthy": True}) if operations.healthy() else Answer(503, {"healthy": False})
+def _healthcheck(operations: Operations, _: CallArguments) -> CallResponse:
+    return (
+        CallResponse(200, {"healthy": True})
+        if operations.healthy()
+        else CallResponse(503, {"healthy": False})
+    )
 
 
-def _out(operations: Operations, asked: Asked) -> Answer:
-    return _of(operations.take_out(asked.name), asked.name, "maint")
+def _ban(operations: Operations, arguments: CallArguments) -> CallResponse:
+    return _server_response(operations.ban_server(arguments.name), arguments.name, "maint")
 
 
-def _back(operations: Operations, asked: Asked) -> Answer:
-    return _of(operations.put_back(asked.name), asked.name, "ready")
+def _unban(operations: Operations, arguments: CallArguments) -> CallResponse:
+    return _server_response(operations.unban_server(arguments.name), arguments.name, "ready")
 
 
-def _of(known: bool, server: str, state: str) -> Answer:
-    return Answer(200, {"server": server, "state": state}) if known else _fault(404, "no such cache server")
+def _server_response(is_known: bool, server: str, state: str) -> CallResponse:
+    return (
+        CallResponse(200, {"server": server, "state": state})
+        if is_known
+        else _error(404, "no such cache server")
+    )
 
 
-def _settle(operations: Operations, _: Asked) -> Answer:
+def _settle_peers(operations: Operations, _: CallArguments) -> CallResponse:
     if not operations.settle_peers():
-        return _fault(404, "peers are off")
-    return Answer(200, {"settled": True})
+        return _error(404, "peers are off")
+    return CallResponse(200, {"settled": True})
 
 
-def _step_down(operations: Operations, asked: Asked) -> Answer:
-    operations.step_down(asked.name)
-    return Answer(200, {"lead": asked.name or "handed over"})
+def _step_down(operations: Operations, arguments: CallArguments) -> CallResponse:
+    operations.step_down(arguments.name)
+    return CallResponse(200, {"lead": arguments.name or "handed over"})
 
 
-def _order(what: str) -> _Call:
-    """A call on one zone, with `over` and `force` behind its name."""
+def _zone_handler(action: str) -> _Handler:
+    """Return the handler of an action on one zone; it reads `over` and `force` from the query string."""
 
-    def call(operations: Operations, asked: Asked) -> Answer:
-        told = parse_qs(asked.query)
+    def handle(operations: Operations, arguments: CallArguments) -> CallResponse:
+        query = parse_qs(arguments.query)
         try:
-            way_ms = int(float(told.get("over", ["0"])[0]) * 1_000)
+            transition_ms = int(float(query.get("over", ["0"])[0]) * 1_000)
         except (ValueError, OverflowError):
-            return _fault(400, "over: expected seconds")
-        if not 0 <= way_ms <= LONGEST_WAY_MS:
-            return _fault(400, f"over: expected 0 to {LONGEST_WAY_MS // 1_000} seconds")
-        number = operations.order_zones(what, asked.name, way_ms, told.get("force") == ["1"])
-        return _fault(404, "no such zone") if number is None else Answer(200, {"order": number})
+            return _error(400, "over: expected seconds")
+        if not 0 <= transition_ms <= MAX_TRANSITION_MS:
+            return _error(400, f"over: expected 0 to {MAX_TRANSITION_MS // 1_000} seconds")
+        number = operations.order_zones(action, arguments.name, transition_ms, query.get("force") == ["1"])
+        return _error(404, "no such zone") if number is None else CallResponse(200, {"order": number})
 
-    return call
+    return handle
 
 
-def _whole(what: str) -> _Call:
-    """A call on the plan as it stands."""
-    return lambda operations, _: Answer(200, {"order": operations.order_zones(what, "", 0, False)})
+def _plan_handler(action: str) -> _Handler:
+    """Return the handler of an action on the plan in force."""
+    return lambda operations, _: CallResponse(200, {"order": operations.order_zones(action, "", 0, False)})
 
 
-def _drain(operations: Operations, _: Asked) -> Answer:
+def _drain(operations: Operations, _: CallArguments) -> CallResponse:
     operations.drain()
-    return Answer(200, {"draining": True})
+    return CallResponse(200, {"draining": True})
 
 
-def _resume(operations: Operations, _: Asked) -> Answer:
+def _resume(operations: Operations, _: CallArguments) -> CallResponse:
     operations.resume()
-    return Answer(200, {"draining": False})
+    return CallResponse(200, {"draining": False})
 
 
-def _fault(status: int, reason: str, allow: str = "") -> Answer:
-    return Answer(status, {"error": reason}, allow)
+def _error(status: int, reason: str, allow: str = "") -> CallResponse:
+    return CallResponse(status, {"error": reason}, allow)
 
 
-_CALLS: dict[tuple[str, ...], tuple[str, _Call]] = {
-    ("healthcheck",): ("GET", _health),
-    ("stats",): ("GET", lambda operations, _: Answer(200, operations.stats())),
-    ("state",): ("GET", lambda operations, _: Answer(200, operations.state())),
-    ("peers",): ("GET", lambda operations, _: Answer(200, operations.peers())),
-    ("peers", "settle"): ("PUT", _settle),
-    ("owners",): ("GET", lambda operations, _: Answer(200, operations.owners())),
+_CALLS: dict[tuple[str, ...], tuple[str, _Handler]] = {
+    ("healthcheck",): ("GET", _healthcheck),
+    ("stats",): ("GET", lambda operations, _: CallResponse(200, operations.stats())),
+    ("state",): ("GET", lambda operations, _: CallResponse(200, operations.state())),
+    ("peers",): ("GET", lambda operations, _: CallResponse(200, operations.peers())),
+    ("peers", "settle"): ("PUT", _settle_peers),
+    ("owners",): ("GET", lambda operations, _: CallResponse(200, operations.owners())),
     ("owners", "step-down"): ("PUT", _step_down),
-    (VOTERS, "", "lead"): ("PUT", _step_down),
-    ("zones",): ("GET", lambda operations, _: Answer(200, operations.zones())),
-    (ZONES, "", "evacuate"): ("PUT", _order("evacuate")),
-    (ZONES, "", "return"): ("PUT", _order("return")),
-    ("failover", "freeze"): ("PUT", _whole("freeze")),
-    ("failover", "thaw"): ("PUT", _whole("thaw")),
+    (VOTERS_SEGMENT, "", "lead"): ("PUT", _step_down),
+    ("zones",): ("GET", lambda operations, _: CallResponse(200, operations.zones())),
+    (ZONES_SEGMENT, "", "evacuate"): ("PUT", _zone_handler("evacuate")),
+    (ZONES_SEGMENT, "", "return"): ("PUT", _zone_handler("return")),
+    ("failover", "freeze"): ("PUT", _plan_handler("freeze")),
+    ("failover", "thaw"): ("PUT", _plan_handler("thaw")),
     ("healthcheck", "fail"): ("PUT", _drain),
     ("healthcheck", "ok"): ("PUT", _resume),
-    (SERVERS, "", "maint"): ("PUT", _out),
-    (SERVERS, "", "ready"): ("PUT", _back),
+    (SERVERS_SEGMENT, "", "maint"): ("PUT", _ban),
+    (SERVERS_SEGMENT, "", "ready"): ("PUT", _unban),
 }
-"""By path, with an empty place where a server's id stands."""
+"""The method and the handler of each call, by path; an empty segment stands for the id."""
 
 
-def answer(method: str, target: str, operations: Operations) -> Answer:
-    """Carry a call out: `target` as it came, with its percent signs and question mark."""
-    before, _, query = target.partition("?")
-    parts = before.split("/")
+def handle_call(method: str, target: str, operations: Operations) -> CallResponse:
+    """Carry out a call and return the response; `target` is the raw request target with its query string."""
+    raw_path, _, query = target.partition("?")
+    parts = raw_path.split("/")
     if parts[0] or len(parts) < 2:
-        return _fault(400, "the target must be a path")
-    path, server = tuple(parts[1:]), ""
-    if len(path) == 3 and path[0] in (SERVERS, VOTERS, ZONES):
+        return _error(400, "the target must be a path")
+    path, name = tuple(parts[1:]), ""
+    if len(path) == 3 and path[0] in (SERVERS_SEGMENT, VOTERS_SEGMENT, ZONES_SEGMENT):
         try:
-            server = unquote(path[1], errors="strict")
+            name = unquote(path[1], errors="strict")
         except UnicodeDecodeError:
-            return _fault(400, "the id is no UTF-8")
+            return _error(400, "the id is not valid UTF-8")
         path = (path[0], "", path[2])
-    wanted, call = _CALLS.get(path, ("", None))
-    if call is None or (len(path) == 3 and not server):
-        return _fault(404, "no such call")
-    if method != wanted and not (method == "HEAD" and wanted == "GET"):
-        return _fault(405, f"this call wants {wanted}", "GET, HEAD" if wanted == "GET" else wanted)
+    allowed_method, handler = _CALLS.get(path, ("", None))
+    if handler is None or (len(path) == 3 and not name):
+        return _error(404, "no such call")
+    if method != allowed_method and not (method == "HEAD" and allowed_method == "GET"):
+        return _error(
+            405,
+            f"method not allowed: expected {allowed_method}",
+            "GET, HEAD" if allowed_method == "GET" else allowed_method,
+        )
     try:
-        return call(operations, Asked(server, query))
+        return handler(operations, CallArguments(name, query))
     except CallError as error:
-        return _fault(500, str(error))
+        return _error(500, str(error))
--- a/saltport/admin/figures.py
+++ b/saltport/admin/figures.py
@@ -1,4 +1,4 @@
-"""What the router counts: requests by class and end, attempts, and configurations. No I/O."""
+"""Counters of a router process: requests by class and outcome, and configuration loads. No I/O."""
 
 from __future__ import annotations
 
@@ -7,31 +7,34 @@
 
 
 class Figures:
-    """Counts from the start of the process on; whoever owns a fact counts it here."""
+    """Counters since the start of the process; each component counts its own events here."""
 
     def __init__(self, classes: Iterable[str]) -> None:
         self.answered: Counter[str] = Counter()
         self.deferred: Counter[str] = Counter()
         self.errored: Counter[str] = Counter()
         self.current = 0
-        """Requests taken and not ended; a value that is still passed on counts as one."""
+        """Number of requests received and not finished; a value that is still being sent is not finished."""
         self.conf_loaded = self.conf_invalid = 0
-        self.classes(classes)
+        self.add_classes(classes)
 
-    def classes(self, names: Iterable[str]) -> None:
-        """Show these classes too, though nothing came of them yet; others keep their counts."""
+    def add_classes(self, names: Iterable[str]) -> None:
+        """Show these request classes with a count of zero; classes already present keep their counts."""
         for name in names:
             for counts in (self.answered, self.deferred, self.errored):
                 counts.setdefault(name, 0)
 
-    def ended(self, request_class: str, ends: Counter[str] | None) -> None:
-        """A request has ended; None: it is no end of this process's."""
+    def count_end(self, request_class: str, counter: Counter[str] | None) -> None:
+        """Count the end of a request in `counter`; None if its client left or another process counts it."""
         self.current -= 1
-        if ends is not None:
-            ends[request_class] += 1
+        if counter is not None:
+            counter[request_class] += 1
 
     def view(self, sends: int, cluster: tuple[int, int]) -> dict[str, object]:
-        """As operators read them; `cluster`: the cache servers listed, and those of them that are avoided."""
+        """Return the counters as the `/stats` call shows them.
+
+        `sends`: attempts sent; `cluster`: the numbers of listed cache servers and of those that are avoided.
+        """
         return {
             "answered": self.answered,
             "deferred": self.deferred,
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -287,14 +287,14 @@
         """Return how reads are distributed over zones, the plan in force, and the plan owner's view."""
         return {"on": True, **self._failover.view()} if self._failover is not None else {"on": False}
 
-    def order_zones(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
+    def order_zones(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
         """Send the plan owner an order and return its number, or None if there is no such zone.
 
         Raises CallError.
         """
         if self._failover is None:
             raise CallError("failover is off")
-        return self._failover.order(what, zone, way_ms, force)
+        return self._failover.order(action, zone, transition_ms, force)
 
     def step_down(self, to: str) -> None:
         """Transfer leadership to the voter `to`, or to any voter if it is empty. Raises CallError."""
@@ -310,11 +310,11 @@
             self._peers.settle()
         return self._peers is not None
 
-    def take_out(self, server: str) -> bool:
+    def ban_server(self, server: str) -> bool:
         """Send no more requests to a cache server; return False if it is unknown. Raises CallError."""
         return self._change_ban(server, self._bans.ban)
 
-    def put_back(self, server: str) -> bool:
+    def unban_server(self, server: str) -> bool:
         """Lift the ban of a cache server; return False if it is unknown. Raises CallError."""
         return self._change_ban(server, self._bans.unban)
 
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -142,7 +142,7 @@
         if request.counted:
             return
         request.counted = True
-        self.figures.ended(request.asked.request_class, ends)
+        self.figures.count_end(request.asked.request_class, ends)
         # A refusal only promises that trying again is harmless: repeats of a keyed write are dropped.
         unknown = ends is not self.figures.answered and (request.ran or request.out > 0)
         request.took_effect(may_have_run=unknown)
@@ -155,7 +155,7 @@
         self._probe_timeout = min(cls.aim for cls in settings.classes)
         self.late_s = max(cls.deadline for cls in settings.classes) / NS_PER_S
         """For so long a connection waits for an answer that comes too late."""
-        self.figures.classes(sorted(self._classes))
+        self.figures.add_classes(sorted(self._classes))
 
     def retune(self, settings: Settings) -> None:
         """Take new settings, all at one moment; open requests keep what they came with."""
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -454,7 +454,7 @@
     def _moved(self) -> None:
         if not self._counted:
             self._counted = True
-            self._host.figures.ended(self._class, None)
+            self._host.figures.count_end(self._class, None)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheNote | None = None) -> None:
         """The first end is the request's."""
@@ -466,7 +466,7 @@
         self._counted = True
         figures = self._host.figures
         whole = outcome is Outcome.OK
-        figures.ended(self._class, figures.answered if whole else figures.errored)
+        figures.count_end(self._class, figures.answered if whole else figures.errored)
         if whole:
             self._reply.finish()
         else:
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -6,19 +6,19 @@
 
 import pytest
 
-from saltport.admin.calls import CallError, answer
+from saltport.admin.calls import CallError, handle_call
 from saltport.admin.figures import Figures
 
 
-class Router:
-    """What calls are made of; it knows one server."""
+class FakeRouter:
+    """Operations that record each call and know only a few servers and zones."""
 
     def __init__(self) -> None:
         self.done: list[str] = []
-        self.well = True
+        self.is_healthy = True
 
     def healthy(self) -> bool:
-        return self.well
+        return self.is_healthy
 
     def stats(self) -> dict[str, Any]:
         return {"sends": 3}
@@ -26,13 +26,13 @@
     def state(self) -> dict[str, Any]:
         return {"ready": True}
 
-    def take_out(self, server: str) -> bool:
+    def ban_server(self, server: str) -> bool:
         if server == "full":
             raise CallError("no room")
         self.done.append(f"out {server}")
         return server in ("s-1", "ü/ ä")
 
-    def put_back(self, server: str) -> bool:
+    def unban_server(self, server: str) -> bool:
         self.done.append(f"back {server}")
         return server == "s-1"
 
@@ -45,8 +45,8 @@
     def zones(self) -> dict[str, Any]:
         return {"on": False}
 
-    def order_zones(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
-        self.done.append(f"{what} {zone} {way_ms}{' force' if force else ''}")
+    def order_zones(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
+        self.done.append(f"{action} {zone} {transition_ms}{' force' if force else ''}")
         return 7 if zone in ("", "b", "b?") else None
 
     def step_down(self, to: str) -> None:
@@ -54,7 +54,7 @@
 
     def settle_peers(self) -> bool:
         self.done.append("settle")
-        return self.well
+        return self.is_healthy
 
     def drain(self) -> None:
         self.done.append("drain")
@@ -106,27 +106,27 @@
         ("GET", "http://elsewhere/stats", 400, []),
     ],
 )
-def test_each_call_is_answered_and_only_a_whole_one_does_something(
+def test_each_call_has_its_status_and_invalid_calls_change_nothing(
     method: str, target: str, status: int, done: list[str]
 ) -> None:
-    router = Router()
-    told = answer(method, target, router)
-    assert (told.status, router.done) == (status, done)
-    assert bool(told.allow) == (status == 405)
-    assert ("error" in told.body) == (status not in (200, 503))
+    router = FakeRouter()
+    response = handle_call(method, target, router)
+    assert (response.status, router.done) == (status, done)
+    assert bool(response.allow) == (status == 405)
+    assert ("error" in response.body) == (status not in (200, 503))
 
 
-def test_a_router_that_takes_no_clients_says_no() -> None:
-    router = Router()
-    router.well = False
-    assert answer("GET", "/healthcheck", router).status == 503
+def test_healthcheck_fails_if_the_router_accepts_no_clients() -> None:
+    router = FakeRouter()
+    router.is_healthy = False
+    assert handle_call("GET", "/healthcheck", router).status == 503
 
 
 def test_figures_show_every_class_from_the_start_and_keep_dropped_ones() -> None:
     figures = Figures(["get"])
     figures.answered["get"] += 2
-    figures.classes(["fresh"])
-    told = figures.view(7, (5, 2))
-    assert told["answered"] == {"get": 2, "fresh": 0}
-    assert told["deferred"] == told["errored"] == {"get": 0, "fresh": 0}
-    assert (told["sends"], told["cluster_size"], told["cluster_unhealthy"]) == (7, 5, 2)
+    figures.add_classes(["fresh"])
+    view = figures.view(7, (5, 2))
+    assert view["answered"] == {"get": 2, "fresh": 0}
+    assert view["deferred"] == view["errored"] == {"get": 0, "fresh": 0}
+    assert (view["sends"], view["cluster_size"], view["cluster_unhealthy"]) == (7, 5, 2)
--- a/tests/admin/test_listener.py
+++ b/tests/admin/test_listener.py
@@ -1,4 +1,4 @@
-"""The operators' listener over loopback: odd callers, silent crowds, and its answers beside load."""
+"""The operators' listener over loopback: malformed calls, many silent callers, and calls under load."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 from saltport.admin.calls import Operations
 from saltport.admin.client import ask
-from saltport.admin.listener import CALL_S, MAX_BODY, MAX_CALLERS, MAX_HEAD, AdminListener
+from saltport.admin.listener import CALL_TIMEOUT_S, MAX_BODY_BYTES, MAX_CALLERS, MAX_HEAD_BYTES, AdminListener
 from saltport.transport.loop import on_router_loop
 from tests.sockets import (
     MISS,
@@ -36,16 +36,16 @@
 
 
 def raw(router: RunningRouter, data: bytes, end: bool = False) -> bytes:
-    """What these bytes are answered with, until the router closes."""
+    """Send raw bytes and return everything the router sends until it closes."""
     with socket.create_connection(router.admin, timeout=TIMEOUT_S) as caller:
         caller.sendall(data)
         if end:
             caller.shutdown(socket.SHUT_WR)
-        told = b""
+        response = b""
         with suppress(ConnectionResetError):
             while part := caller.recv(65536):
-                told += part
-        return told
+                response += part
+        return response
 
 
 @pytest.fixture(scope="module")
@@ -73,14 +73,18 @@
         (b"*1\r\n$4\r\nPING\r\n", 400),
         (b"GET /healthcheck\x00 HTTP/1.1\r\n\r\n", 400),
         (b"\xff" * 100, 400),
-        (b"GET /stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * (MAX_HEAD + 1), 431),
-        (b"PUT /stats HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n" + b"y" * (MAX_BODY + 1), 413),
+        (b"GET /stats HTTP/1.1\r\nHost: x\r\nX: " + b"y" * (MAX_HEAD_BYTES + 1), 431),
+        (
+            b"PUT /stats HTTP/1.1\r\nHost: x\r\nContent-Length: 99999999\r\n\r\n"
+            + b"y" * (MAX_BODY_BYTES + 1),
+            413,
+        ),
     ],
 )
 def test_every_call_gets_its_status_and_a_close(router: RunningRouter, data: bytes, status: int) -> None:
-    told = raw(router, data)
-    assert told.startswith(b"HTTP/1.1 %d " % status), told[:200]
-    head, _, body = told.partition(b"\r\n\r\n")
+    response = raw(router, data)
+    assert response.startswith(b"HTTP/1.1 %d " % status), response[:200]
+    head, _, body = response.partition(b"\r\n\r\n")
     assert b"Connection: close" in head
     assert int(head.split(b"Content-Length: ")[1].split(b"\r\n")[0]) == len(body)
 
@@ -92,11 +96,11 @@
 
 
 def test_only_the_first_call_of_a_connection_counts(router: RunningRouter) -> None:
-    told = raw(router, b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n" * 2)
-    assert told.count(b"HTTP/1.1 ") == 1
+    response = raw(router, b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n" * 2)
+    assert response.count(b"HTTP/1.1 ") == 1
 
 
-def test_call_in_single_bytes_is_a_call(router: RunningRouter) -> None:
+def test_call_sent_byte_by_byte_is_answered(router: RunningRouter) -> None:
     with socket.create_connection(router.admin, timeout=TIMEOUT_S) as caller:
         for byte in b"GET /healthcheck HTTP/1.1\r\nHost: x\r\n\r\n":
             caller.sendall(bytes([byte]))
@@ -104,28 +108,28 @@
         assert caller.recv(100).startswith(b"HTTP/1.1 200 ")
 
 
-def test_silent_callers_keep_nobody_out_and_end_by_themselves(router: RunningRouter) -> None:
+def test_silent_callers_do_not_block_others_and_time_out(router: RunningRouter) -> None:
     begun = time.monotonic()
     silent = [socket.create_connection(router.admin, timeout=TIMEOUT_S) for _ in range(2 * MAX_CALLERS)]
-    for half in silent[::2]:
-        half.sendall(b"GET /sta")
-    held = router.descriptors()
+    for partial in silent[::2]:
+        partial.sendall(b"GET /sta")
+    open_descriptors = router.descriptors()
     assert ask(router.admin, "/stats")
-    assert held < 3 * MAX_CALLERS
+    assert open_descriptors < 3 * MAX_CALLERS
     for caller in silent:
         with suppress(ConnectionResetError):
             assert caller.recv(1) == b""
         caller.close()
-    assert time.monotonic() - begun >= CALL_S - 0.5, "the last of them had their time"
+    assert time.monotonic() - begun >= CALL_TIMEOUT_S - 0.5, "the last callers had the full time"
 
 
 @pytest.mark.parametrize(("grace_s", "answered"), [(1000.0, True), (0.0, False)])
-def test_crowd_sends_nobody_away_before_its_call_can_be_read(
+def test_many_connections_evict_no_caller_within_its_grace_period(
     monkeypatch: pytest.MonkeyPatch, grace_s: float, answered: bool
 ) -> None:
-    monkeypatch.setattr("saltport.admin.listener.GRACE_S", grace_s)
+    monkeypatch.setattr("saltport.admin.listener.EVICTION_GRACE_S", grace_s)
 
-    async def play() -> bytes:
+    async def run_crowd() -> bytes:
         listener = AdminListener(cast(Operations, None))
         address = ("127.0.0.1", free_port())
         listener.listen(address)
@@ -133,18 +137,18 @@
         crowd = [await asyncio.open_connection(*address) for _ in range(2 * MAX_CALLERS)]
         writer.write(b"GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n")
         try:
-            told = await asyncio.wait_for(reader.read(), TIMEOUT_S)
+            response = await asyncio.wait_for(reader.read(), TIMEOUT_S)
         except ConnectionResetError:
-            told = b""
+            response = b""
         for _, other in [(reader, writer), *crowd]:
             other.close()
         listener.close()
-        return told
+        return response
 
-    assert on_router_loop(play()).startswith(b"HTTP/1.1 404") == answered
+    assert on_router_loop(run_crowd()).startswith(b"HTTP/1.1 404") == answered
 
 
-def test_unknown_server_is_a_no_and_a_listed_one_a_yes(router: RunningRouter) -> None:
+def test_ban_of_an_unknown_server_is_refused_and_of_a_listed_one_accepted(router: RunningRouter) -> None:
     assert router.ban("never") == 404
     assert router.ban("never", "ready") == 404
     assert router.ban("s1") == 200
@@ -152,7 +156,7 @@
     assert router.ban("s1", "ready") == 200
 
 
-def test_many_callers_of_one_server_at_once_leave_it_as_the_last_one_said(router: RunningRouter) -> None:
+def test_concurrent_bans_of_one_server_end_in_the_last_requested_state(router: RunningRouter) -> None:
     def change(state: str) -> None:
         for _ in range(10):
             assert router.ban("s1", state) == 200
@@ -166,14 +170,14 @@
     assert ask(router.admin, "/state")["out"] == []
 
 
-def test_figures_count_every_end_by_class(tmp_path: Path) -> None:
-    held = threading.Event()
+def test_figures_count_every_outcome_by_class(tmp_path: Path) -> None:
+    release = threading.Event()
 
     def serve(connection: socket.socket, words: list[bytes]) -> bytes:
         if words[1] == b"bad":
             reset(connection)
         if words[1] == b"held":
-            held.wait(TIMEOUT_S)
+            release.wait(TIMEOUT_S)
         return MISS if words[1] == b"miss" else hit(words[2])
 
     cache = Peer(serve)
@@ -185,50 +189,52 @@
         assert client.ask(get("m1", "miss")) == b"x"
         assert client.ask(put("w1", cls="once")) == b"-ERR failed"
         assert client.ask(get("d1", "k", more="").replace(b"c=get", b"c=new")).startswith(b"-ERR")
-        told = ask(router.admin, "/stats")
-        assert told["answered"] == {"get": 21, "put": 0, "once": 0}
-        assert told["errored"] == {"get": 0, "put": 0, "once": 1}
-        assert told["sends"] == len(cache.seen) + len(origin.seen)
-        assert (told["current"], told["cluster_size"], told["cluster_unhealthy"]) == (0, 1, 0)
+        stats = ask(router.admin, "/stats")
+        assert stats["answered"] == {"get": 21, "put": 0, "once": 0}
+        assert stats["errored"] == {"get": 0, "put": 0, "once": 1}
+        assert stats["sends"] == len(cache.seen) + len(origin.seen)
+        assert (stats["current"], stats["cluster_size"], stats["cluster_unhealthy"]) == (0, 1, 0)
         client.send(get("h1", "held"))
-        eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "one is open")
-        # The router counts what it wrote whole, which its peer may read a moment later.
+        eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "one request is open")
+        # The router counts a request once it is written completely; its peer may read it a moment later.
         sends = ask(router.admin, "/stats")["sends"]
-        eventually(lambda: sends == len(cache.seen) + len(origin.seen), "it was sent, though unanswered")
-        held.set()
+        eventually(lambda: sends == len(cache.seen) + len(origin.seen), "the unanswered request was sent")
+        release.set()
         assert client.answer() == b"h1"
         gone = router.client()
-        held.clear()
+        release.clear()
         gone.send(get("h2", "held"))
-        eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "one is open")
+        eventually(lambda: ask(router.admin, "/stats")["current"] == 1, "one request is open")
         gone.close()
-        eventually(lambda: ask(router.admin, "/stats")["current"] == 0, "its client has left")
-        held.set()
+        eventually(
+            lambda: ask(router.admin, "/stats")["current"] == 0, "the request of the closed client has ended"
+        )
+        release.set()
         assert ask(router.admin, "/stats")["answered"]["get"] == 22
 
 
-def test_calls_are_answered_beside_long_values_and_silent_callers(tmp_path: Path) -> None:
+def test_calls_are_answered_during_long_values_and_with_silent_callers(tmp_path: Path) -> None:
     value = b"v" * (4 << 20)
     cache = Peer(lambda _, words: hit(value))
     with run_router(tmp_path, {"s1": cache}) as router:
         silent = [socket.create_connection(router.admin, timeout=TIMEOUT_S) for _ in range(64)]
-        over = threading.Event()
+        stop = threading.Event()
 
         def read(number: int) -> None:
             client = router.client()
             count = 0
-            while not over.is_set():
+            while not stop.is_set():
                 assert len(client.ask(get(f"v{number}x{count}", d=60_000))) == len(value)
                 count += 1
 
         readers = [threading.Thread(target=read, args=(n,)) for n in range(4)]
         for reader in readers:
             reader.start()
-        told = [ask(router.admin, "/stats", timeout_s=TIMEOUT_S) for _ in range(20)]
-        over.set()
+        responses = [ask(router.admin, "/stats", timeout_s=TIMEOUT_S) for _ in range(20)]
+        stop.set()
         for reader in readers:
             reader.join()
         for caller in silent:
             caller.close()
-        assert all(json.dumps(figures) for figures in told)
-        eventually(lambda: ask(router.admin, "/stats")["current"] == 0, "all is passed on")
+        assert all(json.dumps(figures) for figures in responses)
+        eventually(lambda: ask(router.admin, "/stats")["current"] == 0, "all values have been sent")
