--- a/saltport/router/__main__.py
+++ b/saltport/router/__main__.py
@@ -12,7 +12,7 @@
 from collections.abc import Sequence
 from pathlib import Path
 
-from saltport.lifecycle.service import START_PATIENCE_S, Service
+from saltport.lifecycle.service import START_TIMEOUT_S, Service
 from saltport.router.config import Config, ConfigError, ConfigUnavailableError, load_config
 from saltport.router.log import configure_logger
 from saltport.transport import shortage
@@ -37,7 +37,7 @@
 
 def _load_config(with_files: Sequence[Path]) -> Config:
     """Return the configuration, read again during a temporary shortage of resources; raises ConfigError."""
-    end = time.monotonic() + START_PATIENCE_S
+    end = time.monotonic() + START_TIMEOUT_S
     while True:
         try:
             return load_config(os.environ, with_files)
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -142,7 +142,7 @@
         if request.counted:
             return
         request.counted = True
-        self.figures.ended(request.message.request_class, ends)
+        self.figures.count_end(request.message.request_class, ends)
         # After a refusal too the write may have run: it only promises that a retry is harmless, as repeats of
         # keyed writes are dropped.
         unknown = ends is not self.figures.answered and (request.may_have_run or request.open_attempts > 0)
@@ -156,7 +156,7 @@
         self._probe_timeout = min(cls.aim for cls in settings.classes)
         self.late_answer_wait_s = max(cls.deadline for cls in settings.classes) / NS_PER_S
         """How long a connection stays reserved for the answer to an attempt that has timed out."""
-        self.figures.classes(sorted(self._classes))
+        self.figures.add_classes(sorted(self._classes))
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply all new settings at once; open requests keep the ones that they arrived with."""
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -474,7 +474,7 @@
     def _count_transfer(self) -> None:
         if not self._counted:
             self._counted = True
-            self._host.figures.ended(self._class, None)
+            self._host.figures.count_end(self._class, None)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
         """Finish the client's answer, or cut it off if the value is incomplete; only the first end counts."""
@@ -486,7 +486,7 @@
         self._counted = True
         figures = self._host.figures
         complete = outcome is Outcome.OK
-        figures.ended(self._class, figures.answered if complete else figures.errored)
+        figures.count_end(self._class, figures.answered if complete else figures.errored)
         if complete:
             self._reply.finish()
         else:
