--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -327,7 +327,9 @@
             change(server)
         except OSError as error:
             raise CallError(f"cannot store the change: {error.strerror or error}") from None
-        log.info("%s: taken %s by an operator", server, "out" if server in self._host.disabled_servers else "back")
+        log.info(
+            "%s: taken %s by an operator", server, "out" if server in self._host.disabled_servers else "back"
+        )
         return True
 
     def drain(self) -> None:
