--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -20,7 +20,7 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.topology import MOST_ZONES, Evidence, Topology, ZoneCount
 from saltport.failover.agent import Agent
-from saltport.failover.messages import Message, Plan, Report, Row, encode
+from saltport.failover.messages import Message, Plan, Report, ZoneReport, encode
 from saltport.failover.settings import FailoverSettings
 from saltport.peers.link import MOST_CARRIED
 
@@ -69,10 +69,10 @@
         self.datagrams += 1
         self.bytes += fit.udp_bytes(len(encode(message)) + 1 + CARRIED, 1)
 
-    def turn(self, live: Any, now: int) -> None:
+    def tick(self, live_routers: Any, now: int) -> None:
         """Time has passed."""
         begun = time.thread_time_ns()
-        super().turn(live, now)
+        super().tick(live_routers, now)
         self.spent += time.thread_time_ns() - begun
 
     def receive(self, sender: str, message: Message, now: int) -> None:
@@ -122,7 +122,7 @@
                 self._carry(to)
             for place in range(self._step % TURN, len(self.agents), TURN):
                 agent = self.agents[place]
-                agent.turn(self.names, self.now)
+                agent.tick(self.names, self.now)
                 if agent.report_due(self.now):
                     begun = time.thread_time_ns()
                     agent.report(self._found(agent.topology.mine, len(agent.topology.zones)), self.now)
@@ -131,14 +131,14 @@
 
     def _carry(self, place: int) -> None:
         agent = self.agents[place]
-        for to, message in agent.take():
+        for to, message in agent.take_messages():
             agent.count(message)
             if not self.loss or self.rng.random() >= self.loss:
                 self._arriving.append((agent.name, self.places[to], message))
 
     def follow(self, age: tuple[int, int]) -> int:
         """How many have this plan, or a later one."""
-        return sum(a.follower.plan is not None and a.follower.plan.age >= age for a in self.agents)
+        return sum(a.follower.plan is not None and a.follower.plan.version >= age for a in self.agents)
 
 
 def plans(routers: int, loss: float = 0.0) -> Plans:
@@ -161,8 +161,8 @@
         fleet.run(0.01)
         plan = fleet.agents[0].follower.plan
         assert plan is not None
-        if not decided and plan.age > calm.age and plan.bad != calm.bad:
-            decided, age = fleet.now, plan.age
+        if not decided and plan.version > calm.version and plan.bad != calm.bad:
+            decided, age = fleet.now, plan.version
         if decided:
             known += [(fleet.now - decided) / NS_PER_S] * (fleet.follow(age) - len(known))
     late = [float("inf")] * (routers - len(known))
@@ -180,7 +180,7 @@
         1 << 31, 200_000, 400, "r1599", 5_000, 5_000, 10_000, table, table, bytes(zones), bytes(zones),
         bytes(zones), 0, False, bytes(min(zones, 11)), 0, (1 << zones) - 1, "worse",
     )  # fmt: skip
-    row = Row(20, 20, READS, 0, 0, 3, 40)
+    row = ZoneReport(20, 20, READS, 0, 0, 3, 40)
     report = Report(1 << 31, 1, 200_000, 400, 500, READS, 0, (row,) * zones, ((40, 0),) * min(zones, 11))
     return Sizes(zones, len(encode(plan)) + 1, len(encode(report)) + 1)
 
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -15,7 +15,7 @@
 
 from benchmarks.hot_world import S
 from benchmarks.zones_world import ZonesWorld
-from saltport.failover.decider import STILL
+from saltport.failover.decider import REASONS_WITHOUT_MOVES
 
 FORMS = ("plan", "alone", "envoy", "today")
 FAULTS = ("calm", "lost", "gone", "cut", "half", "slow", "flap", "liar", "crowd", "two")
@@ -109,7 +109,9 @@
         "seconds over capacity": sum(over),
         "origin, most": max(world.seconds[second]["origin"] for second in range(begun, ended + AFTER_S - 1)),
         "refused": sum(world.seconds[second]["refused"] for second in range(begun, ended + AFTER_S - 1)),
-        "plans that moved anything": sum(at >= begun and why not in STILL for at, why in world.made),
+        "plans that moved anything": sum(
+            at >= begun and why not in REASONS_WITHOUT_MOVES for at, why in world.made
+        ),
         "bytes a router a second": world.bytes / len(world.routers) / (world.now / S),
     }
 
--- a/benchmarks/zones_world.py
+++ b/benchmarks/zones_world.py
@@ -18,7 +18,7 @@
 from saltport.decisions.zoned import Zoned
 from saltport.failover.agent import Agent
 from saltport.failover.messages import Message, Plan, decode, encode
-from saltport.failover.settings import PIECE, FailoverSettings
+from saltport.failover.settings import LEASE_NAME, FailoverSettings
 from saltport.owners.fence import Fence
 from saltport.peers.link import MOST_CARRIED
 
@@ -95,7 +95,7 @@
         topology = self.topologies[self.zone_of[place]]
         return Agent(
             f"r{place}", topology, SETTINGS, rng, self.now, lambda _: self.epoch_of(place), COLD_TIME,
-            lambda epoch: self.fences[place].admit(PIECE, epoch),
+            lambda epoch: self.fences[place].admit(LEASE_NAME, epoch),
         )  # fmt: skip
 
     def epoch_of(self, place: int) -> int | None:
@@ -113,7 +113,7 @@
         if place in self.dead or wakes > self.now:
             self.at(max(wakes - self.now, 250 * MS), lambda: self._turn(place))
             return
-        agent.turn([f"r{other}" for other in range(len(self.routers)) if other not in self.dead], self.now)
+        agent.tick([f"r{other}" for other in range(len(self.routers)) if other not in self.dead], self.now)
         replication = self.routers[place].replication
         if agent.report_due(self.now) and isinstance(replication, Zoned):
             agent.report(replication.take_evidence(), self.now)
@@ -122,10 +122,10 @@
 
     def _carry(self, place: int) -> None:
         agent = self.agents[place]
-        for to, message in agent.take():
-            if isinstance(message, Plan) and message.age > self.latest:
-                self.latest = message.age
-                self.made.append((self.now / S, message.why))
+        for to, message in agent.take_messages():
+            if isinstance(message, Plan) and message.version > self.latest:
+                self.latest = message.version
+                self.made.append((self.now / S, message.reason))
             data = encode(message)
             assert len(data) <= MOST_CARRIED, (len(data), message)
             self.bytes += len(data) + 50
@@ -134,7 +134,7 @@
                 cost = int(self._cost(self.zone_of[place], self.zone_of[other]))
                 delay = cost + self._links.randrange(MS, 6 * MS)
                 self.at(delay, lambda other=other, data=data: self._arrive(place, other, decode(data)))  # type: ignore[misc]
-        told = agent.told(self.now)
+        told = agent.zone_plan(self.now)
         if told is not None:
             self._follow(place, told)
 
@@ -259,7 +259,7 @@
         """A router owns the plans from now on: voters know it from the record, the others from its plans."""
         self.owner, self.epoch, self.owner_until = to, self.epoch + 1, 1 << 62
         for voter in range(VOTERS):
-            self.fences[voter].admit(PIECE, self.epoch)
+            self.fences[voter].admit(LEASE_NAME, self.epoch)
 
     def bring_back(self, zone: int) -> None:
         """Cold and empty; routers start anew and know nothing."""
--- a/saltport/cli/zones.py
+++ b/saltport/cli/zones.py
@@ -20,9 +20,9 @@
 @AS_JSON
 def zones(router: Address, as_json: bool) -> None:
     """Show where reads go by zones, by which plan, and what its owner sees."""
-    from saltport.failover.words import lines
+    from saltport.failover.formatting import format_view
 
-    show("failover", ask(router, "/zones"), lines, as_json)
+    show("failover", ask(router, "/zones"), format_view, as_json)
 
 
 def _ordered(router: Address, path: str, wait_s: float) -> None:
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -7,20 +7,20 @@
 
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.topology import Topology
-from saltport.failover.health import Claim, agreed_share
+from saltport.failover.health import PathSample, weighted_median_share
 from saltport.failover.messages import Report
 from saltport.failover.settings import FailoverSettings
 
-GONE = 3 * NS_PER_S  # without a word of its routers a zone has none
-QUICK, SLOW = 0.5, 0.1  # of a new window in the smoothed demand
+ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # without a word of its routers a zone has none
+FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # of a new window in the smoothed demand
 
 
 @dataclass(slots=True)
-class _Teller:
+class _Reporter:
     """One router."""
 
     latest: Report
-    at: int
+    received_at: int
     window: list[Report] = field(default_factory=list)
 
 
@@ -28,126 +28,147 @@
 class Window:
     """What all told since the last one."""
 
-    claims: dict[tuple[int, int], list[Claim]] = field(default_factory=dict)
+    samples: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
     """By path: from a zone to another."""
-    origins: dict[tuple[int, int], list[Claim]] = field(default_factory=dict)
+    origins: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
     """By path: from a region to the origin of another."""
-    in_time: list[float] = field(default_factory=list)
+    in_time_rates: list[float] = field(default_factory=list)
     """Answers a second, by zone."""
-    strained: list[float] = field(default_factory=list)
+    strained_shares: list[float] = field(default_factory=list)
     """Share of the attempts that was late or turned away, by zone."""
 
 
-class Board:
+class ReportAggregator:
     """The owner's."""
 
     def __init__(self, topology: Topology, settings: FailoverSettings, now: int) -> None:
         self._topology, self._settings = topology, settings
-        self._tellers: dict[str, _Teller] = {}
-        self._closed = now
+        self._reporters: dict[str, _Reporter] = {}
+        self._window_opened_at = now
         zones = len(topology.zones)
-        self.quick, self.slow = [0.0] * zones, [0.0] * zones
+        self.fast_demand, self.slow_demand = [0.0] * zones, [0.0] * zones
         """Reads a second by zone, smoothed over a second and over five."""
-        self._began = False
+        self._has_reports = False
 
-    def hear(self, name: str, report: Report, now: int) -> None:
+    def receive(self, name: str, report: Report, now: int) -> None:
         """Take a router's report."""
         topology = self._topology
-        sane = report.topology == topology.digest and 0 <= report.zone < len(topology.zones)
-        if not sane or len(report.rows) != len(topology.zones) or report.span_ms <= 0:
+        is_valid = report.topology == topology.digest and 0 <= report.zone < len(topology.zones)
+        if not is_valid or len(report.zone_reports) != len(topology.zones) or report.span_ms <= 0:
             return
-        teller = self._tellers.setdefault(name, _Teller(report, now))
-        teller.latest, teller.at = report, now
-        if len(teller.window) < 8:
-            teller.window.append(report)
+        reporter = self._reporters.setdefault(name, _Reporter(report, now))
+        reporter.latest, reporter.received_at = report, now
+        if len(reporter.window) < 8:
+            reporter.window.append(report)
 
-    def fresh(self, now: int) -> list[Report]:
+    def recent_reports(self, now: int) -> list[Report]:
         """The latest report of each router that told anything lately."""
-        least = now - self._settings.fresh
-        return [teller.latest for teller in self._tellers.values() if teller.at >= least]
+        oldest = now - self._settings.report_max_age_ns
+        return [reporter.latest for reporter in self._reporters.values() if reporter.received_at >= oldest]
 
-    def followers(self, epoch: int, number: int, now: int) -> int:
+    def follower_count(self, epoch: int, number: int, now: int) -> int:
         """How many routers say that they follow this plan, or a later one."""
-        return sum((report.epoch, report.number) >= (epoch, number) for report in self.fresh(now))
+        return sum((report.epoch, report.number) >= (epoch, number) for report in self.recent_reports(now))
 
-    def tells(self, zone: int, now: int) -> bool:
+    def has_live_routers(self, zone: int, now: int) -> bool:
         """Whether any router of a zone told anything lately, for longer than one of them takes to restart."""
-        least = now - GONE
-        return any(teller.latest.zone == zone and teller.at >= least for teller in self._tellers.values())
+        oldest = now - ROUTER_TIMEOUT_NS
+        return any(
+            reporter.latest.zone == zone and reporter.received_at >= oldest
+            for reporter in self._reporters.values()
+        )
 
     def servers(self, zone: int, now: int) -> float:
         """Servers in use in a zone: as its own routers say, else as those who ask there, else as listed."""
-        fresh = self.fresh(now)
-        own = [report.rows[zone].usable for report in fresh if report.zone == zone]
-        if own:
-            return median_low(own)
-        asking = [r.rows[zone].usable for r in fresh if r.rows[zone].answered + r.rows[zone].silent]
-        return median_low(asking or [report.rows[zone].listed for report in fresh] or [1])
+        recent_reports = self.recent_reports(now)
+        own_zone = [report.zone_reports[zone].usable for report in recent_reports if report.zone == zone]
+        if own_zone:
+            return median_low(own_zone)
+        callers = [
+            r.zone_reports[zone].usable
+            for r in recent_reports
+            if r.zone_reports[zone].answered + r.zone_reports[zone].unanswered
+        ]
+        return median_low(callers or [report.zone_reports[zone].listed for report in recent_reports] or [1])
 
     def listed(self, zone: int, now: int) -> float:
         """Servers that the list names in a zone."""
-        return median_low([report.rows[zone].listed for report in self.fresh(now)] or [1])
+        return median_low([report.zone_reports[zone].listed for report in self.recent_reports(now)] or [1])
 
-    def missed(self, zone: int, now: int) -> float:
+    def miss_share(self, zone: int, now: int) -> float:
         """Of a zone's answers, the share that were misses."""
-        rows = [report.rows[zone] for report in self.fresh(now)]
-        return sum(row.missed for row in rows) / max(sum(row.answered for row in rows), 1)
+        rows = [report.zone_reports[zone] for report in self.recent_reports(now)]
+        return sum(row.misses for row in rows) / max(sum(row.answered for row in rows), 1)
 
-    def close(self, now: int) -> Window:
+    def close_window(self, now: int) -> Window:
         """End a window."""
         topology, window = self._topology, Window()
         zones = range(len(topology.zones))
-        span = max(now - self._closed, 1) / NS_PER_S
-        self._closed = now
-        answered, strained, attempts = ([0.0] * len(zones) for _ in range(3))
-        claims: dict[int, list[dict[int, Claim]]] = {}
-        for teller in self._tellers.values():
-            held, teller.window = teller.window, []
-            if not held:
+        span = max(now - self._window_opened_at, 1) / NS_PER_S
+        self._window_opened_at = now
+        answered, strained_shares, attempts = ([0.0] * len(zones) for _ in range(3))
+        samples: dict[int, list[dict[int, PathSample]]] = {}
+        for reporter in self._reporters.values():
+            received, reporter.window = reporter.window, []
+            if not received:
                 continue
-            source, found = held[0].zone, {}
+            source, by_zone = received[0].zone, {}
             for zone in zones:
-                rows = [report.rows[zone] for report in held]
-                silent, full = sum(row.silent for row in rows), sum(row.full for row in rows)
-                good, late = sum(row.answered for row in rows), sum(row.late for row in rows)
-                if silent + full + good:
-                    found[zone] = Claim(silent + full + good, silent)
-                answered[zone] += good - late
-                strained[zone] += full + late
-                attempts[zone] += full + good
-            claims.setdefault(source, []).append(found)
-            area = topology.area_of(source)
-            for other in range(len(topology.areas)):
-                told = [report.origins[other] for report in held if other < len(report.origins)]
-                good, silent = sum(one for one, _ in told), sum(two for _, two in told)
-                if good + silent:
-                    window.origins.setdefault((area, other), []).append(Claim(good + silent, silent))
-        for source, by in claims.items():
-            for found in self._trusted(source, by):
-                for zone, claim in found.items():
-                    window.claims.setdefault((source, zone), []).append(claim)
-        window.in_time = [held / span for held in answered]
-        window.strained = [part / max(of, 1.0) for part, of in zip(strained, attempts, strict=True)]
+                rows = [report.zone_reports[zone] for report in received]
+                unanswered, rejected = sum(row.unanswered for row in rows), sum(row.rejected for row in rows)
+                answered_count, late = sum(row.answered for row in rows), sum(row.late for row in rows)
+                if unanswered + rejected + answered_count:
+                    by_zone[zone] = PathSample(unanswered + rejected + answered_count, unanswered)
+                answered[zone] += answered_count - late
+                strained_shares[zone] += rejected + late
+                attempts[zone] += rejected + answered_count
+            samples.setdefault(source, []).append(by_zone)
+            source_area = topology.area_of(source)
+            for origin_area in range(len(topology.areas)):
+                counts = [
+                    report.origins[origin_area] for report in received if origin_area < len(report.origins)
+                ]
+                answered_count, unanswered = (
+                    sum(good_count for good_count, _ in counts),
+                    sum(silent_count for _, silent_count in counts),
+                )
+                if answered_count + unanswered:
+                    window.origins.setdefault((source_area, origin_area), []).append(
+                        PathSample(answered_count + unanswered, unanswered)
+                    )
+        for source, by_router in samples.items():
+            for by_zone in self._trusted(source, by_router):
+                for zone, sample in by_zone.items():
+                    window.samples.setdefault((source, zone), []).append(sample)
+        window.in_time_rates = [received / span for received in answered]
+        window.strained_shares = [
+            strained_count / max(attempt_count, 1.0)
+            for strained_count, attempt_count in zip(strained_shares, attempts, strict=True)
+        ]
         self._learn_demand(now)
         return window
 
-    def _trusted(self, source: int, by: list[dict[int, Claim]]) -> list[dict[int, Claim]]:
+    def _trusted(self, source: int, by_router: list[dict[int, PathSample]]) -> list[dict[int, PathSample]]:
         """Without the routers that find their own zone bad while it is well to the others: it is they.
 
         Danger: nobody else asks in the zones that such a router turns to: it would speak for all there.
         """
         bad = self._settings.bad_share
-        own = [found[source] for found in by if source in found]
-        if not own or agreed_share(own) >= bad:
-            return by
-        return [found for found in by if source not in found or found[source].share < bad]
+        own_zone = [by_zone[source] for by_zone in by_router if source in by_zone]
+        if not own_zone or weighted_median_share(own_zone) >= bad:
+            return by_router
+        return [
+            by_zone
+            for by_zone in by_router
+            if source not in by_zone or by_zone[source].unanswered_share < bad
+        ]
 
     def _learn_demand(self, now: int) -> None:
-        fresh = self.fresh(now)
+        recent_reports = self.recent_reports(now)
         for zone in range(len(self._topology.zones)):
-            rate = sum(r.demand * 1_000 / r.span_ms for r in fresh if r.zone == zone)
-            if not self._began:
-                self.quick[zone] = self.slow[zone] = rate
-            self.quick[zone] += (rate - self.quick[zone]) * QUICK
-            self.slow[zone] += (rate - self.slow[zone]) * SLOW
-        self._began = self._began or bool(fresh)
+            rate = sum(r.demand * 1_000 / r.span_ms for r in recent_reports if r.zone == zone)
+            if not self._has_reports:
+                self.fast_demand[zone] = self.slow_demand[zone] = rate
+            self.fast_demand[zone] += (rate - self.fast_demand[zone]) * FAST_SMOOTHING
+            self.slow_demand[zone] += (rate - self.slow_demand[zone]) * SLOW_SMOOTHING
+        self._has_reports = self._has_reports or bool(recent_reports)
--- a/saltport/failover/change.py
+++ b/saltport/failover/change.py
@@ -11,13 +11,13 @@
 from saltport.failover.plans import Matrix
 from saltport.failover.settings import FailoverSettings
 
-OVER = 0.95  # of a zone's room, past which its load is a reason
-LESS = 0.05  # of its room: by so much a new plan must relieve it
-REFUSED = 0.05  # of a zone's reads: so many more or fewer refused are a reason
+OVERLOAD_THRESHOLD = 0.95  # of a zone's room, past which its load is a reason
+MIN_RELIEF = 0.05  # of its room: by so much a new plan must relieve it
+MIN_REFUSED_CHANGE = 0.05  # of a zone's reads: so many more or fewer refused are a reason
 
 
 @dataclass(frozen=True, slots=True)
-class Vector:
+class Allocation:
     """Where all go, and which part of each zone's reads is refused."""
 
     rows: Matrix
@@ -32,16 +32,26 @@
         ]
 
 
-def worth_changing(
-    held: Vector, aim: Vector, demand: Sequence[float], room: Sequence[float], settings: FailoverSettings
+def is_worth_changing(
+    current: Allocation,
+    proposed: Allocation,
+    demand: Sequence[float],
+    capacity: Sequence[float],
+    settings: FailoverSettings,
 ) -> bool:
     """Whether a zone is overloaded that need not be, reads go far that may stay near, or refusals are off."""
-    least = settings.idle * sum(demand)
-    busy = [source for source, asked in enumerate(demand) if asked > least]
-    now, then = held.load(demand), aim.load(demand)
+    idle_limit = settings.idle_demand_share * sum(demand)
+    busy = [source for source, rate in enumerate(demand) if rate > idle_limit]
+    load_now, load_then = current.load(demand), proposed.load(demand)
     relieved = any(
-        now[zone] > OVER * most and now[zone] - then[zone] > LESS * most for zone, most in enumerate(room)
+        load_now[zone] > OVERLOAD_THRESHOLD * limit and load_now[zone] - load_then[zone] > MIN_RELIEF * limit
+        for zone, limit in enumerate(capacity)
+    )
+    nearer = any(
+        proposed.rows[source][source] - current.rows[source][source] >= settings.min_share_change
+        for source in busy
+    )
+    refusals = any(
+        abs(proposed.refused[source] - current.refused[source]) >= MIN_REFUSED_CHANGE for source in busy
     )
-    nearer = any(aim.rows[source][source] - held.rows[source][source] >= settings.step for source in busy)
-    refusals = any(abs(aim.refused[source] - held.refused[source]) >= REFUSED for source in busy)
     return relieved or nearer or refusals
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -9,45 +9,52 @@
 from dataclasses import dataclass
 
 from saltport.decisions.topology import Topology
-from saltport.failover.board import Board, Window
-from saltport.failover.change import Vector, worth_changing
+from saltport.failover.board import ReportAggregator, Window
+from saltport.failover.change import Allocation, is_worth_changing
 from saltport.failover.follower import Follower
-from saltport.failover.health import Claim, PathHealth
-from saltport.failover.messages import PARTS, Order, Ordered, Plan
-from saltport.failover.plans import MS, Matrix, bits, mask_of, nearest_open, parts_of
-from saltport.failover.room import Room
+from saltport.failover.health import PathHealth, PathSample
+from saltport.failover.messages import SHARE_SCALE, Order, OrderResult, Plan
+from saltport.failover.plans import (
+    NS_PER_MS,
+    Matrix,
+    bit_positions,
+    bitmask,
+    encode_shares,
+    nearest_available,
+)
+from saltport.failover.room import ZoneCapacity
 from saltport.failover.settings import FailoverSettings
-from saltport.failover.waterfall import UNLIMITED, Poured, pour
+from saltport.failover.waterfall import UNLIMITED, Distribution, distribute
 
-STILL = ("new owner", "trials end")  # why plans are made that leave all shares as they are
-MOST_REFUSED = 0.95
-OVERFLOW_MS = 1_000  # the way of a plan that only follows demand
-DEFAULT_WAY_MS = 10_000  # of an order
-FORGOTTEN = 600_000 * MS  # after which a zone without routers is one that has none
-TRIALS_A_SECOND, LEAST_TRIAL, MOST_TRIAL = 5.0, 0.01, 0.1  # of a zone's reads
-SETTLES = 2_000 * MS  # after reads were moved, before late answers count against a zone's room
-FAINT = 0.005  # less of a share than that needs no plan of its own to end it
-LATELY = 20_000 * MS  # for which a zone that is well again counts with all its servers
-REMEMBERED = 64  # orders whose answers are given again
+REASONS_WITHOUT_MOVES = ("new owner", "trials end")  # why plans are made that leave all shares as they are
+MAX_REFUSED_SHARE = 0.95
+DEMAND_TRANSITION_MS = 1_000  # the way of a plan that only follows demand
+ORDER_TRANSITION_MS = 10_000  # of an order
+ROUTERLESS_ZONE_EXPIRY_NS = 600_000 * NS_PER_MS  # after which a zone without routers is one that has none
+TRIALS_PER_S, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE = 5.0, 0.01, 0.1  # of a zone's reads
+SETTLE_NS = 2_000 * NS_PER_MS  # after reads were moved, before late answers count against a zone's room
+NEGLIGIBLE_SHARE = 0.005  # less of a share than that needs no plan of its own to end it
+RECENT_RECOVERY_NS = 20_000 * NS_PER_MS  # for which a zone that is well again counts with all its servers
+MAX_STORED_RESULTS = 64  # orders whose answers are given again
 
 
 @dataclass(frozen=True, slots=True)
-class _Aim:
+class _DesiredPlan:
     """What the next plan should lead to."""
 
-    poured: Poured
+    distribution: Distribution
     refused: tuple[float, ...]
     bad: tuple[int, ...]
     """By source zone: a bit for each zone whose path is held bad, by evidence or for want of servers."""
     doubted: tuple[int, ...]
     """Source zones that find everything bad."""
-    out: int
+    evacuated: int
     demand: tuple[float, ...]
-    room: tuple[float, ...]
+    capacity: tuple[float, ...]
 
-    def shut(self, source: int) -> int:
+    def closed_mask(self, source: int) -> int:
         """A bit for each zone that gets nothing from this one."""
-        return self.bad[source] | self.out
+        return self.bad[source] | self.evacuated
 
 
 class Decider:
@@ -55,343 +62,416 @@
 
     def __init__(
         self, name: str, topology: Topology, settings: FailoverSettings, follower: Follower, epoch: int,
-        now: int, warm: int,
+        now: int, warm_up_ns: int,
     ) -> None:  # fmt: skip
         """`warm`: in how many nanoseconds a cold server gets warm."""
         self.name, self.topology, self._settings, self.epoch = name, topology, settings, epoch
         self._follower, self._now = follower, now
-        self.board = Board(topology, settings, now)
-        self._back_ms = max(settings.back, int(settings.warm * warm)) // MS
+        self.reports = ReportAggregator(topology, settings, now)
+        self._recovery_ms = (
+            max(settings.min_recovery_ns, int(settings.warm_up_factor * warm_up_ns)) // NS_PER_MS
+        )
         zones, areas = range(len(topology.zones)), range(len(topology.areas))
         plan = follower.plan
         bad = plan.bad if plan else bytes(len(zones))
         self.paths = {
             (a, b): PathHealth(settings, bool(bad[a] >> b & 1)) for a in zones for b in zones
         }  # fmt: skip
-        lost = plan.lost if plan else 0
-        self.sources = {
-            (a, b): PathHealth(settings, a == b and bool(lost >> a & 1)) for a in areas for b in areas
+        lost_areas = plan.lost_origins if plan else 0
+        self.origin_paths = {
+            (a, b): PathHealth(settings, a == b and bool(lost_areas >> a & 1)) for a in areas for b in areas
         }  # fmt: skip
-        self.rooms = [Room(settings, topology.room_of(zone)) for zone in zones]
-        self.out = plan.out if plan else 0
+        self.capacities = [ZoneCapacity(settings, topology.room_of(zone)) for zone in zones]
+        self.evacuated = plan.evacuated if plan else 0
         self.frozen = plan.frozen if plan else False
         self.doubted: tuple[int, ...] = ()
-        self.plans = 0
-        self._number = 0
-        self._began = self._closed_at = self._made = now
-        self._moved = now - SETTLES
-        self._well_at: dict[int, int] = {}
+        self.plan_count = 0
+        self._plan_number = 0
+        self._started_at = self._window_closed_at = self._plan_created_at = now
+        self._reads_moved_at = now - SETTLE_NS
+        self._recovered_at: dict[int, int] = {}
         """By zone: when it was found well again."""
-        self._staffed = dict.fromkeys(bits(plan.staffed, len(zones)) if plan else (), now)
+        self._routers_seen_at = dict.fromkeys(
+            bit_positions(plan.router_zones, len(zones)) if plan else (), now
+        )
         """Zones that have routers of their own, and when one of them was heard last."""
-        self._gone: set[int] = set()
-        self._answers: dict[tuple[str, int], Ordered] = {}
+        self._routerless: set[int] = set()
+        self._order_results: dict[tuple[str, int], OrderResult] = {}
 
     # Evidence
 
-    def turn(self, now: int) -> Plan | None:
+    def tick(self, now: int) -> Plan | None:
         """Close a window if one is over; returns a new plan if one is needed."""
         self._now = now
-        if now - self._closed_at < self._settings.report:
+        if now - self._window_closed_at < self._settings.report_interval_ns:
             return None
-        self._closed_at = now
-        self._learn(self.board.close(now), now)
+        self._window_closed_at = now
+        self._process_window(self.reports.close_window(now), now)
         return self._decide(now)
 
-    def _learn(self, window: Window, now: int) -> None:
-        self._learn_gone(now)
+    def _process_window(self, window: Window, now: int) -> None:
+        self._update_routerless(now)
         for zone in range(len(self.topology.zones)):
-            if self.board.tells(zone, now) and not self.board.servers(zone, now):
+            if self.reports.has_live_routers(zone, now) and not self.reports.servers(zone, now):
                 # Who asks nobody any more, as no server is in use or on the list, finds nothing.
-                few = self._settings.least_attempts
-                window.claims.setdefault((zone, zone), []).append(Claim(few, few))
-        for path, claims in window.claims.items():
-            if self.paths[path].learn(claims, now) and not self.paths[path].bad:
-                self._turned_well(path[1], now)
-        for path, claims in window.origins.items():
-            self.sources[path].learn(claims, now)
-        for zone, room in enumerate(self.rooms):
-            room.learn(window.in_time[zone], window.strained[zone], now, now - self._moved > SETTLES)
-
-    def _learn_gone(self, now: int) -> None:
+                min_attempts = self._settings.min_attempts
+                window.samples.setdefault((zone, zone), []).append(PathSample(min_attempts, min_attempts))
+        for path, samples in window.samples.items():
+            if self.paths[path].add_window(samples, now) and not self.paths[path].bad:
+                self._on_path_recovered(path[1], now)
+        for path, samples in window.origins.items():
+            self.origin_paths[path].add_window(samples, now)
+        for zone, capacity in enumerate(self.capacities):
+            capacity.add_window(
+                window.in_time_rates[zone],
+                window.strained_shares[zone],
+                now,
+                now - self._reads_moved_at > SETTLE_NS,
+            )
+
+    def _update_routerless(self, now: int) -> None:
         """Zones that had routers of their own, of which none says anything."""
         for zone in range(len(self.topology.zones)):
-            if self.board.tells(zone, now):
-                self._staffed[zone] = now
-                if zone in self._gone:
-                    self._gone.discard(zone)
-                    self._well_at[zone] = now
-            elif zone in self._staffed and now - self._began > self._settings.fresh * 2:
-                if now - self._staffed[zone] <= FORGOTTEN:
-                    self._gone.add(zone)
+            if self.reports.has_live_routers(zone, now):
+                self._routers_seen_at[zone] = now
+                if zone in self._routerless:
+                    self._routerless.discard(zone)
+                    self._recovered_at[zone] = now
+            elif (
+                zone in self._routers_seen_at
+                and now - self._started_at > self._settings.report_max_age_ns * 2
+            ):
+                if now - self._routers_seen_at[zone] <= ROUTERLESS_ZONE_EXPIRY_NS:
+                    self._routerless.add(zone)
                 else:
-                    self._gone.discard(zone)
-                    del self._staffed[zone]
+                    self._routerless.discard(zone)
+                    del self._routers_seen_at[zone]
 
-    def _turned_well(self, zone: int, now: int) -> None:
+    def _on_path_recovered(self, zone: int, now: int) -> None:
         """One zone finds another well: so do those that have seen it good lately, for less evidence."""
-        self._well_at[zone] = now
+        self._recovered_at[zone] = now
         for (_, target), path in self.paths.items():
-            if target == zone and path.bad and path.hopeful:
-                path.turn_well(now)
+            if target == zone and path.bad and path.last_window_good:
+                path.mark_good(now)
 
     def _is_bad(self, source: int, target: int) -> bool:
         """By the own evidence of a zone; where it has none, by what the target's own routers find."""
         path, now = self.paths[source, target], self._now
-        if path.bad or (source != target and path.vouched(now)):
+        if path.bad or (source != target and path.has_recent_good_evidence(now)):
             return path.bad
         # Routers that come back with their zone find caches cold: they follow the way back, as all others do.
-        return target in self._gone or self.paths[target, target].bad
+        return target in self._routerless or self.paths[target, target].bad
 
-    def _servers(self, zone: int) -> float:
+    def _server_count(self, zone: int) -> float:
         """Those in use; just after a zone came back all that are listed, as routers take them back singly."""
-        if zone in self._lately():
-            return self.board.listed(zone, self._now)
-        return self.board.servers(zone, self._now)
+        if zone in self._recently_recovered():
+            return self.reports.listed(zone, self._now)
+        return self.reports.servers(zone, self._now)
 
     # Plans
 
-    def _aim(self, out: int) -> _Aim:
-        topology, board = self.topology, self.board
+    def _desired_plan(self, evacuated: int) -> _DesiredPlan:
+        topology, reports = self.topology, self.reports
         zones = range(len(topology.zones))
-        servers = [self._servers(zone) for zone in zones]
-        bad = [mask_of([t for t in zones if self._is_bad(s, t)]) for s in zones]
-        doubted = tuple(s for s in zones if all((bad[s] | out) >> t & 1 for t in zones))
+        servers = [self._server_count(zone) for zone in zones]
+        bad = [bitmask([t for t in zones if self._is_bad(s, t)]) for s in zones]
+        doubted = tuple(s for s in zones if all((bad[s] | evacuated) >> t & 1 for t in zones))
 
         def usable(source: int, target: int) -> bool:
-            return source not in doubted and not (bad[source] | out) >> target & 1
-
-        demand = [max(pair) for pair in zip(board.quick, board.slow, strict=True)]
-        placed = [0.0 if zone in doubted else held for zone, held in enumerate(demand)]
-        room = [held.most(servers[zone]) for zone, held in enumerate(self.rooms)]
-        proven = [held.proven(servers[zone]) for zone, held in enumerate(self.rooms)]
-        poured = pour(
-            placed, room, proven, usable, topology.near, (self._settings.near, self._settings.spill)
+            return source not in doubted and not (bad[source] | evacuated) >> target & 1
+
+        demand = [max(pair) for pair in zip(reports.fast_demand, reports.slow_demand, strict=True)]
+        placed = [0.0 if zone in doubted else value for zone, value in enumerate(demand)]
+        capacity = [value.limit(servers[zone]) for zone, value in enumerate(self.capacities)]
+        proven = [value.proven(servers[zone]) for zone, value in enumerate(self.capacities)]
+        distribution = distribute(
+            placed,
+            capacity,
+            proven,
+            usable,
+            topology.near,
+            (self._settings.own_demand_limit, self._settings.spillover_limit),
         )
         # Danger: were all refused, nothing would ever tell that a zone is well again.
-        refused = tuple(0.0 if s in doubted else min(poured.refused[s], MOST_REFUSED) for s in zones)
-        return _Aim(poured, refused, tuple(bad), doubted, out, tuple(demand), tuple(room))
+        refused = tuple(
+            0.0 if s in doubted else min(distribution.refused[s], MAX_REFUSED_SHARE) for s in zones
+        )
+        return _DesiredPlan(
+            distribution, refused, tuple(bad), doubted, evacuated, tuple(demand), tuple(capacity)
+        )
 
     def _decide(self, now: int) -> Plan | None:
         plan = self._follower.plan
         if plan is None or plan.epoch != self.epoch:
-            return self._adopt(plan, now)
-        if self.frozen or now - self._began < self._settings.fresh:
+            return self._continue_plan(plan, now)
+        if self.frozen or now - self._started_at < self._settings.report_max_age_ns:
             return None  # routers tell their owner only once they have heard of it
-        aim = self._aim(self.out)
-        self.doubted = aim.doubted
-        end = self._rows(aim)
-        was = plan.bad
+        desired = self._desired_plan(self.evacuated)
+        self.doubted = desired.doubted
+        end = self._target_rows(desired)
+        old_bad = plan.bad
         matrix = self._follower.matrix(now)
-        worse = any(
-            max(matrix[s][t], self._follower.end()[s][t]) > FAINT
-            for s in range(len(was))
-            if s not in aim.doubted
-            for t in bits(aim.bad[s] & ~was[s], len(was))
+        has_new_bad = any(
+            max(matrix[s][t], self._follower.final_matrix()[s][t]) > NEGLIGIBLE_SHARE
+            for s in range(len(old_bad))
+            if s not in desired.doubted
+            for t in bit_positions(desired.bad[s] & ~old_bad[s], len(old_bad))
+        )
+        has_recovered = any(
+            old_bad[s] & ~desired.bad[s] for s in range(len(old_bad)) if s not in desired.doubted
+        )
+        if self._serving_areas() != plan.origins or self._lost_areas() != plan.lost_origins:
+            return self._create_plan(desired, end, self._remaining_transition_ms(plan, now), "origin")
+        current = Allocation(
+            self._follower.final_matrix(), tuple(share / SHARE_SCALE for share in plan.refused)
+        )
+        changes_shares = is_worth_changing(
+            current, Allocation(end, desired.refused), desired.demand, desired.capacity, self._settings
+        )
+        recovering = any(
+            end[s][t] - matrix[s][t] > NEGLIGIBLE_SHARE
+            for t in self._recently_recovered()
+            for s in range(len(old_bad))
         )
-        better = any(was[s] & ~aim.bad[s] for s in range(len(was)) if s not in aim.doubted)
-        if self._served() != plan.origins or self._lost() != plan.lost:
-            return self._make(aim, end, self._rest(plan, now), "origin")
-        held = Vector(self._follower.end(), tuple(part / PARTS for part in plan.refused))
-        moves = worth_changing(held, Vector(end, aim.refused), aim.demand, aim.room, self._settings)
-        back = any(end[s][t] - matrix[s][t] > FAINT for t in self._lately() for s in range(len(was)))
-        if self._leads_to_evacuated(aim.out):
-            return self._make(aim, end, DEFAULT_WAY_MS, "evacuate")
-        if worse or (back and moves):
-            return self._make(aim, end, self._back_ms if back else 0, "better" if back else "worse")
-        squeezed = any(room.cut_at >= self._made for room in self.rooms)
-        calm = self._settings.squeeze if squeezed else max(plan.way_ms * MS, self._settings.calm)
-        if now - self._made < calm or not (moves or better):
+        if self._routes_to_evacuated(desired.evacuated):
+            return self._create_plan(desired, end, ORDER_TRANSITION_MS, "evacuate")
+        if has_new_bad or (recovering and changes_shares):
+            return self._create_plan(
+                desired, end, self._recovery_ms if recovering else 0, "better" if recovering else "worse"
+            )
+        capacity_was_cut = any(capacity.cut_at >= self._plan_created_at for capacity in self.capacities)
+        min_interval_ns = (
+            self._settings.min_plan_interval_after_cut_ns
+            if capacity_was_cut
+            else max(plan.transition_ms * NS_PER_MS, self._settings.min_plan_interval_ns)
+        )
+        if now - self._plan_created_at < min_interval_ns or not (changes_shares or has_recovered):
             return None
-        way = self._back_ms if any(room.tried for room in self.rooms) else OVERFLOW_MS
-        return self._make(aim, end, way if moves else 0, "demand" if moves else "trials end")
+        transition_ms = (
+            self._recovery_ms
+            if any(capacity.probing for capacity in self.capacities)
+            else DEMAND_TRANSITION_MS
+        )
+        return self._create_plan(
+            desired, end, transition_ms if changes_shares else 0, "demand" if changes_shares else "trials end"
+        )
 
-    def _leads_to_evacuated(self, out: int) -> bool:
+    def _routes_to_evacuated(self, evacuated: int) -> bool:
         """Whether the plan that holds sends reads to an evacuated zone, as one of an earlier release may."""
-        zones = bits(out, len(self.topology.zones))
-        return any(row[zone] > FAINT for row in self._follower.end() for zone in zones)
+        zones = bit_positions(evacuated, len(self.topology.zones))
+        return any(row[zone] > NEGLIGIBLE_SHARE for row in self._follower.final_matrix() for zone in zones)
 
-    def _lately(self) -> list[int]:
+    def _recently_recovered(self) -> list[int]:
         """Zones that came back not long ago."""
-        return [zone for zone, at in self._well_at.items() if self._now - at < LATELY]
+        return [zone for zone, at in self._recovered_at.items() if self._now - at < RECENT_RECOVERY_NS]
 
-    def _adopt(self, plan: Plan | None, now: int) -> Plan:
+    def _continue_plan(self, plan: Plan | None, now: int) -> Plan:
         """Go on with the plan that there was; with none, near first."""
-        none = bytes(len(self.topology.zones))
-        refused, bad, way = (plan.refused, plan.bad, self._rest(plan, now)) if plan else (none, none, 0)
-        begin, end = self._follower.matrix(now), self._follower.end()
-        return self._plan(begin, end, refused, bad, way, "new owner")
+        no_zones = bytes(len(self.topology.zones))
+        refused, bad, transition_ms = (
+            (plan.refused, plan.bad, self._remaining_transition_ms(plan, now))
+            if plan
+            else (no_zones, no_zones, 0)
+        )
+        begin, end = self._follower.matrix(now), self._follower.final_matrix()
+        return self._new_plan(begin, end, refused, bad, transition_ms, "new owner")
 
-    def _rest(self, plan: Plan, now: int) -> int:
+    def _remaining_transition_ms(self, plan: Plan, now: int) -> int:
         """What is left of a plan's way, in milliseconds."""
-        return max(plan.way_ms - (now - self._follower.made_at) // MS, 0)
+        return max(plan.transition_ms - (now - self._follower.created_at) // NS_PER_MS, 0)
 
-    def _rows(self, aim: _Aim) -> Matrix:
+    def _target_rows(self, desired: _DesiredPlan) -> Matrix:
         """Rows that make one each; a zone that doubts all goes on as it did."""
-        held = self._follower.end()
+        current = self._follower.final_matrix()
         rows = []
-        for source, shares in enumerate(aim.poured.shares):
+        for source, shares in enumerate(desired.distribution.shares):
             total = sum(shares)
-            shut = any(share and aim.shut(source) >> target & 1 for target, share in enumerate(held[source]))
-            idle = self.board.quick[source] < self._settings.idle * sum(self.board.quick)
-            stays = source in aim.doubted or not total or (idle and not shut)
-            kept = self._without_evacuated(source, held[source], aim)
-            rows.append(kept if stays else tuple(share / total for share in shares))
+            closed = any(
+                share and desired.closed_mask(source) >> target & 1
+                for target, share in enumerate(current[source])
+            )
+            is_idle = self.reports.fast_demand[source] < self._settings.idle_demand_share * sum(
+                self.reports.fast_demand
+            )
+            keeps_row = source in desired.doubted or not total or (is_idle and not closed)
+            fallback = self._without_evacuated(source, current[source], desired)
+            rows.append(fallback if keeps_row else tuple(share / total for share in shares))
         return tuple(rows)
 
-    def _without_evacuated(self, source: int, row: tuple[float, ...], aim: _Aim) -> tuple[float, ...]:
+    def _without_evacuated(
+        self, source: int, row: tuple[float, ...], desired: _DesiredPlan
+    ) -> tuple[float, ...]:
         """A row that is kept for want of evidence or room, but for the zones evacuated by hand.
 
         Danger: an order doesn't hang on evidence. Were the row kept as it is, a zone evacuated while all
         looked bad would get its reads for ever: once all is well again, nothing asks for another plan.
         """
-        remaining = [0.0 if aim.out >> target & 1 else share for target, share in enumerate(row)]
+        remaining = [0.0 if desired.evacuated >> target & 1 else share for target, share in enumerate(row)]
         total = sum(remaining)
-        if total > FAINT:
+        if total > NEGLIGIBLE_SHARE:
             return tuple(share / total for share in remaining)
         near = self.topology.near(source)
-        closed = aim.out if source in aim.doubted else aim.shut(source)
+        closed = desired.evacuated if source in desired.doubted else desired.closed_mask(source)
         target = next((zone for zone in near if not closed >> zone & 1), None)
         if target is None:
-            return nearest_open(self.topology, aim.out)[source]
+            return nearest_available(self.topology, desired.evacuated)[source]
         return tuple(float(zone == target) for zone in range(len(row)))
 
-    def _make(self, aim: _Aim, end: Matrix, way_ms: int, why: str) -> Plan:
+    def _create_plan(self, desired: _DesiredPlan, end: Matrix, transition_ms: int, reason: str) -> Plan:
         now, zones = self._now, range(len(self.topology.zones))
         begin = [list(row) for row in self._follower.matrix(now)]
         for source in zones:
             # Danger: what goes to a zone that is bad now must not wait for the way of one that comes back.
-            shut = [t for t in zones if aim.bad[source] >> t & 1 and source not in aim.doubted]
-            loose = sum(begin[source][target] for target in shut)
+            closed = [t for t in zones if desired.bad[source] >> t & 1 and source not in desired.doubted]
+            freed = sum(begin[source][target] for target in closed)
             for target in zones:
-                begin[source][target] = 0.0 if target in shut else begin[source][target]
-                begin[source][target] += loose * end[source][target]
-        refused = bytes(round(part * PARTS) for part in aim.refused)
-        return self._plan(begin, end, refused, self._bad_of(aim), way_ms, why)
-
-    def _plan(
-        self, begin: Sequence[Sequence[float]], end: Matrix, refused: bytes, bad: bytes, way_ms: int, why: str
+                begin[source][target] = 0.0 if target in closed else begin[source][target]
+                begin[source][target] += freed * end[source][target]
+        refused = bytes(round(share * SHARE_SCALE) for share in desired.refused)
+        return self._new_plan(begin, end, refused, self._bad_masks(desired), transition_ms, reason)
+
+    def _new_plan(
+        self,
+        begin: Sequence[Sequence[float]],
+        end: Matrix,
+        refused: bytes,
+        bad: bytes,
+        transition_ms: int,
+        reason: str,
     ) -> Plan:
-        if why not in STILL:
-            self._moved = self._now
-        self._number += 1
-        self.plans += 1
-        self._made = self._now
+        if reason not in REASONS_WITHOUT_MOVES:
+            self._reads_moved_at = self._now
+        self._plan_number += 1
+        self.plan_count += 1
+        self._plan_created_at = self._now
         return Plan(
-            self.topology.digest, self.epoch, self._number, self.name, 0, 0, min(way_ms, 3_600_000),
-            parts_of(begin), parts_of(end), refused, bad, self._trial(), self.out, self.frozen,
-            self._served(), self._lost(), mask_of(list(self._staffed)), why[:16],
+            self.topology.digest, self.epoch, self._plan_number, self.name, 0, 0,
+            min(transition_ms, 3_600_000), encode_shares(begin), encode_shares(end), refused, bad,
+            self._trial_shares(), self.evacuated, self.frozen, self._serving_areas(), self._lost_areas(),
+            bitmask(list(self._routers_seen_at)), reason[:16],
         )  # fmt: skip
 
-    def _trial(self) -> bytes:
+    def _trial_shares(self) -> bytes:
         """So many of each zone's reads that some a second find out about a zone that is held bad."""
-        wanted = (TRIALS_A_SECOND / max(demand, 1.0) for demand in self.board.slow)
-        return bytes(round(1_000 * min(max(share, LEAST_TRIAL), MOST_TRIAL)) for share in wanted)
+        shares = (TRIALS_PER_S / max(demand, 1.0) for demand in self.reports.slow_demand)
+        return bytes(round(1_000 * min(max(share, MIN_TRIAL_SHARE), MAX_TRIAL_SHARE)) for share in shares)
 
-    def _bad_of(self, aim: _Aim) -> bytes:
+    def _bad_masks(self, desired: _DesiredPlan) -> bytes:
         plan = self._follower.plan
-        return bytes((plan.bad[s] if plan and s in aim.doubted else mask) for s, mask in enumerate(aim.bad))
+        return bytes(
+            (plan.bad[s] if plan and s in desired.doubted else mask) for s, mask in enumerate(desired.bad)
+        )
 
-    def _served(self) -> bytes:
+    def _serving_areas(self) -> bytes:
         """By region: the nearest region whose origin answers; its own where none does."""
         areas = range(len(self.topology.areas))
         return bytes(
-            next((o for o in self.topology.near_areas(area) if not self.sources[area, o].bad), area)
+            next((o for o in self.topology.near_areas(area) if not self.origin_paths[area, o].bad), area)
             for area in areas
         )
 
-    def _lost(self) -> int:
-        return mask_of([area for area in range(len(self.topology.areas)) if self.sources[area, area].bad])
+    def _lost_areas(self) -> int:
+        return bitmask(
+            [area for area in range(len(self.topology.areas)) if self.origin_paths[area, area].bad]
+        )
 
     # Orders
 
-    def forecast(self, out: int) -> tuple[float, Poured]:
+    def forecast(self, evacuated: int) -> tuple[float, Distribution]:
         """The part of all reads that would find no room with these zones out, and where the others go."""
-        aim = self._aim(out)
-        demand = self.board.slow
+        desired = self._desired_plan(evacuated)
+        demand = self.reports.slow_demand
         total = sum(demand) or 1.0
-        return sum(r * d for r, d in zip(aim.refused, demand, strict=True)) / total, aim.poured
+        return sum(r * d for r, d in zip(desired.refused, demand, strict=True)) / total, desired.distribution
 
-    def order(self, by: str, asked: Order, now: int) -> tuple[Ordered, Plan | None]:
+    def order(self, sender: str, order: Order, now: int) -> tuple[OrderResult, Plan | None]:
         """Carry an operator's order out; the same one again gets the same answer."""
         self._now = now
-        known = self._answers.get((by, asked.id))
-        if known is not None:
-            return known, None
-        text, plan = self._carry_out(asked)
-        answer = self._answers[by, asked.id] = Ordered(asked.id, text)
-        if len(self._answers) > REMEMBERED:
-            del self._answers[next(iter(self._answers))]
+        stored = self._order_results.get((sender, order.id))
+        if stored is not None:
+            return stored, None
+        text, plan = self._execute(order)
+        answer = self._order_results[sender, order.id] = OrderResult(order.id, text)
+        if len(self._order_results) > MAX_STORED_RESULTS:
+            del self._order_results[next(iter(self._order_results))]
         return answer, plan
 
-    def _carry_out(self, asked: Order) -> tuple[str, Plan | None]:
-        zones, out = range(len(self.topology.zones)), self.out
-        if asked.what in ("evacuate", "return") and asked.zone not in zones:
+    def _execute(self, order: Order) -> tuple[str, Plan | None]:
+        zones, evacuated = range(len(self.topology.zones)), self.evacuated
+        if order.action in ("evacuate", "return") and order.zone not in zones:
             return "no such zone", None
-        way = asked.way_ms or DEFAULT_WAY_MS
-        if asked.what == "evacuate":
-            if out >> asked.zone & 1:
+        transition_ms = order.transition_ms or ORDER_TRANSITION_MS
+        if order.action == "evacuate":
+            if evacuated >> order.zone & 1:
                 return "it is evacuated already", None
-            after = out | 1 << asked.zone
-            if after == mask_of(zones):
+            evacuated_after = evacuated | 1 << order.zone
+            if evacuated_after == bitmask(zones):
                 return "no zone would be left", None
-            refused, _ = self.forecast(after)
-            if refused > self._settings.refusable and not asked.force:
+            refused, _ = self.forecast(evacuated_after)
+            if refused > self._settings.max_refused_share and not order.force:
                 return (
                     f"no room: {refused:.0%} of all reads would be refused; --force does it all the same",
                     None,
                 )
-            self.out = after
-        elif asked.what == "return":
-            if not out >> asked.zone & 1:
+            self.evacuated = evacuated_after
+        elif order.action == "return":
+            if not evacuated >> order.zone & 1:
                 return "it is not evacuated", None
-            self.out, way = out & ~(1 << asked.zone), max(way, self._back_ms)
-        elif asked.what in ("freeze", "thaw"):
-            self.frozen, way = asked.what == "freeze", 0
+            self.evacuated, transition_ms = (
+                evacuated & ~(1 << order.zone),
+                max(transition_ms, self._recovery_ms),
+            )
+        elif order.action in ("freeze", "thaw"):
+            self.frozen, transition_ms = order.action == "freeze", 0
         else:
             return "no such order", None
-        aim = self._aim(self.out)
+        desired = self._desired_plan(self.evacuated)
         plan = self._follower.plan
-        if asked.what in ("freeze", "thaw") and plan is not None:
-            return "", self._make(aim, self._follower.end(), self._rest(plan, self._now), asked.what)
-        return "", self._make(aim, self._rows(aim), way, asked.what)
+        if order.action in ("freeze", "thaw") and plan is not None:
+            return "", self._create_plan(
+                desired,
+                self._follower.final_matrix(),
+                self._remaining_transition_ms(plan, self._now),
+                order.action,
+            )
+        return "", self._create_plan(desired, self._target_rows(desired), transition_ms, order.action)
 
     def view(self, now: int) -> dict[str, object]:
         """For operators."""
         zones = self.topology.zones
-        after = {}
-        for place, zone in enumerate(zones):
-            refused, poured = self.forecast(self.out | 1 << place)
-            after[zone] = {
+        forecasts = {}
+        for index, zone in enumerate(zones):
+            refused, distribution = self.forecast(self.evacuated | 1 << index)
+            forecasts[zone] = {
                 "refused": round(refused, 3),
-                "load": {name: round(load, 1) for name, load in zip(zones, poured.load, strict=True)},
+                "load": {name: round(load, 1) for name, load in zip(zones, distribution.load, strict=True)},
             }
         return {
             "epoch": self.epoch,
-            "plans": self.plans,
-            "reporting": len(self.board.fresh(now)),
-            "following": self.board.followers(self.epoch, self._number, now),
-            "doubted": [zones[place] for place in self.doubted],
+            "plans": self.plan_count,
+            "reporting": len(self.reports.recent_reports(now)),
+            "following": self.reports.follower_count(self.epoch, self._plan_number, now),
+            "doubted": [zones[index] for index in self.doubted],
             "zones": {
                 zone: {
-                    "demand": round(self.board.slow[place], 1),
-                    "in_time": round(self.rooms[place].rate, 1),
-                    "room": _figure(self.rooms[place].most(self.board.servers(place, now))),
-                    "proven": _figure(self.rooms[place].proven(self.board.servers(place, now))),
-                    "servers": self.board.servers(place, now),
-                    "missed": round(self.board.missed(place, now), 3),
+                    "demand": round(self.reports.slow_demand[index], 1),
+                    "in_time": round(self.capacities[index].rate, 1),
+                    "room": _finite_rate(self.capacities[index].limit(self.reports.servers(index, now))),
+                    "proven": _finite_rate(self.capacities[index].proven(self.reports.servers(index, now))),
+                    "servers": self.reports.servers(index, now),
+                    "missed": round(self.reports.miss_share(index, now), 3),
                 }
-                for place, zone in enumerate(zones)
+                for index, zone in enumerate(zones)
             },
-            "without": after,
+            "without": forecasts,
         }
 
 
-def _figure(rate: float) -> float | None:
+def _finite_rate(rate: float) -> float | None:
     return None if rate == UNLIMITED else round(rate, 1)
 
 
 def bad_paths(plan: Plan, topology: Topology) -> list[tuple[str, str]]:
     """The paths that a plan holds bad, by names."""
     zones = topology.zones
-    return [(zones[s], zones[t]) for s in range(len(zones)) for t in bits(plan.bad[s], len(zones))]
+    return [(zones[s], zones[t]) for s in range(len(zones)) for t in bit_positions(plan.bad[s], len(zones))]
--- a/saltport/failover/follower.py
+++ b/saltport/failover/follower.py
@@ -9,10 +9,18 @@
 from saltport.decisions.interface import ZonePlan
 from saltport.decisions.topology import Topology
 from saltport.failover.messages import Plan
-from saltport.failover.plans import MS, Matrix, between, for_zone, nearest_open, shares_of, standing
+from saltport.failover.plans import (
+    NS_PER_MS,
+    Matrix,
+    decode_shares,
+    interpolate,
+    matrix_at,
+    nearest_available,
+    zone_plan_of,
+)
 from saltport.failover.settings import FailoverSettings
 
-LONGEST_MS = 86_400_000
+MAX_DURATION_MS = 86_400_000
 
 
 class Follower:
@@ -26,14 +34,14 @@
     ) -> None:
         self.topology, self._settings, self._admit = topology, settings, admit
         self.plan: Plan | None = None
-        self.made_at = 0
-        self._word = 0
-        self.refused = 0
+        self.created_at = 0
+        self._confirmed_after_ns = 0
+        self.rejected_plans = 0
         """Plans of older owners, or by another topology, or that could not be read."""
 
-    def hear(self, plan: Plan, now: int) -> bool:
+    def receive(self, plan: Plan, now: int) -> bool:
         """Take a plan, from its owner or passed on; whether it is a new one."""
-        return self._take(plan, now, fenced=True)
+        return self._apply(plan, now, fenced=True)
 
     def inherit(self, plan: Plan, now: int) -> bool:
         """As the next owner, before its first plan, take the latest one of its predecessors.
@@ -42,76 +50,90 @@
         would refuse all plans before it: what operators ordered would be lost, though it was answered.
         Nothing later was applied here, as this router alone makes plans of the new epoch.
         """
-        return self._take(plan, now, fenced=False)
+        return self._apply(plan, now, fenced=False)
 
-    def _take(self, plan: Plan, now: int, fenced: bool) -> bool:
-        held = self.plan
-        if not self._readable(plan):
-            self.refused += 1
+    def _apply(self, plan: Plan, now: int, fenced: bool) -> bool:
+        current = self.plan
+        if not self._is_valid(plan):
+            self.rejected_plans += 1
             return False
-        if held is not None and plan.age < held.age:
-            self.refused += plan.epoch < held.epoch
+        if current is not None and plan.version < current.version:
+            self.rejected_plans += plan.epoch < current.epoch
             return False
-        if held is not None and plan.age == held.age:
+        if current is not None and plan.version == current.version:
             # Danger: a word of a dead owner that was long under way must not make its plan young again.
-            self.made_at = min(self.made_at, now - plan.ago_ms * MS)
-            self._word = max(self._word, plan.word_ms * MS)
+            self.created_at = min(self.created_at, now - plan.age_ms * NS_PER_MS)
+            self._confirmed_after_ns = max(self._confirmed_after_ns, plan.confirmed_after_ms * NS_PER_MS)
             return False
         if fenced and not self._admit(plan.epoch):
-            self.refused += 1
+            self.rejected_plans += 1
             return False
         self.plan = plan
-        self.made_at, self._word = now - plan.ago_ms * MS, plan.word_ms * MS
+        self.created_at, self._confirmed_after_ns = (
+            now - plan.age_ms * NS_PER_MS,
+            plan.confirmed_after_ms * NS_PER_MS,
+        )
         return True
 
-    def _readable(self, plan: Plan) -> bool:
+    def _is_valid(self, plan: Plan) -> bool:
         zones = len(self.topology.zones)
-        rows = {len(plan.refused), len(plan.bad), len(plan.trial)}
-        known = plan.topology == self.topology.digest and rows == {zones}
-        timed = 0 <= plan.word_ms <= plan.ago_ms <= LONGEST_MS and 0 <= plan.way_ms <= LONGEST_MS
-        sane = len(plan.begin) == len(plan.end) == zones * zones
+        lengths = {len(plan.refused), len(plan.bad), len(plan.trial_permille)}
+        same_topology = plan.topology == self.topology.digest and lengths == {zones}
+        valid_times = (
+            0 <= plan.confirmed_after_ms <= plan.age_ms <= MAX_DURATION_MS
+            and 0 <= plan.transition_ms <= MAX_DURATION_MS
+        )
+        valid_shares = len(plan.begin) == len(plan.end) == zones * zones
         areas = len(self.topology.areas)
-        served = len(plan.origins) == areas and all(area < areas for area in plan.origins)
-        return known and sane and served and timed
+        valid_origins = len(plan.origins) == areas and all(area < areas for area in plan.origins)
+        return same_topology and valid_shares and valid_origins and valid_times
 
-    def silent_for(self, now: int) -> int:
+    def owner_silence_ns(self, now: int) -> int:
         """Nanoseconds since the owner's last word, as far as it is known here."""
-        return max(now - self.made_at - self._word, 0)
+        return max(now - self.created_at - self._confirmed_after_ns, 0)
 
-    def holds(self, now: int) -> bool:
+    def is_binding(self, now: int) -> bool:
         """Whether the plan binds this router."""
-        return self.plan is not None and self.silent_for(now) <= self._settings.valid
+        return self.plan is not None and self.owner_silence_ns(now) <= self._settings.plan_validity_ns
 
     def matrix(self, now: int) -> Matrix:
         """Where reads go by all that is known here."""
         plan, topology = self.plan, self.topology
         if plan is None:
-            return nearest_open(topology, 0)
-        matrix = standing(plan, now - self.made_at, topology)
-        over = self.silent_for(now) - self._settings.valid
-        if over <= 0:
+            return nearest_available(topology, 0)
+        matrix = matrix_at(plan, now - self.created_at, topology)
+        overdue_ns = self.owner_silence_ns(now) - self._settings.plan_validity_ns
+        if overdue_ns <= 0:
             return matrix
-        return between(matrix, nearest_open(topology, plan.out), min(over / self._settings.settle, 1.0))
+        return interpolate(
+            matrix,
+            nearest_available(topology, plan.evacuated),
+            min(overdue_ns / self._settings.fallback_transition_ns, 1.0),
+        )
 
-    def told(self, now: int) -> ZonePlan | None:
+    def zone_plan(self, now: int) -> ZonePlan | None:
         """What holds for this router; None: nothing was ever decided."""
         if self.plan is None:
             return None
-        return for_zone(self.plan, self.matrix(now), self.topology.mine, self.topology, self.holds(now))
+        return zone_plan_of(
+            self.plan, self.matrix(now), self.topology.mine, self.topology, self.is_binding(now)
+        )
 
-    def aged(self, now: int) -> Plan | None:
+    def plan_to_forward(self, now: int) -> Plan | None:
         """The plan as it is to be passed on: its maker's word gets no younger by that."""
         if self.plan is None:
             return None
-        ago = max(now - self.made_at, 0) // MS
-        return structs.replace(self.plan, ago_ms=ago, word_ms=self._word // MS)
+        age_ms = max(now - self.created_at, 0) // NS_PER_MS
+        return structs.replace(
+            self.plan, age_ms=age_ms, confirmed_after_ms=self._confirmed_after_ns // NS_PER_MS
+        )
 
-    def keep(self, now: int) -> None:
+    def confirm(self, now: int) -> None:
         """Its maker says that the plan still holds."""
-        self._word = max(now - self.made_at, 0)
+        self._confirmed_after_ns = max(now - self.created_at, 0)
 
-    def end(self) -> Matrix:
+    def final_matrix(self) -> Matrix:
         """Where the plan leads."""
         if self.plan is None:
-            return nearest_open(self.topology, 0)
-        return shares_of(self.plan.end, len(self.topology.zones))
+            return nearest_available(self.topology, 0)
+        return decode_shares(self.plan.end, len(self.topology.zones))
--- a/saltport/failover/words.py
+++ b/saltport/failover/formatting.py
@@ -6,14 +6,14 @@
 from typing import Any
 
 
-def _row(shares: dict[str, float]) -> str:
+def _format_shares(shares: dict[str, float]) -> str:
     return ", ".join(f"{zone} {share:.0%}" for zone, share in shares.items() if share >= 0.005) or "nowhere"
 
 
-def lines(told: dict[str, Any]) -> Iterator[str]:
+def format_view(view: dict[str, Any]) -> Iterator[str]:
     """The report of one router."""
-    yield f"here {told['here']}: {told['state']}; {told['refused_plans']} plans of older owners refused"
-    plan = told.get("plan")
+    yield f"here {view['here']}: {view['state']}; {view['refused_plans']} plans of older owners refused"
+    plan = view.get("plan")
     if plan is not None:
         yield (
             f"plan {plan['epoch']}.{plan['number']} of {plan['by']} ({plan['why']}), "
@@ -25,13 +25,13 @@
             yield f"evacuated by hand: {', '.join(plan['out'])}"
         for source, target in plan["bad"]:
             yield f"  bad: from {source} to {target}"
-        for area, served in plan["origins"].items():
-            if area != served:
-                yield f"  region {area} is served by the origin of {served}"
-    for zone, shares in told["shares"].items():
+        for region, serving_region in plan["origins"].items():
+            if region != serving_region:
+                yield f"  region {region} is served by the origin of {serving_region}"
+    for zone, shares in view["shares"].items():
         refused = plan["refused"][zone] if plan is not None else 0
-        yield f"  reads from {zone}: {_row(shares)}{f'; {refused:.0%} REFUSED' if refused else ''}"
-    deciding = told["deciding"]
+        yield f"  reads from {zone}: {_format_shares(shares)}{f'; {refused:.0%} REFUSED' if refused else ''}"
+    deciding = view["deciding"]
     if deciding is None:
         return
     yield (
@@ -40,10 +40,11 @@
     )
     if deciding["doubted"]:
         yield f"  DOUBTED, as all looks bad from there: {', '.join(deciding['doubted'])}"
-    for zone, seen in deciding["zones"].items():
-        room = "no figure" if seen["room"] is None else f"{seen['room']:g}"
+    for zone, zone_view in deciding["zones"].items():
+        room = "no figure" if zone_view["room"] is None else f"{zone_view['room']:g}"
         yield (
-            f"  {zone}: {seen['demand']:g} reads a second asked, {seen['in_time']:g} answered in time, "
-            f"room {room}, {seen['servers']:g} servers in use, {seen['missed']:.0%} missed; "
+            f"  {zone}: {zone_view['demand']:g} reads a second asked, "
+            f"{zone_view['in_time']:g} answered in time, "
+            f"room {room}, {zone_view['servers']:g} servers in use, {zone_view['missed']:.0%} missed; "
             f"without it {deciding['without'][zone]['refused']:.0%} of all reads would be refused"
         )
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -11,17 +11,17 @@
 from saltport.decisions.topology import Evidence, Topology
 from saltport.failover.agent import Agent
 from saltport.failover.messages import decode, encode
-from saltport.failover.settings import PIECE, FailoverSettings
+from saltport.failover.settings import LEASE_NAME, FailoverSettings
 from saltport.owners.link import OwnersLink, boot_clock
 from saltport.peers.link import PeerLink
 
-MARK = 0xC1  # the one byte that begins nothing else: what follows is of this part
-TURN_S = 0.1
+MESSAGE_PREFIX = 0xC1  # the one byte that begins nothing else: what follows is of this part
+TICK_INTERVAL_S = 0.1
 
 log = logging.getLogger("saltport")
 
 
-class Reads(Protocol):
+class ReadRouting(Protocol):
     """What failover needs of the decisions."""
 
     def tell(self, event: ZonePlan) -> None:
@@ -38,81 +38,83 @@
         self,
         loop: asyncio.AbstractEventLoop,
         topology: Topology,
-        warm: int,
+        warm_up_ns: int,
         peers: PeerLink,
         owners: OwnersLink,
-        reads: Reads,
+        read_routing: ReadRouting,
         seed: int,
     ) -> None:
         """`warm`: nanoseconds in which a cold server gets warm."""
-        self._loop, self._peers, self._owners, self._reads = loop, peers, owners, reads
+        self._loop, self._peers, self._owners, self._read_routing = loop, peers, owners, read_routing
         self.agent = Agent(
             peers.agent.name, topology, FailoverSettings(), random.Random(seed ^ 0xFA11), boot_clock(),
-            self._may, warm, self._admit,
+            self._current_epoch, warm_up_ns, self._admit,
         )  # fmt: skip
-        owners.wanted.append(PIECE)
-        peers.marked[MARK] = self._arrived
-        self._told: ZonePlan | None = None
-        self._said: tuple[object, ...] = ()
+        owners.wanted.append(LEASE_NAME)
+        peers.marked[MESSAGE_PREFIX] = self._on_datagram
+        self._last_zone_plan: ZonePlan | None = None
+        self._last_logged: tuple[object, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
-        self._turn()
+        self._tick()
 
-    def _may(self, now: int) -> int | None:
+    def _current_epoch(self, now: int) -> int | None:
         member = self._owners.member
-        return member.tenure.may(PIECE, now) if member is not None else None
+        return member.tenure.may(LEASE_NAME, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
         member = self._owners.member
-        return member is None or member.fence.admit(PIECE, epoch)
+        return member is None or member.fence.admit(LEASE_NAME, epoch)
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         try:
             now, agent = boot_clock(), self.agent
-            agent.turn([record.name for record in self._peers.agent.members.live()], now)
+            agent.tick([record.name for record in self._peers.agent.members.live()], now)
             if agent.report_due(now):
-                found = self._reads.take_evidence()
-                if found is not None:
-                    agent.report(found, now)
-            self._carry(now)
+                evidence = self._read_routing.take_evidence()
+                if evidence is not None:
+                    agent.report(evidence, now)
+            self._flush(now)
         finally:
-            self._timer = self._loop.call_later(TURN_S, self._turn)
+            self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
-    def _arrived(self, sender: str, data: bytes) -> None:
+    def _on_datagram(self, sender: str, data: bytes) -> None:
         try:
             message = decode(data)
         except ValueError:
             return
         now = boot_clock()
         self.agent.receive(sender, message, now)
-        self._carry(now)
-
-    def _carry(self, now: int) -> None:
-        for to, message in self.agent.take():
-            self._peers.send_to(to, bytes([MARK]) + encode(message))
-        told = self.agent.told(now)
-        if told is not None and told != self._told:
-            self._told = told
-            self._reads.tell(told)
-        self._say(now)
-
-    def _say(self, now: int) -> None:
+        self._flush(now)
+
+    def _flush(self, now: int) -> None:
+        for to, message in self.agent.take_messages():
+            self._peers.send_to(to, bytes([MESSAGE_PREFIX]) + encode(message))
+        zone_plan = self.agent.zone_plan(now)
+        if zone_plan is not None and zone_plan != self._last_zone_plan:
+            self._last_zone_plan = zone_plan
+            self._read_routing.tell(zone_plan)
+        self._log_plan_change(now)
+
+    def _log_plan_change(self, now: int) -> None:
         """One line for each new plan, and for its end."""
         follower = self.agent.follower
-        plan, holds = follower.plan, follower.holds(now)
-        said = () if plan is None else (plan.age, holds)
-        if plan is None or said == self._said:
+        plan, binding = follower.plan, follower.is_binding(now)
+        state = () if plan is None else (plan.version, binding)
+        if plan is None or state == self._last_logged:
             return
-        self._said = said
-        if not holds:
+        self._last_logged = state
+        if not binding:
             log.warning(
                 "failover: the owner has been silent for %d s: near first",
-                follower.silent_for(now) // NS_PER_S,
+                follower.owner_silence_ns(now) // NS_PER_S,
             )
             return
-        shares = ", ".join(f"{zone} {share:.0%}" for zone, share in self._shares(follower.end()) if share)
+        shares = ", ".join(
+            f"{zone} {share:.0%}" for zone, share in self._shares(follower.final_matrix()) if share
+        )
         log.info(
-            "failover: plan %d.%d of %s (%s): reads go to %s within %.1f s", *plan.age, plan.by, plan.why,
-            shares, plan.way_ms / 1e3,
+            "failover: plan %d.%d of %s (%s): reads go to %s within %.1f s", *plan.version, plan.owner,
+            plan.reason, shares, plan.transition_ms / 1e3,
         )  # fmt: skip
 
     def _shares(self, matrix: tuple[tuple[float, ...], ...]) -> list[tuple[str, float]]:
@@ -123,20 +125,20 @@
 
     def view(self) -> dict[str, Any]:
         """What holds, why, and what the owner sees, where this router is the owner."""
-        told = self.agent.view(boot_clock())
-        orders = {str(order.id): order.text or "done" for order in self.agent.ordered.values()}
-        return {**told, "orders": orders}
+        view = self.agent.view(boot_clock())
+        orders = {str(result.id): result.text or "done" for result in self.agent.order_results.values()}
+        return {**view, "orders": orders}
 
-    def order(self, what: str, zone: str, way_ms: int, force: bool) -> int | None:
+    def order(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
         """Have an operator's order carried out by the owner; its number, None: there is no such zone."""
         topology = self.agent.topology
         if zone and zone not in topology.places:
             return None
-        log.info("failover: by hand: %s %s%s", what, zone, ", forced" if force else "")
-        place = topology.places[zone] if zone else 0
+        log.info("failover: by hand: %s %s%s", action, zone, ", forced" if force else "")
+        index = topology.places[zone] if zone else 0
         now = boot_clock()
-        number = self.agent.order(what, place, way_ms, force, now)
-        self._carry(now)
+        number = self.agent.order(action, index, transition_ms, force, now)
+        self._flush(now)
         return number
 
     def close(self) -> None:
--- a/saltport/failover/messages.py
+++ b/saltport/failover/messages.py
@@ -5,20 +5,20 @@
 import msgspec
 from msgspec import Struct
 
-TAGS = range(80, 90)
-PARTS = 250  # shares are told in so many parts
+TAG_RANGE = range(80, 90)
+SHARE_SCALE = 250  # shares are told in so many parts
 
 
-class Row(Struct, frozen=True, array_like=True):
+class ZoneReport(Struct, frozen=True, array_like=True):
     """What one router found in one zone within a span."""
 
     listed: int
     usable: int
     answered: int
-    silent: int
-    full: int
+    unanswered: int
+    rejected: int
     late: int
-    missed: int
+    misses: int
 
 
 class Report(Struct, frozen=True, array_like=True, tag=80):
@@ -31,7 +31,7 @@
     span_ms: int
     demand: int
     refused: int
-    rows: tuple[Row, ...]
+    zone_reports: tuple[ZoneReport, ...]
     origins: tuple[tuple[int, int], ...]
 
 
@@ -41,12 +41,12 @@
     topology: int
     epoch: int
     number: int
-    by: str
-    ago_ms: int
+    owner: str
+    age_ms: int
     """Since it was made."""
-    word_ms: int
+    confirmed_after_ms: int
     """From then until its maker was last heard, by who passes it on."""
-    way_ms: int
+    transition_ms: int
     """From `begin` to `end`."""
     begin: bytes
     """Parts by source zone, and in it by target zone."""
@@ -55,32 +55,32 @@
     """Parts by source zone, of those reads that find no room."""
     bad: bytes
     """By source zone: a bit for each zone whose path is held bad."""
-    trial: bytes
+    trial_permille: bytes
     """By source zone, in thousandths: first tries of reads that ask in zones held bad."""
-    out: int
+    evacuated: int
     """A bit for each zone that was evacuated by hand."""
     frozen: bool
     origins: bytes
     """By region: the region whose origin serves it."""
-    lost: int
+    lost_origins: int
     """A bit for each region whose own origin is held silent."""
-    staffed: int = 0
+    router_zones: int = 0
     """A bit for each zone that has routers of its own."""
-    why: str = ""
+    reason: str = ""
 
     @property
-    def age(self) -> tuple[int, int]:
+    def version(self) -> tuple[int, int]:
         """The later of two plans has the greater one."""
         return self.epoch, self.number
 
 
-class Ask(Struct, frozen=True, array_like=True, tag=82):
+class PlanQuery(Struct, frozen=True, array_like=True, tag=82):
     """A new owner asks for the latest plan that is known."""
 
     epoch: int
 
 
-class Known(Struct, frozen=True, array_like=True, tag=83):
+class PlanReply(Struct, frozen=True, array_like=True, tag=83):
     """The latest plan that a router knows, if any; `epoch`: the asker's."""
 
     epoch: int
@@ -91,21 +91,21 @@
     """An operator's wish, for the owner."""
 
     id: int
-    what: str
+    action: str
     """`evacuate`, `return`, `freeze` or `thaw`."""
     zone: int
-    way_ms: int
+    transition_ms: int
     force: bool
 
 
-class Ordered(Struct, frozen=True, array_like=True, tag=85):
+class OrderResult(Struct, frozen=True, array_like=True, tag=85):
     """What became of it; `text` empty: it is done."""
 
     id: int
     text: str
 
 
-Message = Report | Plan | Ask | Known | Order | Ordered
+Message = Report | Plan | PlanQuery | PlanReply | Order | OrderResult
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
@@ -114,6 +114,6 @@
     return msgspec.msgpack.encode(message)
 
 
-def decode(told: bytes) -> Message:
+def decode(data: bytes) -> Message:
     """Read a message; raises ValueError for anything else."""
-    return _decoder.decode(told)
+    return _decoder.decode(data)
--- a/saltport/failover/plans.py
+++ b/saltport/failover/plans.py
@@ -6,71 +6,75 @@
 
 from saltport.decisions.interface import ZonePlan
 from saltport.decisions.topology import Topology
-from saltport.failover.messages import PARTS, Plan
+from saltport.failover.messages import SHARE_SCALE, Plan
 
 Matrix = tuple[tuple[float, ...], ...]
 """By source zone, and in it by target zone."""
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
-def parts_of(rows: Sequence[Sequence[float]]) -> bytes:
+def encode_shares(rows: Sequence[Sequence[float]]) -> bytes:
     """Shares in parts."""
-    return bytes(min(max(round(share * PARTS), 0), PARTS) for row in rows for share in row)
+    return bytes(min(max(round(share * SHARE_SCALE), 0), SHARE_SCALE) for row in rows for share in row)
 
 
-def shares_of(parts: bytes, zones: int) -> Matrix:
+def decode_shares(encoded: bytes, zones: int) -> Matrix:
     """Parts as shares; raises ValueError for what is no matrix of so many zones."""
-    if len(parts) != zones * zones:
+    if len(encoded) != zones * zones:
         raise ValueError("a vector for other zones")
-    shares = [part / PARTS for part in parts]
+    shares = [fraction / SHARE_SCALE for fraction in encoded]
     return tuple(tuple(shares[zone * zones : (zone + 1) * zones]) for zone in range(zones))
 
 
-def bits(mask: int, most: int) -> tuple[int, ...]:
+def bit_positions(mask: int, width: int) -> tuple[int, ...]:
     """The places of the bits that are set."""
-    return tuple(place for place in range(most) if mask >> place & 1)
+    return tuple(position for position in range(width) if mask >> position & 1)
 
 
-def mask_of(places: Sequence[int]) -> int:
+def bitmask(positions: Sequence[int]) -> int:
     """Bits by their places."""
-    return sum(1 << place for place in set(places))
+    return sum(1 << position for position in set(positions))
 
 
-def between(begin: Matrix, end: Matrix, part: float) -> Matrix:
+def interpolate(begin: Matrix, end: Matrix, fraction: float) -> Matrix:
     """Some way from one matrix to another."""
     return tuple(
-        tuple(a + (b - a) * part for a, b in zip(one, two, strict=True))
-        for one, two in zip(begin, end, strict=True)
+        tuple(a + (b - a) * fraction for a, b in zip(row_a, row_b, strict=True))
+        for row_a, row_b in zip(begin, end, strict=True)
     )
 
 
-def nearest_open(topology: Topology, out: int) -> Matrix:
+def nearest_available(topology: Topology, evacuated: int) -> Matrix:
     """What holds where nobody decides: each zone to itself, or to the nearest that was not evacuated."""
     zones = range(len(topology.zones))
     rows = []
     for source in zones:
-        target = next((zone for zone in topology.near(source) if not out >> zone & 1), source)
+        target = next((zone for zone in topology.near(source) if not evacuated >> zone & 1), source)
         rows.append(tuple(float(zone == target) for zone in zones))
     return tuple(rows)
 
 
-def standing(plan: Plan, since: int, topology: Topology) -> Matrix:
+def matrix_at(plan: Plan, elapsed_ns: int, topology: Topology) -> Matrix:
     """Where a plan stands, so many nanoseconds after it was made."""
     zones = len(topology.zones)
-    end = shares_of(plan.end, zones)
-    if since >= plan.way_ms * MS:
+    end = decode_shares(plan.end, zones)
+    if elapsed_ns >= plan.transition_ms * NS_PER_MS:
         return end
-    return between(shares_of(plan.begin, zones), end, since / (plan.way_ms * MS))
+    return interpolate(decode_shares(plan.begin, zones), end, elapsed_ns / (plan.transition_ms * NS_PER_MS))
 
 
-def for_zone(plan: Plan, matrix: Matrix, zone: int, topology: Topology, binding: bool) -> ZonePlan:
+def zone_plan_of(plan: Plan, matrix: Matrix, zone: int, topology: Topology, binding: bool) -> ZonePlan:
     """What a plan means for one zone's routers."""
     zones, area = len(topology.zones), topology.area_of(zone)
     served = plan.origins[area] if area < len(plan.origins) else area
     order = (served, *(other for other in topology.near_areas(area) if other != served))
-    trials = () if not binding else tuple(t for t in bits(plan.bad[zone], zones) if not plan.out >> t & 1)
-    refused = plan.refused[zone] / PARTS if binding else 0.0
+    trials = (
+        ()
+        if not binding
+        else tuple(t for t in bit_positions(plan.bad[zone], zones) if not plan.evacuated >> t & 1)
+    )
+    refused = plan.refused[zone] / SHARE_SCALE if binding else 0.0
     row = tuple(round(share, 3) for share in matrix[zone])
-    lost = bool(plan.lost >> area & 1)
-    trial = plan.trial[zone] / 1_000
-    return ZonePlan(row, refused, trials, trial, bits(plan.out, zones), order, lost, binding)
+    lost = bool(plan.lost_origins >> area & 1)
+    trial = plan.trial_permille[zone] / 1_000
+    return ZonePlan(row, refused, trials, trial, bit_positions(plan.evacuated, zones), order, lost, binding)
--- a/saltport/failover/settings.py
+++ b/saltport/failover/settings.py
@@ -6,7 +6,7 @@
 
 from saltport.decisions.interface import NS_PER_S
 
-PIECE = "failover"
+LEASE_NAME = "failover"
 """The piece of work whose owner makes the plans."""
 
 
@@ -14,20 +14,20 @@
 class FailoverSettings:
     """The same at every router of a fleet."""
 
-    report: int = NS_PER_S // 2
+    report_interval_ns: int = NS_PER_S // 2
     """Between two reports of a router."""
-    decide: int = NS_PER_S // 4
-    tell: int = NS_PER_S
+    decision_interval_ns: int = NS_PER_S // 4
+    plan_interval_ns: int = NS_PER_S
     """Between two tellings of the same plan."""
-    valid: int = 10 * NS_PER_S
+    plan_validity_ns: int = 10 * NS_PER_S
     """For so long a plan holds after the owner's last word."""
-    settle: int = 10 * NS_PER_S
+    fallback_transition_ns: int = 10 * NS_PER_S
     """Within which a router that is on its own goes over to near first."""
-    learn: int = 2 * NS_PER_S
+    plan_query_ns: int = 2 * NS_PER_S
     """For which a new owner asks at the most what the last plan was."""
-    fresh: int = 3 * NS_PER_S // 2
+    report_max_age_ns: int = 3 * NS_PER_S // 2
     """After which a report counts no more."""
-    least_attempts: int = 5
+    min_attempts: int = 5
     """Of a path's evidence in a window; with fewer it says nothing against it."""
     bad_share: float = 0.5
     good_share: float = 0.1
@@ -36,28 +36,28 @@
     """In a row of good windows, after which a path counts as well; doubled by each relapse."""
     good_windows: int = 4
     """And so many of them; doubled likewise."""
-    relapse: int = 60 * NS_PER_S
-    most_relapses: int = 5
-    near: float = 0.8
+    relapse_window_ns: int = 60 * NS_PER_S
+    max_relapses: int = 5
+    own_demand_limit: float = 0.8
     """Of a zone's room that its own demand fills before it goes elsewhere, while there is room elsewhere."""
-    spill: float = 0.75
+    spillover_limit: float = 0.75
     """Of a zone's room that is filled with others' demand, while there is room elsewhere."""
-    strained: float = 0.15
+    max_strained_share: float = 0.15
     """The share of late and turned away at which a zone has no more room than it uses."""
-    retry: int = 15 * NS_PER_S
+    capacity_retry_ns: int = 15 * NS_PER_S
     """After a cut of room, before all of it is tried again, in steps; doubled by each cut that follows."""
-    most_retry: int = 240 * NS_PER_S
-    step: float = 0.08
+    max_capacity_retry_ns: int = 240 * NS_PER_S
+    min_share_change: float = 0.08
     """Less of a change of any share makes no new plan."""
-    calm: int = 3 * NS_PER_S
+    min_plan_interval_ns: int = 3 * NS_PER_S
     """Between two plans that no change of health asks for."""
-    squeeze: int = NS_PER_S
+    min_plan_interval_after_cut_ns: int = NS_PER_S
     """And where a zone's room was cut."""
-    idle: float = 0.02
+    idle_demand_share: float = 0.02
     """Of all demand: a zone with less keeps its row, as long as that leads anywhere."""
-    back: int = 8 * NS_PER_S
+    min_recovery_ns: int = 8 * NS_PER_S
     """The least time in which a zone gets its share back."""
-    warm: float = 2.0
+    warm_up_factor: float = 2.0
     """Times the time in which servers get warm, if that is longer."""
-    refusable: float = 0.02
+    max_refused_share: float = 0.02
     """The part of reads that an evacuation may turn away without being forced."""
--- a/saltport/failover/waterfall.py
+++ b/saltport/failover/waterfall.py
@@ -13,7 +13,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Poured:
+class Distribution:
     """Shares by source zone; each row and what it has refused make one together."""
 
     shares: tuple[tuple[float, ...], ...]
@@ -22,14 +22,14 @@
     """Requests a second that each zone then gets."""
 
 
-def pour(
+def distribute(
     demand: Sequence[float],
-    room: Sequence[float],
+    capacity: Sequence[float],
     proven: Sequence[float],
     usable: Callable[[int, int], bool],
     near: Callable[[int], Sequence[int]],
-    parts: tuple[float, float],
-) -> Poured:
+    fill_limits: tuple[float, float],
+) -> Distribution:
     """Place each zone's demand; all in requests a second. `usable`: whether a path from a zone to another is.
 
     `parts`: of a zone's room, what its own demand and what others' may fill. What finds no place within them,
@@ -37,25 +37,29 @@
     its first requests should go.
     """
     zones = range(len(demand))
-    total = [max(held, 1e-6) for held in demand]
-    left, load = list(total), [0.0] * len(demand)
+    total = [max(rate, 1e-6) for rate in demand]
+    remaining, load = list(total), [0.0] * len(demand)
     placed = [[0.0] * len(demand) for _ in zones]
-    own = [most * parts[0] for most in room]
-    others = [min(most * parts[1], sure) for most, sure in zip(room, proven, strict=True)]
-    for limits in ((own, others), (room, room)):
+    own = [limit * fill_limits[0] for limit in capacity]
+    others = [
+        min(limit * fill_limits[1], proven_rate) for limit, proven_rate in zip(capacity, proven, strict=True)
+    ]
+    for limits in ((own, others), (capacity, capacity)):
         for rank in zones:
-            wishes: dict[int, list[int]] = {}
+            sources_by_target: dict[int, list[int]] = {}
             for source in zones:
                 target = near(source)[rank]
-                if left[source] > 0 and usable(source, target):
-                    wishes.setdefault(target, []).append(source)
-            for target, sources in wishes.items():
-                most = limits[rank > 0][target]
-                part = min(max(most - load[target], 0.0) / sum(left[source] for source in sources), 1.0)
+                if remaining[source] > 0 and usable(source, target):
+                    sources_by_target.setdefault(target, []).append(source)
+            for target, sources in sources_by_target.items():
+                limit = limits[rank > 0][target]
+                fraction = min(
+                    max(limit - load[target], 0.0) / sum(remaining[source] for source in sources), 1.0
+                )
                 for source in sources:
-                    given = left[source] * part
-                    placed[source][target] += given
-                    left[source] = left[source] - given if part < 1 else 0.0
-                    load[target] += given
-    shares = tuple(tuple(held / total[source] for held in placed[source]) for source in zones)
-    return Poured(shares, tuple(left[source] / total[source] for source in zones), tuple(load))
+                    amount = remaining[source] * fraction
+                    placed[source][target] += amount
+                    remaining[source] = remaining[source] - amount if fraction < 1 else 0.0
+                    load[target] += amount
+    shares = tuple(tuple(rate / total[source] for rate in placed[source]) for source in zones)
+    return Distribution(shares, tuple(remaining[source] / total[source] for source in zones), tuple(load))
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks.zones_world import ZonesWorld
-from saltport.failover.words import lines
+from saltport.failover.formatting import format_view
 from saltport.router.check import check_file
 from saltport.router.config import ConfigError, load_config
 from tests.owners.test_plan import written as owners
@@ -94,7 +94,7 @@
     world.play(100, lambda: ("k",), 6)
     world.lose_zone(1, routers=False)
     world.play(100, lambda: (f"k{world.rng.randrange(50)}",), 6)
-    told = "\n".join(lines(world.agents[0].view(world.now)))
+    told = "\n".join(format_view(world.agents[0].view(world.now)))
     for words in (
         "here a: by plan",
         "(worse)",
@@ -103,7 +103,7 @@
         "this router decides",
     ):
         assert words in told
-    assert "this router decides" not in "\n".join(lines(world.agents[1].view(world.now)))
+    assert "this router decides" not in "\n".join(format_view(world.agents[1].view(world.now)))
 
 
 def test_where_it_is_off_nothing_of_it_is_imported() -> None:
--- a/tests/failover/test_world.py
+++ b/tests/failover/test_world.py
@@ -11,7 +11,7 @@
 from benchmarks.zones_world import ZONES, ZonesWorld
 from saltport.failover.follower import Follower
 from saltport.failover.messages import Order, Plan
-from saltport.failover.plans import MS, shares_of
+from saltport.failover.plans import NS_PER_MS, decode_shares
 
 RATE = 600  # of the 1,200 that twelve nodes can do
 
@@ -38,12 +38,12 @@
     def rows(self, place: int) -> tuple[tuple[float, ...], ...]:
         plan = self.world.agents[place].follower.plan
         assert plan is not None
-        return shares_of(plan.end, 3)
+        return decode_shares(plan.end, 3)
 
     def followed(self) -> set[tuple[int, int]]:
         """The plans that routers hold."""
         return {
-            agent.follower.plan.age if agent.follower.plan else (0, 0)
+            agent.follower.plan.version if agent.follower.plan else (0, 0)
             for place, agent in enumerate(self.world.agents)
             if place not in self.world.dead
         }
@@ -122,27 +122,33 @@
     play.run(8)
     assert set(ages(play)) == {(2, 1)}
     assert world.agents[0].decider is None
-    assert all(agent.follower.plan is not None and not agent.follower.plan.out for agent in world.agents)
+    assert all(
+        agent.follower.plan is not None and not agent.follower.plan.evacuated for agent in world.agents
+    )
 
 
 def test_without_a_look_at_epochs_it_would_have_done_harm(monkeypatch: pytest.MonkeyPatch) -> None:
-    def hear(self: Follower, plan: Plan, now: int) -> bool:
-        self.plan, self.made_at, self._word = plan, now - plan.ago_ms * MS, plan.word_ms * MS
+    def receive(self: Follower, plan: Plan, now: int) -> bool:
+        self.plan, self.created_at, self._confirmed_after_ns = (
+            plan,
+            now - plan.age_ms * NS_PER_MS,
+            plan.confirmed_after_ms * NS_PER_MS,
+        )
         return False  # passed on at once, two plans would chase each other for ever
 
     play = stopped_before_it_sends()
-    monkeypatch.setattr(Follower, "hear", hear)
+    monkeypatch.setattr(Follower, "receive", receive)
     harmed = 0
     for _ in range(16):
         play.run(0.5)
         plans = [agent.follower.plan for agent in play.world.agents]
-        harmed += sum(plan is not None and bool(plan.out) for plan in plans)
+        harmed += sum(plan is not None and bool(plan.evacuated) for plan in plans)
     assert harmed > 0
 
 
 def ages(play: Play) -> list[tuple[int, int]]:
     plans = [agent.follower.plan for agent in play.world.agents]
-    return [plan.age if plan else (0, 0) for plan in plans]
+    return [plan.version if plan else (0, 0) for plan in plans]
 
 
 def test_a_minority_with_the_old_owner_goes_on_by_its_plan_and_then_near_first() -> None:
@@ -187,8 +193,8 @@
         agent = world.agents[at]
         number = agent.order(what, ZONES.index(zone), 4_000, force, world.now)
         world._carry(at)
-        play.until(lambda: number in agent.ordered, 6)
-        return agent.ordered[number].text
+        play.until(lambda: number in agent.order_results, 6)
+        return agent.order_results[number].text
 
     assert order(7, "evacuate", "b") == ""
     assert play.run(6) > 0.98
@@ -219,7 +225,7 @@
     world = play.world
     number = world.agents[0].order("evacuate", 2, 1_000, False, world.now)
     world._carry(0)
-    assert world.agents[0].ordered[number].text == ""
+    assert world.agents[0].order_results[number].text == ""
     world.hand_over(heir)  # the plan is under way to all
     play.run(5)
     assert {age[0] for age in play.followed()} == {2}
--- a/tests/nemesis/test_zone_processes.py
+++ b/tests/nemesis/test_zone_processes.py
@@ -13,7 +13,7 @@
 
 from saltport.audit import Limits, Verdict
 from saltport.cli import cli
-from saltport.failover.settings import PIECE
+from saltport.failover.settings import LEASE_NAME
 from saltport.harness import run_load
 from saltport.load.plan import LoadPlan, Step
 from saltport.nemesis.history import Course, History
@@ -71,7 +71,9 @@
                 f"{course.at:6.1f} s {course.by} follows {age} of {course.maker}, which leads to {course.end}"
             )
             followed[course.by] = age
-    holders = dict.fromkeys((hold.epoch, hold.by) for hold in nemesis.history.holds if hold.piece == PIECE)
+    holders = dict.fromkeys(
+        (hold.epoch, hold.by) for hold in nemesis.history.holds if hold.piece == LEASE_NAME
+    )
     lines.append(f"epochs and their owners: {list(holders)}")
     for name, told in sorted(nemesis.zones.items()):
         lines.append(f"{name}: {told['state']}, shares {told['shares']}, deciding {told['deciding']}")
