--- a/saltport/failover/__init__.py
+++ b/saltport/failover/__init__.py
@@ -1,1 +1,1 @@
-"""Failover between zones and regions, decided in common by one owner."""
+"""Failover between zones and regions, by a plan that one router computes for the whole fleet."""
--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -1,6 +1,7 @@
-"""One router's part in failover: it reports, follows, passes plans on, decides while it is the owner. No I/O.
+"""The failover protocol of one router: it reports evidence, follows and forwards plans. No I/O.
 
-Whoever drives it gives messages, the time and what it found, and sends what `take` gives.
+While this router holds the failover lease, it also computes the plans. The caller passes in received
+messages, the time and the evidence, and sends the messages that `Agent.take_messages` returns.
 """
 
 from __future__ import annotations
@@ -26,25 +27,28 @@
 from saltport.failover.plans import NS_PER_MS, bit_positions
 from saltport.failover.settings import FailoverSettings
 
-FORWARD_NEW, FORWARD_PERIODIC = (
-    3,
-    2,
-)  # routers to whom a new plan is passed on at once, and what is known each second
-ORDER_RETRY_NS = 500 * NS_PER_MS
+# Number of routers to which a new plan is forwarded at once, and to which the latest plan is sent
+# periodically.
+FORWARD_NEW, FORWARD_PERIODIC = 3, 2
+ORDER_RETRY_NS = 500 * NS_PER_MS  # between two sends of an unanswered order, and of a plan query
 ORDER_TIMEOUT_NS = 5_000 * NS_PER_MS
-MAX_ORDERS = 32
+MAX_ORDERS = 32  # orders under way, and stored results
 
 
 class Agent:
-    """The rules for one router."""
+    """The failover state machine of one router."""
 
     def __init__(
         self, name: str, topology: Topology, settings: FailoverSettings, rng: random.Random, now: int,
         current_epoch: Callable[[int], int | None], warm_up_ns: int = 0,
         admit: Callable[[int], bool] = lambda epoch: True,
     ) -> None:  # fmt: skip
-        """`may`: the epoch under which this router may decide at a time, if it may; `warm`: nanoseconds in
-        which a cold server gets warm; `admit`: whether a plan of an epoch may be applied."""
+        """Create the agent of the router `name`.
+
+        `current_epoch` returns the epoch of the lease if this router holds it at the given time, else None.
+        `warm_up_ns` is how long a cold server takes to warm up. `admit` tells whether a plan of an epoch may
+        be applied.
+        """
         self.name, self.topology, self.settings, self._rng = name, topology, settings, rng
         self.follower = Follower(topology, settings, admit)
         self.decider: Decider | None = None
@@ -55,15 +59,16 @@
         self._decide_at = now
         self._announce_at = self._forward_at = now
         self._query: tuple[int, int] | None = None
-        """Of a new owner: its epoch, and until when it asks."""
+        """While a new owner asks for the latest plan: its epoch and the end of the query, else None."""
         self._query_at = now
         self._orders: dict[int, tuple[Order, int, int]] = {}
-        """Under way: the order, when it was given, and when it was sent last."""
+        """By id of an unanswered order: the order, when it was submitted, and when it was last sent."""
         self._last_order_id = rng.getrandbits(32)
         self.order_results: dict[int, OrderResult] = {}
+        """Results of orders submitted at this router, by order id; the oldest are dropped."""
 
     def take_messages(self) -> list[tuple[str, Message]]:
-        """What is to be sent now, and to whom."""
+        """Return the messages to send, each with the name of its receiver, and clear the queue."""
         messages, self._messages = self._messages, []
         return messages
 
@@ -78,7 +83,7 @@
     # Time
 
     def tick(self, live_routers: Sequence[str], now: int) -> None:
-        """Time has passed; `live`: the names of all routers that live."""
+        """Do all work that is due at `now`; `live_routers` names all routers that are alive."""
         self._live_routers = live_routers
         epoch = self._current_epoch(now)
         if epoch is not None and (self.decider is None or self.decider.epoch != epoch):
@@ -97,7 +102,11 @@
         self._resend_orders(now)
 
     def _forward_plan(self, count: int, now: int) -> None:
-        """Tell some others what is known here: a cut link must keep neither a plan nor its maker's word."""
+        """Send the current plan to some random routers.
+
+        So a plan and the owner's confirmations of it also reach routers that have no working link to the
+        owner.
+        """
         plan = self.follower.plan_to_forward(now)
         if plan is not None:
             others = [name for name in self._live_routers if name not in (self.name, plan.owner)]
@@ -105,7 +114,11 @@
                 self._send(name, plan)
 
     def _current_decider(self, now: int) -> Decider | None:
-        """Danger: asked before each effect: this process may have stood still since the last look."""
+        """Return the decider if this router still holds the lease under its epoch, else None.
+
+        Danger: call this before each effect: the process may have been suspended, and the lease may have
+        expired, since the last check.
+        """
         if self.decider is not None and self.decider.epoch != self._current_epoch(now):
             self.decider = None
         if self._query is not None and self._query[0] != self._current_epoch(now):
@@ -113,10 +126,12 @@
         return self.decider
 
     def _begin_tenure(self, epoch: int, now: int) -> None:
-        """Ask all for the latest plan first: what operators ordered stands there and nowhere else.
+        """Query all routers for the latest plan, then start to decide.
 
-        Danger: a process that has just started knows few others: were most of those enough, it might begin
-        with no plan at all. So it asks for the whole time, and each time all that it knows by then.
+        The plan is the only record of operators' orders, so a new owner must have it before it makes its own.
+        Danger: a process that has just started knows few other routers. If answers from a majority of them
+        were enough, it might start without any plan. So it queries for the whole period, each time all
+        routers that it knows by then.
         """
         self.decider = None
         if self._query is None or self._query[0] != epoch:
@@ -131,17 +146,19 @@
             )
 
     def _on_plan_reply(self, answer: PlanReply, now: int) -> None:
+        """Take over the plan of an earlier epoch that a router sent in answer to the query."""
         expected = self._query is not None and answer.epoch == self._query[0] == self._current_epoch(now)
         if expected and answer.plan is not None and answer.plan.epoch < answer.epoch:
             self.follower.inherit(answer.plan, now)
 
     def _announce(self, plan: Plan, now: int) -> None:
+        """Apply a new plan of this owner and send it to all routers."""
         self.follower.receive(plan, now)
         self._announce_at = now + self.settings.plan_interval_ns
         self._broadcast(plan)
 
     def _confirm_plan(self, decider: Decider, now: int) -> None:
-        """The owner's word that its plan still holds."""
+        """As the owner, confirm to all routers that the current plan is still valid."""
         plan = self.follower.plan
         if plan is not None and plan.epoch == decider.epoch:
             self._announce_at = now + self.settings.plan_interval_ns
@@ -153,11 +170,11 @@
     # Reports
 
     def report_due(self, now: int) -> bool:
-        """Whether it is time to tell what was found."""
+        """Whether the next report is due."""
         return now - self._reported_at >= self.settings.report_interval_ns
 
     def report(self, evidence: Evidence, now: int) -> None:
-        """Tell the owner what was found since the last report."""
+        """Send the evidence collected since the last report to the owner of the plan."""
         span_ms, self._reported_at = max((now - self._reported_at) // NS_PER_MS, 1), now
         plan = self.follower.plan
         zone_reports = tuple(
@@ -173,7 +190,7 @@
             evidence.refused, zone_reports, origins,
         )  # fmt: skip
         if span_ms > 4 * self.settings.report_interval_ns // NS_PER_MS:
-            return  # it stood still: what it found is old news
+            return  # the process was suspended, so the evidence is out of date
         decider = self._current_decider(now)
         if decider is not None:
             decider.reports.receive(self.name, message, now)
@@ -183,7 +200,7 @@
     # Messages
 
     def receive(self, sender: str, message: Message, now: int) -> None:
-        """Take what another router says."""
+        """Handle a message from another router."""
         match message:
             case Report():
                 self._on_report(sender, message, now)
@@ -204,6 +221,7 @@
             self._forward_plan(FORWARD_NEW, now)
 
     def _on_report(self, sender: str, report: Report, now: int) -> None:
+        """As the owner, take a report; a sender that follows an older plan gets the current one."""
         decider = self._current_decider(now)
         if decider is None:
             return
@@ -215,7 +233,7 @@
     # Orders
 
     def order(self, action: str, zone: int, transition_ms: int, force: bool, now: int) -> int:
-        """Have an order carried out by the owner, wherever it is; its number, for `ordered`."""
+        """Submit an operator's order to the owner; return its id, its key in `order_results`."""
         self._last_order_id += 1
         order = Order(self._last_order_id & 0xFFFFFFFF, action, zone, transition_ms, force)
         if len(self._orders) >= MAX_ORDERS:
@@ -231,7 +249,10 @@
             del self.order_results[next(iter(self.order_results))]
 
     def _resend_orders(self, now: int) -> None:
-        """Until it is answered: the owner may be another one meanwhile, and takes each order once."""
+        """Send unanswered orders to the owner again until they time out.
+
+        The owner may have changed meanwhile; an owner executes each order only once.
+        """
         for number, (order, submitted_at, sent_at) in list(self._orders.items()):
             plan = self.follower.plan
             if self._current_decider(now) is not None:
@@ -245,6 +266,7 @@
                 self._send(plan.owner, order)
 
     def _on_order(self, sender: str, order: Order, now: int) -> None:
+        """As the owner, execute an order and send its result to the router that sent it."""
         decider = self._current_decider(now)
         if decider is None:
             return
@@ -256,14 +278,14 @@
         else:
             self._send(sender, answer)
 
-    # What holds
+    # State
 
     def zone_plan(self, now: int) -> ZonePlan | None:
-        """For this router's decisions."""
+        """Return what the current plan means for this router's zone; None without a plan."""
         return self.follower.zone_plan(now)
 
     def view(self, now: int) -> dict[str, object]:
-        """For operators."""
+        """Return the state of failover at this router as a JSON object for operators."""
         plan, topology, follower = self.follower.plan, self.topology, self.follower
         zones = topology.zones
         matrix = follower.matrix(now)
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -1,4 +1,4 @@
-"""What all routers told of the zones, gathered by windows. No I/O."""
+"""Combines the reports of all routers about zones into windows of evidence, at the owner. No I/O."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from saltport.failover.messages import Report
 from saltport.failover.settings import FailoverSettings
 
-ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # without a word of its routers a zone has none
-FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # of a new window in the smoothed demand
+ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # a zone without a report for this long counts as without routers
+FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # weight of a new window in the smoothed demand
 
 
 @dataclass(slots=True)
 class _Reporter:
-    """One router."""
+    """The reports of one router: the latest, when it arrived, and all of the current window."""
 
     latest: Report
     received_at: int
@@ -26,20 +26,20 @@
 
 @dataclass(slots=True)
 class Window:
-    """What all told since the last one."""
+    """The combined evidence of all routers since the previous window."""
 
     samples: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
-    """By path: from a zone to another."""
+    """By path (source zone, target zone): one sample for each router."""
     origins: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
-    """By path: from a region to the origin of another."""
+    """By path (source region, region of the origin): one sample for each router."""
     in_time_rates: list[float] = field(default_factory=list)
-    """Answers a second, by zone."""
+    """By zone: answers per second that were in time."""
     strained_shares: list[float] = field(default_factory=list)
-    """Share of the attempts that was late or turned away, by zone."""
+    """By zone: share of the answered or rejected attempts that were late or rejected."""
 
 
 class ReportAggregator:
-    """The owner's."""
+    """Collects the routers' reports and evaluates them window by window."""
 
     def __init__(self, topology: Topology, settings: FailoverSettings, now: int) -> None:
         self._topology, self._settings = topology, settings
@@ -47,11 +47,11 @@
         self._window_opened_at = now
         zones = len(topology.zones)
         self.fast_demand, self.slow_demand = [0.0] * zones, [0.0] * zones
-        """Reads a second by zone, smoothed over a second and over five."""
+        """Reads per second by zone, smoothed over one second and over five seconds."""
         self._has_reports = False
 
     def receive(self, name: str, report: Report, now: int) -> None:
-        """Take a router's report."""
+        """Store a report of the router `name`; reports that do not fit the topology are ignored."""
         topology = self._topology
         is_valid = report.topology == topology.digest and 0 <= report.zone < len(topology.zones)
         if not is_valid or len(report.zone_reports) != len(topology.zones) or report.span_ms <= 0:
@@ -62,16 +62,16 @@
             reporter.window.append(report)
 
     def recent_reports(self, now: int) -> list[Report]:
-        """The latest report of each router that told anything lately."""
+        """Return the latest report of each router, without those that are too old."""
         oldest = now - self._settings.report_max_age_ns
         return [reporter.latest for reporter in self._reporters.values() if reporter.received_at >= oldest]
 
     def follower_count(self, epoch: int, number: int, now: int) -> int:
-        """How many routers say that they follow this plan, or a later one."""
+        """Return how many routers report that they follow this plan or a later one."""
         return sum((report.epoch, report.number) >= (epoch, number) for report in self.recent_reports(now))
 
     def has_live_routers(self, zone: int, now: int) -> bool:
-        """Whether any router of a zone told anything lately, for longer than one of them takes to restart."""
+        """Whether any router of a zone reported recently; the time limit is longer than a restart takes."""
         oldest = now - ROUTER_TIMEOUT_NS
         return any(
             reporter.latest.zone == zone and reporter.received_at >= oldest
@@ -79,7 +79,11 @@
         )
 
     def servers(self, zone: int, now: int) -> float:
-        """Servers in use in a zone: as its own routers say, else as those who ask there, else as listed."""
+        """Return the number of servers in use in a zone.
+
+        It is the median reported by the zone's own routers, else by routers that send attempts there, else
+        the number of listed servers.
+        """
         recent_reports = self.recent_reports(now)
         own_zone = [report.zone_reports[zone].usable for report in recent_reports if report.zone == zone]
         if own_zone:
@@ -92,16 +96,16 @@
         return median_low(callers or [report.zone_reports[zone].listed for report in recent_reports] or [1])
 
     def listed(self, zone: int, now: int) -> float:
-        """Servers that the list names in a zone."""
+        """Return the number of servers of a zone in the server list."""
         return median_low([report.zone_reports[zone].listed for report in self.recent_reports(now)] or [1])
 
     def miss_share(self, zone: int, now: int) -> float:
-        """Of a zone's answers, the share that were misses."""
+        """Return the share of a zone's answers that were cache misses."""
         rows = [report.zone_reports[zone] for report in self.recent_reports(now)]
         return sum(row.misses for row in rows) / max(sum(row.answered for row in rows), 1)
 
     def close_window(self, now: int) -> Window:
-        """End a window."""
+        """Return the evidence of the current window and start the next one."""
         topology, window = self._topology, Window()
         zones = range(len(topology.zones))
         span = max(now - self._window_opened_at, 1) / NS_PER_S
@@ -149,9 +153,11 @@
         return window
 
     def _trusted(self, source: int, by_router: list[dict[int, PathSample]]) -> list[dict[int, PathSample]]:
-        """Without the routers that find their own zone bad while it is well to the others: it is they.
+        """Return the samples of a zone's routers without those of routers whose own network is faulty.
 
-        Danger: nobody else asks in the zones that such a router turns to: it would speak for all there.
+        Such a router sees its own zone as bad while most routers of the zone see it as good.
+        Danger: it sends its attempts to zones that no other router of its zone uses, so its samples alone
+        would decide the health of those paths.
         """
         bad = self._settings.bad_share
         own_zone = [by_zone[source] for by_zone in by_router if source in by_zone]
@@ -164,6 +170,7 @@
         ]
 
     def _learn_demand(self, now: int) -> None:
+        """Update the smoothed demand of all zones from the recent reports."""
         recent_reports = self.recent_reports(now)
         for zone in range(len(self._topology.zones)):
             rate = sum(r.demand * 1_000 / r.span_ms for r in recent_reports if r.zone == zone)
--- a/saltport/failover/change.py
+++ b/saltport/failover/change.py
@@ -1,6 +1,7 @@
-"""Whether what holds is still good enough: a new plan is worth it only where that is not so. No I/O.
+"""Decides whether a better distribution of reads justifies a new plan. No I/O.
 
-Danger: another vector that is as good is no reason. Demand swings by chance; each change empties some caches.
+Danger: a different distribution that is only as good is no reason for a plan. Demand fluctuates at random,
+and each change of shares makes some cached data useless.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 from saltport.failover.plans import Matrix
 from saltport.failover.settings import FailoverSettings
 
-OVERLOAD_THRESHOLD = 0.95  # of a zone's room, past which its load is a reason
-MIN_RELIEF = 0.05  # of its room: by so much a new plan must relieve it
-MIN_REFUSED_CHANGE = 0.05  # of a zone's reads: so many more or fewer refused are a reason
+OVERLOAD_THRESHOLD = 0.95  # a load above this share of a zone's capacity is a reason for a plan
+MIN_RELIEF = 0.05  # share of a zone's capacity by which the plan must reduce its load
+MIN_REFUSED_CHANGE = 0.05  # change of the refused share of a zone's reads that is a reason for a plan
 
 
 @dataclass(frozen=True, slots=True)
 class Allocation:
-    """Where all go, and which part of each zone's reads is refused."""
+    """The shares by source and target zone, and the refused share of each source zone's reads."""
 
     rows: Matrix
     refused: tuple[float, ...]
 
     def load(self, demand: Sequence[float]) -> list[float]:
-        """Requests a second that each zone gets."""
+        """Return the requests per second that each zone gets for a demand by source zone."""
         zones = range(len(self.rows))
         return [
             sum(demand[source] * (1 - self.refused[source]) * self.rows[source][target] for source in zones)
@@ -39,7 +40,11 @@
     capacity: Sequence[float],
     settings: FailoverSettings,
 ) -> bool:
-    """Whether a zone is overloaded that need not be, reads go far that may stay near, or refusals are off."""
+    """Whether the proposed allocation improves on the current one enough for a new plan.
+
+    It does if it relieves an overloaded zone, keeps noticeably more reads in their own zone, or changes the
+    refused share of a zone noticeably.
+    """
     idle_limit = settings.idle_demand_share * sum(demand)
     busy = [source for source, rate in enumerate(demand) if rate > idle_limit]
     load_now, load_then = current.load(demand), proposed.load(demand)
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -1,6 +1,8 @@
-"""The owner's side: evidence into plans, and operators' orders. No I/O.
+"""Computes failover plans from the routers' reports and carries out operators' orders. No I/O.
 
-Danger: it decides only while it is called with an epoch, which is asked for anew at each turn.
+Only the router that holds the failover lease runs a Decider.
+Danger: the caller must check before each call that the lease still has the epoch of this Decider. A process
+that was stopped for a while could otherwise issue plans after it lost the lease.
 """
 
 from __future__ import annotations
@@ -26,45 +28,47 @@
 from saltport.failover.settings import FailoverSettings
 from saltport.failover.waterfall import UNLIMITED, Distribution, distribute
 
-REASONS_WITHOUT_MOVES = ("new owner", "trials end")  # why plans are made that leave all shares as they are
-MAX_REFUSED_SHARE = 0.95
-DEMAND_TRANSITION_MS = 1_000  # the way of a plan that only follows demand
-ORDER_TRANSITION_MS = 10_000  # of an order
-ROUTERLESS_ZONE_EXPIRY_NS = 600_000 * NS_PER_MS  # after which a zone without routers is one that has none
-TRIALS_PER_S, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE = 5.0, 0.01, 0.1  # of a zone's reads
-SETTLE_NS = 2_000 * NS_PER_MS  # after reads were moved, before late answers count against a zone's room
-NEGLIGIBLE_SHARE = 0.005  # less of a share than that needs no plan of its own to end it
-RECENT_RECOVERY_NS = 20_000 * NS_PER_MS  # for which a zone that is well again counts with all its servers
-MAX_STORED_RESULTS = 64  # orders whose answers are given again
+REASONS_WITHOUT_MOVES = ("new owner", "trials end")  # reasons of plans that change no share
+MAX_REFUSED_SHARE = 0.95  # some reads must go on, to find out when a zone has recovered
+DEMAND_TRANSITION_MS = 1_000  # transition of a plan that only follows a change of demand
+ORDER_TRANSITION_MS = 10_000  # default transition for an operator's order
+# A zone whose routers have been silent for longer is taken as a zone that has no routers of its own.
+ROUTERLESS_ZONE_EXPIRY_NS = 600_000 * NS_PER_MS
+# Reads that try zones marked bad: wanted per second, and the bounds as a share of a source zone's reads.
+TRIALS_PER_S, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE = 5.0, 0.01, 0.1
+SETTLE_NS = 2_000 * NS_PER_MS  # late answers within this time after reads moved do not reduce a capacity
+NEGLIGIBLE_SHARE = 0.005  # shares up to this are no reason for a new plan
+RECENT_RECOVERY_NS = 20_000 * NS_PER_MS  # all listed servers of a recovered zone count for this long
+MAX_STORED_RESULTS = 64  # order results that are remembered to answer repeated orders
 
 
 @dataclass(frozen=True, slots=True)
 class _DesiredPlan:
-    """What the next plan should lead to."""
+    """The state that the next plan should reach, computed from the evidence so far."""
 
     distribution: Distribution
     refused: tuple[float, ...]
     bad: tuple[int, ...]
-    """By source zone: a bit for each zone whose path is held bad, by evidence or for want of servers."""
+    """For each source zone, a bit mask of the zones whose path is bad, by evidence or for lack of servers."""
     doubted: tuple[int, ...]
-    """Source zones that find everything bad."""
+    """Source zones that see every zone as bad: their evidence is not believed."""
     evacuated: int
     demand: tuple[float, ...]
     capacity: tuple[float, ...]
 
     def closed_mask(self, source: int) -> int:
-        """A bit for each zone that gets nothing from this one."""
+        """Return a bit mask of the zones that get no reads from the source zone."""
         return self.bad[source] | self.evacuated
 
 
 class Decider:
-    """One reign over the fleet's zones."""
+    """Computes failover plans for the fleet during one tenure of the lease, under one epoch."""
 
     def __init__(
         self, name: str, topology: Topology, settings: FailoverSettings, follower: Follower, epoch: int,
         now: int, warm_up_ns: int,
     ) -> None:  # fmt: skip
-        """`warm`: in how many nanoseconds a cold server gets warm."""
+        """Start from the plan of `follower`, if any; a cold server warms up within `warm_up_ns`."""
         self.name, self.topology, self._settings, self.epoch = name, topology, settings, epoch
         self._follower, self._now = follower, now
         self.reports = ReportAggregator(topology, settings, now)
@@ -90,18 +94,19 @@
         self._started_at = self._window_closed_at = self._plan_created_at = now
         self._reads_moved_at = now - SETTLE_NS
         self._recovered_at: dict[int, int] = {}
-        """By zone: when it was found well again."""
+        """For each recovered zone, when it was last found reachable again."""
         self._routers_seen_at = dict.fromkeys(
             bit_positions(plan.router_zones, len(zones)) if plan else (), now
         )
-        """Zones that have routers of their own, and when one of them was heard last."""
+        """For each zone with routers of its own, when one of them last reported."""
         self._routerless: set[int] = set()
+        """Zones that had routers of their own, all of which have stopped reporting."""
         self._order_results: dict[tuple[str, int], OrderResult] = {}
 
     # Evidence
 
     def tick(self, now: int) -> Plan | None:
-        """Close a window if one is over; returns a new plan if one is needed."""
+        """Evaluate the reports once per report interval; return a new plan if one is needed."""
         self._now = now
         if now - self._window_closed_at < self._settings.report_interval_ns:
             return None
@@ -110,10 +115,12 @@
         return self._decide(now)
 
     def _process_window(self, window: Window, now: int) -> None:
+        """Update the health of all paths and the capacity of all zones from one window of reports."""
         self._update_routerless(now)
         for zone in range(len(self.topology.zones)):
             if self.reports.has_live_routers(zone, now) and not self.reports.servers(zone, now):
-                # Who asks nobody any more, as no server is in use or on the list, finds nothing.
+                # The zone has no server in use, so its routers send no attempts that could show the failure:
+                # record failed attempts in their place.
                 min_attempts = self._settings.min_attempts
                 window.samples.setdefault((zone, zone), []).append(PathSample(min_attempts, min_attempts))
         for path, samples in window.samples.items():
@@ -130,7 +137,7 @@
             )
 
     def _update_routerless(self, now: int) -> None:
-        """Zones that had routers of their own, of which none says anything."""
+        """Update the set of zones whose routers have all stopped reporting."""
         for zone in range(len(self.topology.zones)):
             if self.reports.has_live_routers(zone, now):
                 self._routers_seen_at[zone] = now
@@ -148,22 +155,26 @@
                     del self._routers_seen_at[zone]
 
     def _on_path_recovered(self, zone: int, now: int) -> None:
-        """One zone finds another well: so do those that have seen it good lately, for less evidence."""
+        """Mark a recovered zone as good also for other zones whose last window on their path was good."""
         self._recovered_at[zone] = now
         for (_, target), path in self.paths.items():
             if target == zone and path.bad and path.last_window_good:
                 path.mark_good(now)
 
     def _is_bad(self, source: int, target: int) -> bool:
-        """By the own evidence of a zone; where it has none, by what the target's own routers find."""
+        """Whether the path is bad by the source's own evidence, or else by that of the target's routers."""
         path, now = self.paths[source, target], self._now
         if path.bad or (source != target and path.has_recent_good_evidence(now)):
             return path.bad
-        # Routers that come back with their zone find caches cold: they follow the way back, as all others do.
+        # After a zone recovers, its caches are cold: its own routers raise their share step by step as well.
         return target in self._routerless or self.paths[target, target].bad
 
     def _server_count(self, zone: int) -> float:
-        """Those in use; just after a zone came back all that are listed, as routers take them back singly."""
+        """Return the number of servers in use in a zone.
+
+        For a zone that has recently recovered, return the number of listed servers, as routers take the
+        servers back into use one after another.
+        """
         if zone in self._recently_recovered():
             return self.reports.listed(zone, self._now)
         return self.reports.servers(zone, self._now)
@@ -171,6 +182,7 @@
     # Plans
 
     def _desired_plan(self, evacuated: int) -> _DesiredPlan:
+        """Compute where reads should go if the zones in the bit mask `evacuated` get none."""
         topology, reports = self.topology, self.reports
         zones = range(len(topology.zones))
         servers = [self._server_count(zone) for zone in zones]
@@ -192,7 +204,7 @@
             topology.near,
             (self._settings.own_demand_limit, self._settings.spillover_limit),
         )
-        # Danger: were all refused, nothing would ever tell that a zone is well again.
+        # Danger: if all reads were refused, no attempt would ever show that a zone has recovered.
         refused = tuple(
             0.0 if s in doubted else min(distribution.refused[s], MAX_REFUSED_SHARE) for s in zones
         )
@@ -201,11 +213,12 @@
         )
 
     def _decide(self, now: int) -> Plan | None:
+        """Return a new plan if the evidence calls for one now, else None."""
         plan = self._follower.plan
         if plan is None or plan.epoch != self.epoch:
             return self._continue_plan(plan, now)
         if self.frozen or now - self._started_at < self._settings.report_max_age_ns:
-            return None  # routers tell their owner only once they have heard of it
+            return None  # routers report to this owner only after they have received its first plan
         desired = self._desired_plan(self.evacuated)
         self.doubted = desired.doubted
         end = self._target_rows(desired)
@@ -257,16 +270,19 @@
         )
 
     def _routes_to_evacuated(self, evacuated: int) -> bool:
-        """Whether the plan that holds sends reads to an evacuated zone, as one of an earlier release may."""
+        """Whether the current plan sends reads to an evacuated zone; one of an earlier release may do so."""
         zones = bit_positions(evacuated, len(self.topology.zones))
         return any(row[zone] > NEGLIGIBLE_SHARE for row in self._follower.final_matrix() for zone in zones)
 
     def _recently_recovered(self) -> list[int]:
-        """Zones that came back not long ago."""
+        """Return the zones that recovered within RECENT_RECOVERY_NS."""
         return [zone for zone, at in self._recovered_at.items() if self._now - at < RECENT_RECOVERY_NS]
 
     def _continue_plan(self, plan: Plan | None, now: int) -> Plan:
-        """Go on with the plan that there was; with none, near first."""
+        """Return a plan of this epoch that continues the previous owner's plan.
+
+        Without a previous plan, each zone's reads go to the nearest zone.
+        """
         no_zones = bytes(len(self.topology.zones))
         refused, bad, transition_ms = (
             (plan.refused, plan.bad, self._remaining_transition_ms(plan, now))
@@ -277,11 +293,14 @@
         return self._new_plan(begin, end, refused, bad, transition_ms, "new owner")
 
     def _remaining_transition_ms(self, plan: Plan, now: int) -> int:
-        """What is left of a plan's way, in milliseconds."""
+        """Return the milliseconds until the transition of the plan is complete."""
         return max(plan.transition_ms - (now - self._follower.created_at) // NS_PER_MS, 0)
 
     def _target_rows(self, desired: _DesiredPlan) -> Matrix:
-        """Rows that make one each; a zone that doubts all goes on as it did."""
+        """Return the wanted shares by source zone; each row adds up to 1.
+
+        A source zone whose evidence is not believed, or that has next to no demand, keeps its current row.
+        """
         current = self._follower.final_matrix()
         rows = []
         for source, shares in enumerate(desired.distribution.shares):
@@ -301,10 +320,11 @@
     def _without_evacuated(
         self, source: int, row: tuple[float, ...], desired: _DesiredPlan
     ) -> tuple[float, ...]:
-        """A row that is kept for want of evidence or room, but for the zones evacuated by hand.
+        """Return a source zone's current row without the shares of evacuated zones.
 
-        Danger: an order doesn't hang on evidence. Were the row kept as it is, a zone evacuated while all
-        looked bad would get its reads for ever: once all is well again, nothing asks for another plan.
+        Danger: an evacuation must not depend on evidence. If the row were returned unchanged, a zone that is
+        evacuated while all zones look bad would keep its reads for good: once all zones have recovered,
+        nothing triggers another plan.
         """
         remaining = [0.0 if desired.evacuated >> target & 1 else share for target, share in enumerate(row)]
         total = sum(remaining)
@@ -318,10 +338,12 @@
         return tuple(float(zone == target) for zone in range(len(row)))
 
     def _create_plan(self, desired: _DesiredPlan, end: Matrix, transition_ms: int, reason: str) -> Plan:
+        """Return a plan that leads from the current shares to `end` within `transition_ms`."""
         now, zones = self._now, range(len(self.topology.zones))
         begin = [list(row) for row in self._follower.matrix(now)]
         for source in zones:
-            # Danger: what goes to a zone that is bad now must not wait for the way of one that comes back.
+            # Danger: reads must leave a zone that is bad at once, also when the same plan gives a recovered
+            # zone its share back slowly. So the shares of bad zones move at the start of the transition.
             closed = [t for t in zones if desired.bad[source] >> t & 1 and source not in desired.doubted]
             freed = sum(begin[source][target] for target in closed)
             for target in zones:
@@ -339,6 +361,7 @@
         transition_ms: int,
         reason: str,
     ) -> Plan:
+        """Return the plan as a message with the next number, and record when it was created."""
         if reason not in REASONS_WITHOUT_MOVES:
             self._reads_moved_at = self._now
         self._plan_number += 1
@@ -352,18 +375,19 @@
         )  # fmt: skip
 
     def _trial_shares(self) -> bytes:
-        """So many of each zone's reads that some a second find out about a zone that is held bad."""
+        """Return, by source zone, how many of 1,000 reads first try a zone marked bad, to detect recovery."""
         shares = (TRIALS_PER_S / max(demand, 1.0) for demand in self.reports.slow_demand)
         return bytes(round(1_000 * min(max(share, MIN_TRIAL_SHARE), MAX_TRIAL_SHARE)) for share in shares)
 
     def _bad_masks(self, desired: _DesiredPlan) -> bytes:
+        """Return the masks of bad zones by source; those of doubted sources stay as in the current plan."""
         plan = self._follower.plan
         return bytes(
             (plan.bad[s] if plan and s in desired.doubted else mask) for s, mask in enumerate(desired.bad)
         )
 
     def _serving_areas(self) -> bytes:
-        """By region: the nearest region whose origin answers; its own where none does."""
+        """Return, by region, the nearest region whose origin answers; the region itself if none does."""
         areas = range(len(self.topology.areas))
         return bytes(
             next((o for o in self.topology.near_areas(area) if not self.origin_paths[area, o].bad), area)
@@ -371,6 +395,7 @@
         )
 
     def _lost_areas(self) -> int:
+        """Return a bit mask of the regions whose own origin does not answer."""
         return bitmask(
             [area for area in range(len(self.topology.areas)) if self.origin_paths[area, area].bad]
         )
@@ -378,14 +403,17 @@
     # Orders
 
     def forecast(self, evacuated: int) -> tuple[float, Distribution]:
-        """The part of all reads that would find no room with these zones out, and where the others go."""
+        """Return the share of all reads refused if these zones were evacuated, and the distribution."""
         desired = self._desired_plan(evacuated)
         demand = self.reports.slow_demand
         total = sum(demand) or 1.0
         return sum(r * d for r, d in zip(desired.refused, demand, strict=True)) / total, desired.distribution
 
     def order(self, sender: str, order: Order, now: int) -> tuple[OrderResult, Plan | None]:
-        """Carry an operator's order out; the same one again gets the same answer."""
+        """Execute an operator's order; return its result and the new plan, if any.
+
+        A repeated order is not executed again: it gets the stored result.
+        """
         self._now = now
         stored = self._order_results.get((sender, order.id))
         if stored is not None:
@@ -397,6 +425,7 @@
         return answer, plan
 
     def _execute(self, order: Order) -> tuple[str, Plan | None]:
+        """Execute an order; return the reason for a rejection, or an empty text and the new plan."""
         zones, evacuated = range(len(self.topology.zones)), self.evacuated
         if order.action in ("evacuate", "return") and order.zone not in zones:
             return "no such zone", None
@@ -437,7 +466,7 @@
         return "", self._create_plan(desired, self._target_rows(desired), transition_ms, order.action)
 
     def view(self, now: int) -> dict[str, object]:
-        """For operators."""
+        """Return the state of this owner as a JSON object for operators."""
         zones = self.topology.zones
         forecasts = {}
         for index, zone in enumerate(zones):
@@ -468,10 +497,11 @@
 
 
 def _finite_rate(rate: float) -> float | None:
+    """Return the rate rounded for display, or None if it is unlimited."""
     return None if rate == UNLIMITED else round(rate, 1)
 
 
 def bad_paths(plan: Plan, topology: Topology) -> list[tuple[str, str]]:
-    """The paths that a plan holds bad, by names."""
+    """Return the (source, target) zone names of all paths that a plan marks as bad."""
     zones = topology.zones
     return [(zones[s], zones[t]) for s in range(len(zones)) for t in bit_positions(plan.bad[s], len(zones))]
--- a/saltport/failover/follower.py
+++ b/saltport/failover/follower.py
@@ -1,4 +1,4 @@
-"""Each router's side of a plan: which one holds, and what is done when the owner is silent. No I/O."""
+"""The latest failover plan at one router, and the fallback when its owner falls silent. No I/O."""
 
 from __future__ import annotations
 
@@ -20,11 +20,14 @@
 )
 from saltport.failover.settings import FailoverSettings
 
-MAX_DURATION_MS = 86_400_000
+MAX_DURATION_MS = 86_400_000  # plans with a longer age or transition are rejected as invalid
 
 
 class Follower:
-    """Holds the latest plan. `admit`: whether an epoch may be applied, by the fence of this process."""
+    """Keeps the latest plan that this router has received.
+
+    `admit` tells whether a plan of an epoch may be applied, by the fence of this process.
+    """
 
     def __init__(
         self,
@@ -35,24 +38,27 @@
         self.topology, self._settings, self._admit = topology, settings, admit
         self.plan: Plan | None = None
         self.created_at = 0
+        """When the plan was created, on the clock of this router."""
         self._confirmed_after_ns = 0
+        """Time from the creation of the plan to the owner's last known confirmation."""
         self.rejected_plans = 0
-        """Plans of older owners, or by another topology, or that could not be read."""
+        """Number of plans rejected: from a previous owner, for another topology, or invalid."""
 
     def receive(self, plan: Plan, now: int) -> bool:
-        """Take a plan, from its owner or passed on; whether it is a new one."""
+        """Apply a plan, sent by its owner or forwarded; return whether it is a new one."""
         return self._apply(plan, now, fenced=True)
 
     def inherit(self, plan: Plan, now: int) -> bool:
-        """As the next owner, before its first plan, take the latest one of its predecessors.
+        """As a new owner without a plan of its own, apply one of an earlier owner; return whether it is new.
 
-        Danger: the fence isn't asked. At a voter it knows the new owner's own epoch from the record, and
-        would refuse all plans before it: what operators ordered would be lost, though it was answered.
-        Nothing later was applied here, as this router alone makes plans of the new epoch.
+        Danger: this must not ask the fence. At a voter, the fence has already seen the epoch of the new owner
+        and would reject all earlier plans; operators' orders that were already answered would be lost.
+        Applying the plan is safe, as only this router makes plans of the new epoch and it has made none.
         """
         return self._apply(plan, now, fenced=False)
 
     def _apply(self, plan: Plan, now: int, fenced: bool) -> bool:
+        """Apply a valid, newer plan; for the current plan, update its age and last confirmation."""
         current = self.plan
         if not self._is_valid(plan):
             self.rejected_plans += 1
@@ -61,7 +67,8 @@
             self.rejected_plans += plan.epoch < current.epoch
             return False
         if current is not None and plan.version == current.version:
-            # Danger: a word of a dead owner that was long under way must not make its plan young again.
+            # Danger: a delayed message of a dead owner must not make its plan look more recently confirmed.
+            # So the earliest creation time counts, and confirmations are measured from there.
             self.created_at = min(self.created_at, now - plan.age_ms * NS_PER_MS)
             self._confirmed_after_ns = max(self._confirmed_after_ns, plan.confirmed_after_ms * NS_PER_MS)
             return False
@@ -76,6 +83,7 @@
         return True
 
     def _is_valid(self, plan: Plan) -> bool:
+        """Whether the plan is for this topology and all its values are in range."""
         zones = len(self.topology.zones)
         lengths = {len(plan.refused), len(plan.bad), len(plan.trial_permille)}
         same_topology = plan.topology == self.topology.digest and lengths == {zones}
@@ -89,15 +97,18 @@
         return same_topology and valid_shares and valid_origins and valid_times
 
     def owner_silence_ns(self, now: int) -> int:
-        """Nanoseconds since the owner's last word, as far as it is known here."""
+        """Return the nanoseconds since the owner's last confirmation known here."""
         return max(now - self.created_at - self._confirmed_after_ns, 0)
 
     def is_binding(self, now: int) -> bool:
-        """Whether the plan binds this router."""
+        """Whether there is a plan and its owner confirmed it recently enough for it to be valid."""
         return self.plan is not None and self.owner_silence_ns(now) <= self._settings.plan_validity_ns
 
     def matrix(self, now: int) -> Matrix:
-        """Where reads go by all that is known here."""
+        """Return the shares by source and target zone that apply now.
+
+        Once the plan is no longer valid, they move gradually to the nearest zones.
+        """
         plan, topology = self.plan, self.topology
         if plan is None:
             return nearest_available(topology, 0)
@@ -112,7 +123,7 @@
         )
 
     def zone_plan(self, now: int) -> ZonePlan | None:
-        """What holds for this router; None: nothing was ever decided."""
+        """Return what the plan means for this router's zone; None if no plan was ever received."""
         if self.plan is None:
             return None
         return zone_plan_of(
@@ -120,7 +131,10 @@
         )
 
     def plan_to_forward(self, now: int) -> Plan | None:
-        """The plan as it is to be passed on: its maker's word gets no younger by that."""
+        """Return the plan with its current age, to send to other routers.
+
+        Forwarding does not count as a confirmation by the owner.
+        """
         if self.plan is None:
             return None
         age_ms = max(now - self.created_at, 0) // NS_PER_MS
@@ -129,11 +143,11 @@
         )
 
     def confirm(self, now: int) -> None:
-        """Its maker says that the plan still holds."""
+        """Record that this router, as the owner, confirms the plan now."""
         self._confirmed_after_ns = max(now - self.created_at, 0)
 
     def final_matrix(self) -> Matrix:
-        """Where the plan leads."""
+        """Return the shares at the end of the plan's transition."""
         if self.plan is None:
             return nearest_available(self.topology, 0)
         return decode_shares(self.plan.end, len(self.topology.zones))
--- a/saltport/failover/formatting.py
+++ b/saltport/failover/formatting.py
@@ -1,4 +1,4 @@
-"""`saltport zones` in lines for people; from what a router answers, without its code."""
+"""Formats the answer of a router for `saltport zones` as text lines."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 
 def _format_shares(shares: dict[str, float]) -> str:
+    """Return the shares by zone as text, without those that round to 0 %."""
     return ", ".join(f"{zone} {share:.0%}" for zone, share in shares.items() if share >= 0.005) or "nowhere"
 
 
 def format_view(view: dict[str, Any]) -> Iterator[str]:
-    """The report of one router."""
+    """Yield the lines for one router's view of failover, as the `/zones` call returns it."""
     yield f"here {view['here']}: {view['state']}; {view['refused_plans']} plans of older owners refused"
     plan = view.get("plan")
     if plan is not None:
--- a/saltport/failover/health.py
+++ b/saltport/failover/health.py
@@ -1,4 +1,4 @@
-"""Whether a path from a zone to another is well: turned by evidence both ways, never by a timer. No I/O."""
+"""Health of the paths between zones; it changes only by evidence, never by a timer. No I/O."""
 
 from __future__ import annotations
 
@@ -8,28 +8,28 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.failover.settings import FailoverSettings
 
-GOOD_EVIDENCE_NS = 10 * NS_PER_S  # for which good answers speak for a path
-SAMPLE_MERGE_NS = 3 * NS_PER_S  # within which few claims add up to a window
-MAX_WEIGHT_FACTOR = 3.0  # times the usual weight: so much does one router's claim count at the most
+GOOD_EVIDENCE_NS = 10 * NS_PER_S  # good answers count as evidence for a path for this long
+SAMPLE_MERGE_NS = 3 * NS_PER_S  # samples too small for a window are merged within this time
+MAX_WEIGHT_FACTOR = 3.0  # maximum weight of one router's sample, in medians of the attempts
 
 
 @dataclass(frozen=True, slots=True)
 class PathSample:
-    """What one router found on a path within a window."""
+    """The attempts of one router on a path within a window, and how many got no answer."""
 
     attempts: int
     unanswered: int
 
     @property
     def unanswered_share(self) -> float:
-        """Of its attempts, those that nobody answered."""
+        """The share of the attempts that got no answer."""
         return self.unanswered / self.attempts
 
 
 def weighted_median_share(samples: Sequence[PathSample]) -> float:
-    """The lower weighted median: a share that more than half of the weight reaches or goes beyond.
+    """Return the lower median of the samples' unanswered shares, weighted by attempts with an upper limit.
 
-    Danger: were it a mean, one router with a bad network and much traffic would empty a zone.
+    Danger: with a mean, one router with a faulty network and much traffic would take all reads from a zone.
     """
     ordered = sorted(samples, key=lambda sample: -sample.unanswered_share)
     median_attempts = sorted(sample.attempts for sample in samples)[len(samples) // 2]
@@ -43,7 +43,10 @@
 
 
 class PathHealth:
-    """Of one path."""
+    """Whether one path is good or bad, by the samples of all routers that use it.
+
+    The evidence needed to recover doubles with each relapse.
+    """
 
     def __init__(self, settings: FailoverSettings, bad: bool = False) -> None:
         self._settings = settings
@@ -53,11 +56,11 @@
         self._recovered_at: int | None = None
         self._good_evidence_at: int | None = None
         self._pending_samples: list[PathSample] = []
-        """Claims that are too few as yet."""
+        """Samples that do not yet have enough attempts for a window."""
         self._pending_since = 0
 
     def has_recent_good_evidence(self, now: int) -> bool:
-        """Whether good answers on this very path say that it is well, lately."""
+        """Whether the path is good and was shown to be so within GOOD_EVIDENCE_NS."""
         return (
             not self.bad
             and self._good_evidence_at is not None
@@ -66,16 +69,16 @@
 
     @property
     def _evidence_factor(self) -> int:
-        """As much evidence as the first time it takes to be well again."""
+        """How many times the evidence of a first recovery is needed for the next one."""
         return 1 << max(min(self.relapses, self._settings.max_relapses) - 1, 0)
 
     @property
     def last_window_good(self) -> bool:
-        """Whether its last window was good."""
+        """Whether the last window of a bad path was good."""
         return self._good_answers > 0
 
     def add_window(self, samples: Sequence[PathSample], now: int) -> bool:
-        """Take a window's claims; whether its health has turned."""
+        """Evaluate the samples of a window; return whether the path became good or bad."""
         settings = self._settings
         if now - self._pending_since > SAMPLE_MERGE_NS:
             self._pending_samples, self._pending_since = [], now
@@ -115,6 +118,6 @@
         return True
 
     def mark_good(self, now: int) -> None:
-        """It is well from now on."""
+        """Mark the path as good from now on."""
         self.bad, self._bad_windows, self._recovered_at = False, 0, now
         self._good_evidence_at = now
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -1,4 +1,4 @@
-"""Failover on the loop: messages by the peers' socket, the clock of leases, plans into the decisions."""
+"""Connects failover to the event loop, the peers' socket, the leases and the routing decisions."""
 
 from __future__ import annotations
 
@@ -15,24 +15,26 @@
 from saltport.owners.link import OwnersLink, boot_clock
 from saltport.peers.link import PeerLink
 
-MESSAGE_PREFIX = 0xC1  # the one byte that begins nothing else: what follows is of this part
+MESSAGE_PREFIX = (
+    0xC1  # first byte of a failover message in a datagram of the peers; no other message begins with it
+)
 TICK_INTERVAL_S = 0.1
 
 log = logging.getLogger("saltport")
 
 
 class ReadRouting(Protocol):
-    """What failover needs of the decisions."""
+    """The part of the routing decisions that failover needs."""
 
     def tell(self, event: ZonePlan) -> None:
-        """Follow this from now on."""
+        """Distribute reads by this plan from now on."""
 
     def take_evidence(self) -> Evidence | None:
-        """What was found since the last call."""
+        """Return the evidence collected since the last call, if there is any."""
 
 
 class FailoverLink:
-    """One process's part in failover."""
+    """Runs the failover agent of this process."""
 
     def __init__(
         self,
@@ -44,7 +46,7 @@
         read_routing: ReadRouting,
         seed: int,
     ) -> None:
-        """`warm`: nanoseconds in which a cold server gets warm."""
+        """Start the agent; `warm_up_ns` is how long a cold server takes to warm up."""
         self._loop, self._peers, self._owners, self._read_routing = loop, peers, owners, read_routing
         self.agent = Agent(
             peers.agent.name, topology, FailoverSettings(), random.Random(seed ^ 0xFA11), boot_clock(),
@@ -58,10 +60,12 @@
         self._tick()
 
     def _current_epoch(self, now: int) -> int | None:
+        """Return the epoch of the failover lease if this router holds it, else None."""
         member = self._owners.member
         return member.tenure.may(LEASE_NAME, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
+        """Whether the fence of this process allows plans of an epoch."""
         member = self._owners.member
         return member is None or member.fence.admit(LEASE_NAME, epoch)
 
@@ -87,6 +91,7 @@
         self._flush(now)
 
     def _flush(self, now: int) -> None:
+        """Send queued messages and pass a changed plan on to the routing decisions."""
         for to, message in self.agent.take_messages():
             self._peers.send_to(to, bytes([MESSAGE_PREFIX]) + encode(message))
         zone_plan = self.agent.zone_plan(now)
@@ -96,7 +101,7 @@
         self._log_plan_change(now)
 
     def _log_plan_change(self, now: int) -> None:
-        """One line for each new plan, and for its end."""
+        """Log a line for each new plan and for each time a plan stops being valid."""
         follower = self.agent.follower
         plan, binding = follower.plan, follower.is_binding(now)
         state = () if plan is None else (plan.version, binding)
@@ -105,7 +110,7 @@
         self._last_logged = state
         if not binding:
             log.warning(
-                "failover: the owner has been silent for %d s: near first",
+                "failover: the plan's owner has been silent for %d s; moving reads to the nearest zones",
                 follower.owner_silence_ns(now) // NS_PER_S,
             )
             return
@@ -121,20 +126,20 @@
         topology = self.agent.topology
         return list(zip(topology.zones, matrix[topology.mine], strict=True))
 
-    # What operators ask
+    # Operators' commands
 
     def view(self) -> dict[str, Any]:
-        """What holds, why, and what the owner sees, where this router is the owner."""
+        """Return the current plan, order results and, at the owner, its evidence as a JSON object."""
         view = self.agent.view(boot_clock())
         orders = {str(result.id): result.text or "done" for result in self.agent.order_results.values()}
         return {**view, "orders": orders}
 
     def order(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
-        """Have an operator's order carried out by the owner; its number, None: there is no such zone."""
+        """Submit an operator's order to the owner; return its id, or None for an unknown zone."""
         topology = self.agent.topology
         if zone and zone not in topology.places:
             return None
-        log.info("failover: by hand: %s %s%s", action, zone, ", forced" if force else "")
+        log.info("failover: operator's order: %s %s%s", action, zone, ", forced" if force else "")
         index = topology.places[zone] if zone else 0
         now = boot_clock()
         number = self.agent.order(action, index, transition_ms, force, now)
@@ -142,6 +147,6 @@
         return number
 
     def close(self) -> None:
-        """Decide nothing more."""
+        """Stop the agent."""
         if self._timer is not None:
             self._timer.cancel()
--- a/saltport/failover/messages.py
+++ b/saltport/failover/messages.py
@@ -1,4 +1,4 @@
-"""What routers say to one another about zones; each fits a carried datagram."""
+"""Messages between routers about failover; each fits one datagram of the peers' protocol."""
 
 from __future__ import annotations
 
@@ -6,89 +6,103 @@
 from msgspec import Struct
 
 TAG_RANGE = range(80, 90)
-SHARE_SCALE = 250  # shares are told in so many parts
+SHARE_SCALE = 250  # a share of 1.0 on the wire; shares are sent as one byte each
 
 
 class ZoneReport(Struct, frozen=True, array_like=True):
-    """What one router found in one zone within a span."""
+    """The attempts of one router in one zone within the time span of a report."""
 
     listed: int
+    """Servers in the server list."""
     usable: int
+    """Listed servers that this router has not ejected."""
     answered: int
     unanswered: int
     rejected: int
+    """Attempts that a server turned away because it was full."""
     late: int
+    """Answers after the aim of their request class."""
     misses: int
+    """Answers that were cache misses."""
 
 
 class Report(Struct, frozen=True, array_like=True, tag=80):
-    """Evidence, and which plan its teller follows."""
+    """The evidence of one router since its last report, and the plan that it follows."""
 
     topology: int
+    """Digest of the topology; reports of another topology are ignored."""
     zone: int
+    """Zone of the reporting router."""
     epoch: int
     number: int
     span_ms: int
+    """Time that the report covers."""
     demand: int
+    """Reads that arrived, without those that clients marked as retries."""
     refused: int
+    """Reads refused because of the plan."""
     zone_reports: tuple[ZoneReport, ...]
     origins: tuple[tuple[int, int], ...]
+    """By region: requests that its origin answered, and requests without an answer."""
 
 
 class Plan(Struct, frozen=True, array_like=True, tag=81):
-    """Where each zone's reads go, from one vector to another within a time."""
+    """The shares of each zone's reads by target zone, with a transition from one matrix to another."""
 
     topology: int
     epoch: int
     number: int
     owner: str
+    """Name of the router that made the plan."""
     age_ms: int
-    """Since it was made."""
+    """Time since the plan was made."""
     confirmed_after_ms: int
-    """From then until its maker was last heard, by who passes it on."""
+    """Time from then to the owner's last confirmation that the sender of this message knows of."""
     transition_ms: int
-    """From `begin` to `end`."""
+    """Duration of the transition from `begin` to `end`."""
     begin: bytes
-    """Parts by source zone, and in it by target zone."""
+    """Shares at the start, by source zone and within it by target zone, in units of 1 / SHARE_SCALE."""
     end: bytes
+    """Shares at the end of the transition, in the same form."""
     refused: bytes
-    """Parts by source zone, of those reads that find no room."""
+    """Share of reads to refuse for lack of capacity, by source zone, in units of 1 / SHARE_SCALE."""
     bad: bytes
-    """By source zone: a bit for each zone whose path is held bad."""
+    """By source zone: a bit for each zone whose path is bad."""
     trial_permille: bytes
-    """By source zone, in thousandths: first tries of reads that ask in zones held bad."""
+    """By source zone: how many of 1,000 reads first try a zone marked bad."""
     evacuated: int
-    """A bit for each zone that was evacuated by hand."""
+    """A bit for each zone that an operator has evacuated."""
     frozen: bool
+    """Whether an operator has frozen the plan."""
     origins: bytes
     """By region: the region whose origin serves it."""
     lost_origins: int
-    """A bit for each region whose own origin is held silent."""
+    """A bit for each region whose own origin does not answer."""
     router_zones: int = 0
     """A bit for each zone that has routers of its own."""
     reason: str = ""
 
     @property
     def version(self) -> tuple[int, int]:
-        """The later of two plans has the greater one."""
+        """Epoch and number; the later of two plans has the greater version."""
         return self.epoch, self.number
 
 
 class PlanQuery(Struct, frozen=True, array_like=True, tag=82):
-    """A new owner asks for the latest plan that is known."""
+    """Request of a new owner for the latest plan that the receiver has."""
 
     epoch: int
 
 
 class PlanReply(Struct, frozen=True, array_like=True, tag=83):
-    """The latest plan that a router knows, if any; `epoch`: the asker's."""
+    """Answer to a PlanQuery: the latest plan of the sender, if any, and the epoch of the query."""
 
     epoch: int
     plan: Plan | None
 
 
 class Order(Struct, frozen=True, array_like=True, tag=84):
-    """An operator's wish, for the owner."""
+    """An operator's order, sent to the owner of the plan."""
 
     id: int
     action: str
@@ -99,7 +113,7 @@
 
 
 class OrderResult(Struct, frozen=True, array_like=True, tag=85):
-    """What became of it; `text` empty: it is done."""
+    """The result of an order: empty `text` if it was executed, else the reason for the rejection."""
 
     id: int
     text: str
@@ -110,10 +124,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes on the wire."""
+    """Return the message as bytes for the wire."""
     return msgspec.msgpack.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Read a message; raises ValueError for anything else."""
+    """Return the message in `data`; raise ValueError if it is not a valid message."""
     return _decoder.decode(data)
--- a/saltport/failover/plans.py
+++ b/saltport/failover/plans.py
@@ -1,4 +1,4 @@
-"""Plans as numbers: vectors in parts, where a plan stands on its way, what it means for one zone. No I/O."""
+"""Functions on plans: encoding of shares, shares during a transition, the view of one zone. No I/O."""
 
 from __future__ import annotations
 
@@ -9,35 +9,35 @@
 from saltport.failover.messages import SHARE_SCALE, Plan
 
 Matrix = tuple[tuple[float, ...], ...]
-"""By source zone, and in it by target zone."""
+"""Shares by source zone, and within it by target zone."""
 NS_PER_MS = 1_000_000
 
 
 def encode_shares(rows: Sequence[Sequence[float]]) -> bytes:
-    """Shares in parts."""
+    """Return shares as bytes, row after row, in units of 1 / SHARE_SCALE."""
     return bytes(min(max(round(share * SHARE_SCALE), 0), SHARE_SCALE) for row in rows for share in row)
 
 
 def decode_shares(encoded: bytes, zones: int) -> Matrix:
-    """Parts as shares; raises ValueError for what is no matrix of so many zones."""
+    """Return encoded shares as a matrix; raise ValueError if the length does not fit the number of zones."""
     if len(encoded) != zones * zones:
-        raise ValueError("a vector for other zones")
+        raise ValueError("the encoded shares do not match the number of zones")
     shares = [fraction / SHARE_SCALE for fraction in encoded]
     return tuple(tuple(shares[zone * zones : (zone + 1) * zones]) for zone in range(zones))
 
 
 def bit_positions(mask: int, width: int) -> tuple[int, ...]:
-    """The places of the bits that are set."""
+    """Return the positions of the bits that are set among the lowest `width` bits of a mask."""
     return tuple(position for position in range(width) if mask >> position & 1)
 
 
 def bitmask(positions: Sequence[int]) -> int:
-    """Bits by their places."""
+    """Return a mask with the bits at these positions set."""
     return sum(1 << position for position in set(positions))
 
 
 def interpolate(begin: Matrix, end: Matrix, fraction: float) -> Matrix:
-    """Some way from one matrix to another."""
+    """Return the matrix at a fraction (0 to 1) of the way from `begin` to `end`."""
     return tuple(
         tuple(a + (b - a) * fraction for a, b in zip(row_a, row_b, strict=True))
         for row_a, row_b in zip(begin, end, strict=True)
@@ -45,7 +45,7 @@
 
 
 def nearest_available(topology: Topology, evacuated: int) -> Matrix:
-    """What holds where nobody decides: each zone to itself, or to the nearest that was not evacuated."""
+    """Return the matrix that sends each zone's reads to itself, or to the nearest zone not evacuated."""
     zones = range(len(topology.zones))
     rows = []
     for source in zones:
@@ -55,7 +55,7 @@
 
 
 def matrix_at(plan: Plan, elapsed_ns: int, topology: Topology) -> Matrix:
-    """Where a plan stands, so many nanoseconds after it was made."""
+    """Return the shares of a plan `elapsed_ns` nanoseconds after it was made."""
     zones = len(topology.zones)
     end = decode_shares(plan.end, zones)
     if elapsed_ns >= plan.transition_ms * NS_PER_MS:
@@ -64,7 +64,10 @@
 
 
 def zone_plan_of(plan: Plan, matrix: Matrix, zone: int, topology: Topology, binding: bool) -> ZonePlan:
-    """What a plan means for one zone's routers."""
+    """Return the part of a plan that concerns one zone's routers.
+
+    If it is not binding, it refuses no reads and tries no bad zones.
+    """
     zones, area = len(topology.zones), topology.area_of(zone)
     served = plan.origins[area] if area < len(plan.origins) else area
     order = (served, *(other for other in topology.near_areas(area) if other != served))
--- a/saltport/failover/room.py
+++ b/saltport/failover/room.py
@@ -1,4 +1,4 @@
-"""How much a zone can do: by configuration, by what it has proven, and less once it is strained. No I/O."""
+"""Capacity of a zone: configured or learned from its answers, and reduced under overload. No I/O."""
 
 from __future__ import annotations
 
@@ -6,32 +6,34 @@
 from saltport.failover.settings import FailoverSettings
 from saltport.failover.waterfall import UNLIMITED
 
-PEAK_DECAY_S = 600.0  # over which what was proven is forgotten
-PROVEN_MARGIN = 1.25  # times what is proven counts as proven
-CUT_FACTOR = 0.95
-MIN_RATE_PER_S = 20.0  # answers a second; below that, shares of late ones tell nothing
+PEAK_DECAY_S = 600.0  # time over which the observed peak rate decays to nothing
+PROVEN_MARGIN = 1.25  # a zone without a configured capacity may get this multiple of its peak rate
+CUT_FACTOR = 0.95  # of the rate at overload, as the new limit
+MIN_RATE_PER_S = 20.0  # below this rate, the share of late answers is not significant
 
 
 class ZoneCapacity:
-    """Of one zone; requests a second."""
+    """Capacity of one zone, in requests per second."""
 
     def __init__(self, settings: FailoverSettings, per_server: float) -> None:
         self._settings, self._per_server = settings, per_server
         self.rate = 0.0
-        """Answers in time, smoothed over some windows."""
+        """Answers in time per second, smoothed over some windows."""
         self._peak_rate = 0.0
         self._learned_limit = UNLIMITED
         self._updated_at = self.cut_at = 0
         self._strained_windows = 0
         self._retry_after_ns = settings.capacity_retry_ns
         self.probing = False
-        """Whether more than what it was cut to is being tried."""
+        """Whether the limit was lifted after a cut, to find out if the zone can do more again."""
 
     def add_window(self, in_time_rate: float, strained_share: float, now: int, settled: bool = True) -> None:
-        """Take a window: answers a second that were in time, and the share that was late or turned away.
+        """Update the capacity from a window.
 
-        `settled`: no reads have just been moved. Danger: what waited in vain elsewhere comes with them, late
-        and all at once; a zone would pass for one without room just where it is needed.
+        `in_time_rate` is answers in time per second, `strained_share` the share of attempts that were late or
+        rejected. `settled` is False shortly after reads were moved between zones.
+        Danger: requests that waited in vain in another zone move along with the reads, all at once and
+        already late. Counted as overload, they would reduce the capacity of a zone just when it is needed.
         """
         elapsed_s = min((now - self._updated_at) / NS_PER_S, 2.0) if self._updated_at else 0.0
         self._updated_at = now
@@ -53,17 +55,21 @@
         self._peak_rate = max(self._peak_rate * (1 - elapsed_s / PEAK_DECAY_S), self.rate)
 
     def _cut(self, in_time_rate: float, now: int) -> None:
+        """Lower the limit to just below the current rate; a cut while probing doubles the retry time."""
         self._learned_limit = max(min(self._learned_limit, max(in_time_rate, self.rate) * CUT_FACTOR), 1.0)
         if self.probing:
             self._retry_after_ns = min(self._retry_after_ns * 2, self._settings.max_capacity_retry_ns)
         self.cut_at, self.probing = now, False
 
     def limit(self, servers: float) -> float:
-        """What it can do with so many servers in use."""
+        """Return the most requests per second the zone can take with this number of servers in use."""
         configured = self._per_server * servers if self._per_server else UNLIMITED
         return min(configured, self._learned_limit) if servers > 0 else 0.0
 
     def proven(self, servers: float) -> float:
-        """What may be counted on: a configured figure is, a learnt one as far as it was seen."""
+        """Return the requests per second that the zone can be relied on to take.
+
+        It is the limit if the capacity is configured; else at most the observed peak rate with a margin.
+        """
         limit = self.limit(servers)
         return limit if self._per_server else min(limit, max(self._peak_rate, self.rate) * PROVEN_MARGIN)
--- a/saltport/failover/waterfall.py
+++ b/saltport/failover/waterfall.py
@@ -1,7 +1,7 @@
-"""Demand into room: each zone's own first, the rest to the next zones by cost, the remainder refused. No I/O.
+"""Distributes demand over zones: each zone's own demand first, then overflow by distance. No I/O.
 
-Pouring by rounds of nearness is the order of localities of Envoy and HAProxy; what each target has proven,
-and its room less a reserve for its own, stand in the place of their fixed factors.
+Filling the zones in order of distance follows the locality priorities of Envoy and HAProxy. In the place of
+their fixed overprovisioning factors, each zone has a proven rate and a reserve for its own demand.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Distribution:
-    """Shares by source zone; each row and what it has refused make one together."""
+    """Shares by source and target zone; each row and its refused share add up to 1."""
 
     shares: tuple[tuple[float, ...], ...]
     refused: tuple[float, ...]
     load: tuple[float, ...]
-    """Requests a second that each zone then gets."""
+    """Requests per second that each zone gets."""
 
 
 def distribute(
@@ -30,11 +30,13 @@
     near: Callable[[int], Sequence[int]],
     fill_limits: tuple[float, float],
 ) -> Distribution:
-    """Place each zone's demand; all in requests a second. `usable`: whether a path from a zone to another is.
+    """Return how to distribute each zone's demand; all rates are in requests per second.
 
-    `parts`: of a zone's room, what its own demand and what others' may fill. What finds no place within them,
-    and within what is proven, goes near first wherever there is any room. A zone without demand goes where
-    its first requests should go.
+    `usable` tells whether the path from a source to a target zone may be used; `near` returns all zones
+    ordered by distance from a zone. `fill_limits` are the shares of a zone's capacity that its own demand and
+    the demand of other zones may fill; other zones' demand is also limited by the proven rate. Demand that
+    does not fit these limits goes to the nearest zones with any capacity left; the rest is refused. A zone
+    without demand gets the shares that its first requests should follow.
     """
     zones = range(len(demand))
     total = [max(rate, 1e-6) for rate in demand]
