--- a/saltport/failover/formatting.py
+++ b/saltport/failover/formatting.py
@@ -13,12 +13,12 @@
 
 def format_view(view: dict[str, Any]) -> Iterator[str]:
     """Yield the lines for one router's view of failover, as the `/zones` call returns it."""
-    yield f"here {view['here']}: {view['state']}; {view['refused_plans']} plans of older owners refused"
+    yield f"here {view['here']}: {view['state']}; {view['refused_plans']} plans rejected"
     plan = view.get("plan")
     if plan is not None:
         yield (
             f"plan {plan['epoch']}.{plan['number']} of {plan['by']} ({plan['why']}), "
-            f"made {plan['age_s']} s ago, on its way for {plan['way_s']:g} s, "
+            f"made {plan['age_s']} s ago, transition {plan['way_s']:g} s, "
             f"owner heard {plan['silent_s']} s ago"
             f"{'; FROZEN' if plan['frozen'] else ''}"
         )
@@ -40,12 +40,11 @@
         f"{deciding['reporting']} routers report, {deciding['following']} follow"
     )
     if deciding["doubted"]:
-        yield f"  DOUBTED, as all looks bad from there: {', '.join(deciding['doubted'])}"
-    for zone, zone_view in deciding["zones"].items():
-        room = "no figure" if zone_view["room"] is None else f"{zone_view['room']:g}"
+        yield f"  DOUBTED, as every zone looks bad from there: {', '.join(deciding['doubted'])}"
+    for zone, state in deciding["zones"].items():
+        room = "unknown" if state["room"] is None else f"{state['room']:g}"
         yield (
-            f"  {zone}: {zone_view['demand']:g} reads a second asked, "
-            f"{zone_view['in_time']:g} answered in time, "
-            f"room {room}, {zone_view['servers']:g} servers in use, {zone_view['missed']:.0%} missed; "
+            f"  {zone}: {state['demand']:g} reads a second asked, {state['in_time']:g} answered in time, "
+            f"room {room}, {state['servers']:g} servers in use, {state['missed']:.0%} missed; "
             f"without it {deciding['without'][zone]['refused']:.0%} of all reads would be refused"
         )
--- a/tests/failover/test_evacuation.py
+++ b/tests/failover/test_evacuation.py
@@ -1,4 +1,7 @@
-"""An evacuation by hand holds whatever the evidence says: while all looks bad, without room, inherited."""
+"""Tests that an evacuation ordered by an operator takes effect whatever the evidence says.
+
+The evidence may say that all zones are bad or that others lack capacity, or the plan may be inherited.
+"""
 
 from __future__ import annotations
 
@@ -13,17 +16,17 @@
 from saltport.failover.plans import Matrix, decode_shares, encode_shares
 from saltport.failover.settings import FailoverSettings
 from tests.failover.test_rules import plan
-from tests.failover.test_world import Play
+from tests.failover.test_world import ZonesScenario
 
 SETTINGS = FailoverSettings()
-READS = 20  # a window, of each of three routers in each zone
+READS_PER_WINDOW = 20  # at each of the three routers of each zone
 EVACUATE_A = Order(1, "evacuate", 0, 1_000, False)
 Answers = Callable[[int, int], bool]
-"""Whether a zone's routers get answers from a zone."""
+"""Whether the routers of the source zone get answers from the target zone."""
 
 
-class Reign:
-    """One owner of the plans, fed with the reports of nine routers in three zones."""
+class OwnerScenario:
+    """One Decider that gets simulated reports of nine routers in three zones."""
 
     def __init__(self, inherited: Plan | None = None, capacity: tuple[float, ...] = ()) -> None:
         costs = {(0, 1): 1.0, (0, 2): 5.0, (1, 2): 4.0}
@@ -46,10 +49,18 @@
     def _report(self, answers: Answers) -> None:
         for zone in range(3):
             row = self.follower.matrix(self.now)[zone]
-            rows = tuple(self._row(round(READS * row[to]), answers(zone, to)) for to in range(3))
+            rows = tuple(self._row(round(READS_PER_WINDOW * row[to]), answers(zone, to)) for to in range(3))
             span_ms = SETTINGS.report_interval_ns // 1_000_000
             report = Report(
-                self.topology.digest, zone, 2, 1, span_ms, READS, 0, rows, ((READS, 0), (READS, 0))
+                self.topology.digest,
+                zone,
+                2,
+                1,
+                span_ms,
+                READS_PER_WINDOW,
+                0,
+                rows,
+                ((READS_PER_WINDOW, 0), (READS_PER_WINDOW, 0)),
             )
             for number in range(3):
                 self.decider.reports.receive(f"r{zone}{number}", report, self.now)
@@ -76,71 +87,70 @@
     return False
 
 
-def test_a_zone_is_left_by_an_order_that_is_given_while_all_zones_look_bad() -> None:
-    reign = Reign()
-    reign.windows(10, all_answer)
-    reign.windows(SETTINGS.bad_windows, none_answers)
-    assert reign.decider.doubted == (0, 1, 2)
-    assert reign.order(EVACUATE_A) == ""
-    assert reign.final_matrix() == (
-        (0, 1, 0),
-        (0, 1, 0),
-        (0, 0, 1),
-    )  # the nearest zone that is open; others stay
+def test_an_evacuation_ordered_while_all_zones_look_bad_takes_effect() -> None:
+    scenario = OwnerScenario()
+    scenario.windows(10, all_answer)
+    scenario.windows(SETTINGS.bad_windows, none_answers)
+    assert scenario.decider.doubted == (0, 1, 2)
+    assert scenario.order(EVACUATE_A) == ""
+    # Reads of zone a go to the nearest available zone; the other zones keep theirs.
+    assert scenario.final_matrix() == ((0, 1, 0), (0, 1, 0), (0, 0, 1))
     for _ in range(120):
-        reign.windows(1, all_answer)
-        assert reign.final_matrix()[0][0] == 0
-    assert not reign.decider.doubted
-    assert reign.final_matrix() == ((0, 1, 0), (0, 1, 0), (0, 0, 1))
+        scenario.windows(1, all_answer)
+        assert scenario.final_matrix()[0][0] == 0
+    assert not scenario.decider.doubted
+    assert scenario.final_matrix() == ((0, 1, 0), (0, 1, 0), (0, 0, 1))
 
 
-def test_of_a_row_that_is_kept_only_the_evacuated_part_moves() -> None:
+def test_only_the_evacuated_share_of_an_otherwise_unchanged_row_moves() -> None:
     split = encode_shares([(0.6, 0.1, 0.3), (0, 1, 0), (0, 0, 1)])
-    reign = Reign(plan(1, 5, begin=split, end=split))
-    reign.windows(1, all_answer)
-    reign.windows(SETTINGS.bad_windows, none_answers)
-    assert 0 in reign.decider.doubted
-    assert reign.order(EVACUATE_A) == ""
-    assert reign.final_matrix()[0] == pytest.approx((0, 0.25, 0.75), abs=0.01)
-
-
-def test_a_forced_order_without_room_elsewhere_leaves_the_zone_all_the_same() -> None:
-    reign = Reign(capacity=(1_000.0, 0.001, 0.001))
-    reign.windows(10, all_answer)
-    assert "no room" in reign.order(EVACUATE_A)
-    assert reign.order(Order(2, "evacuate", 0, 1_000, True)) == ""
-    assert reign.final_matrix()[0] == (0, 1, 0)  # what is not refused
-    held = reign.follower.plan
-    assert held is not None
-    assert held.refused[0] > 0.9 * 250
-
-
-def test_a_plan_of_an_earlier_release_that_still_leads_there_is_put_right() -> None:
-    near = encode_shares([(1, 0, 0), (0, 1, 0), (0, 0, 1)])
-    reign = Reign(plan(1, 5, begin=near, end=near, evacuated=0b001))
-    reign.windows(1, all_answer)
-    assert decode_shares(near, 3) == reign.final_matrix()  # adopted as it is
-    reign.windows(8, all_answer)
-    assert reign.final_matrix()[0][0] == 0
-    new_plan = reign.decider.plan_count
-    reign.windows(40, all_answer)
-    assert reign.decider.plan_count == new_plan  # and nothing chases it
+    scenario = OwnerScenario(plan(1, 5, begin=split, end=split))
+    scenario.windows(1, all_answer)
+    scenario.windows(SETTINGS.bad_windows, none_answers)
+    assert 0 in scenario.decider.doubted
+    assert scenario.order(EVACUATE_A) == ""
+    assert scenario.final_matrix()[0] == pytest.approx((0, 0.25, 0.75), abs=0.01)
+
+
+def test_a_forced_evacuation_takes_effect_without_capacity_elsewhere() -> None:
+    scenario = OwnerScenario(capacity=(1_000.0, 0.001, 0.001))
+    scenario.windows(10, all_answer)
+    assert "no room" in scenario.order(EVACUATE_A)
+    assert scenario.order(Order(2, "evacuate", 0, 1_000, True)) == ""
+    assert scenario.final_matrix()[0] == (0, 1, 0)  # the reads that are not refused
+    current = scenario.follower.plan
+    assert current is not None
+    assert current.refused[0] > 0.9 * 250
+
+
+def test_a_plan_of_an_earlier_release_that_routes_to_an_evacuated_zone_is_replaced() -> None:
+    nearest_shares = encode_shares([(1, 0, 0), (0, 1, 0), (0, 0, 1)])
+    scenario = OwnerScenario(plan(1, 5, begin=nearest_shares, end=nearest_shares, evacuated=0b001))
+    scenario.windows(1, all_answer)
+    assert (
+        decode_shares(nearest_shares, 3) == scenario.final_matrix()
+    )  # the new owner first adopts the plan unchanged
+    scenario.windows(8, all_answer)
+    assert scenario.final_matrix()[0][0] == 0
+    plan_count = scenario.decider.plan_count
+    scenario.windows(40, all_answer)
+    assert scenario.decider.plan_count == plan_count  # no further plans follow
 
 
 @pytest.mark.parametrize("after_s", [0.13, 0.39])
-def test_in_a_fleet_a_zone_is_left_by_an_order_given_in_a_moment_when_nobody_answers(after_s: float) -> None:
-    play = Play()
-    world = play.world
-    play.run(after_s)
+def test_in_a_fleet_an_evacuation_ordered_while_nobody_answers_takes_effect(after_s: float) -> None:
+    scenario = ZonesScenario()
+    world = scenario.world
+    scenario.run(after_s)
     world.paths |= {(source, target) for source in range(3) for target in range(3)}
     decider = world.agents[0].decider
     assert decider is not None
-    play.until(lambda: 0 in decider.doubted, 10)
+    scenario.until(lambda: 0 in decider.doubted, 10)
     number = world.agents[0].order("evacuate", 0, 1_000, False, world.now)
     world._carry(0)
     assert world.agents[0].order_results[number].text == ""
     world.paths.clear()
-    play.run(1)
+    scenario.run(1)
     for _ in range(8):
-        play.run(1)
-        assert [play.rows(place)[0][0] for place in range(9)] == [0] * 9
+        scenario.run(1)
+        assert [scenario.rows(place)[0][0] for place in range(9)] == [0] * 9
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -1,4 +1,4 @@
-"""Configuration of zones: what is refused, in a line each; what operators read; off means not imported."""
+"""Tests the configuration of zones, the `saltport zones` output and the imports while failover is off."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 }
 
 
-def written(into: Path, on: str = "true", **more: str) -> Path:
+def write_failover_file(into: Path, on: str = "true", **more: str) -> Path:
     path = into / "failover.toml"
     rows = "".join(f"{name} = {value}\n" for name, value in {**GOOD, **more}.items())
     path.write_text(f"[topology]\n{rows}[failover]\non = {on}\n")
     return path
 
 
-def all_of(folder: Path, zones: Path) -> list[Path]:
+def config_files(folder: Path, zones: Path) -> list[Path]:
     return [features(folder), owners(folder), zones]
 
 
 def test_a_good_topology_is_read(tmp_path: Path) -> None:
-    path, files = config(tmp_path), all_of(tmp_path, written(tmp_path))
-    told = load_config({"LB_CONFIG": str(path)}, files)
-    topology = told.settings.topology
-    assert told.failover
+    path, files = config(tmp_path), config_files(tmp_path, write_failover_file(tmp_path))
+    loaded = load_config({"LB_CONFIG": str(path)}, files)
+    topology = loaded.settings.topology
+    assert loaded.failover
     assert topology is not None
     assert (topology.here, topology.cost(1, 0), topology.room_of(1)) == ("b", 9, 50.5)
     assert topology.origin(topology.area_of(1)) == "o2"
     assert check_file(path, files) == []
-    alone = load_config({"LB_CONFIG": str(path)}, [written(tmp_path, "false")])
+    alone = load_config({"LB_CONFIG": str(path)}, [write_failover_file(tmp_path, "false")])
     assert alone.settings.topology == topology
     assert not alone.failover
 
@@ -67,19 +67,21 @@
         ({"near": "1"}, "topology.near is unknown"),
     ],
 )
-def test_what_can_not_be_is_told(tmp_path: Path, more: dict[str, str], words: str) -> None:
-    path, files = config(tmp_path), all_of(tmp_path, written(tmp_path, **more))
+def test_invalid_topology_settings_are_reported(tmp_path: Path, more: dict[str, str], words: str) -> None:
+    path, files = config(tmp_path), config_files(tmp_path, write_failover_file(tmp_path, **more))
     with pytest.raises(ConfigError, match=words):
         load_config({"LB_CONFIG": str(path)}, files)
     assert any(words in fault.reason for fault in check_file(path, files))
 
 
-def test_it_stands_on_owners_and_not_beside_hot_keys(tmp_path: Path) -> None:
+def test_failover_needs_owners_and_excludes_hot_keys(tmp_path: Path) -> None:
     path = config(tmp_path)
     with pytest.raises(ConfigError, match=r"needs topology\.zones and owners\.on"):
-        load_config({"LB_CONFIG": str(path)}, [written(tmp_path)])
+        load_config({"LB_CONFIG": str(path)}, [write_failover_file(tmp_path)])
     with pytest.raises(ConfigError, match="both at once are not built yet"):
-        load_config({"LB_CONFIG": str(path)}, [written(tmp_path, "false"), ROOT / "deploy/hot-keys.toml"])
+        load_config(
+            {"LB_CONFIG": str(path)}, [write_failover_file(tmp_path, "false"), ROOT / "deploy/hot-keys.toml"]
+        )
 
 
 def test_the_shipped_file_is_good(tmp_path: Path) -> None:
@@ -89,12 +91,12 @@
     assert check_file(config(tmp_path), files) == []
 
 
-def test_operators_read_what_holds_and_what_the_owner_sees() -> None:
+def test_zones_output_shows_the_plan_and_the_evidence_of_its_owner() -> None:
     world = ZonesWorld("plan", 3, 6, 1)
     world.play(100, lambda: ("k",), 6)
     world.lose_zone(1, routers=False)
     world.play(100, lambda: (f"k{world.rng.randrange(50)}",), 6)
-    told = "\n".join(format_view(world.agents[0].view(world.now)))
+    output = "\n".join(format_view(world.agents[0].view(world.now)))
     for words in (
         "here a: by plan",
         "(worse)",
@@ -102,11 +104,11 @@
         "reads from b: a ",
         "this router decides",
     ):
-        assert words in told
+        assert words in output
     assert "this router decides" not in "\n".join(format_view(world.agents[1].view(world.now)))
 
 
-def test_where_it_is_off_nothing_of_it_is_imported() -> None:
+def test_failover_modules_are_not_imported_while_failover_is_off() -> None:
     program = (
         "import sys, saltport.router.__main__, saltport.simulator.adapter\n"
         "off = ('saltport.failover', 'saltport.decisions.zoned', 'saltport.decisions.topology')\n"
--- a/tests/failover/test_rules.py
+++ b/tests/failover/test_rules.py
@@ -1,4 +1,4 @@
-"""Each rule by itself: placement of demand, claims, health, room, what a router holds of a plan."""
+"""Tests each rule of failover alone: distribution, path health, capacity and the plan at one router."""
 
 from __future__ import annotations
 
@@ -24,73 +24,76 @@
 SETTINGS = FailoverSettings()
 S = 1_000 * NS_PER_MS
 THREE = Topology(("a", "b", "c"), "a", ("w", "w", "e"), {(0, 1): 1, (0, 2): 5, (1, 2): 4})
-PARTS_OF_ROOM = (0.8, 0.75)
+FILL_LIMITS = (0.8, 0.75)
 
 
 def plan(epoch: int = 1, number: int = 1, **more: Any) -> Plan:
     neutral = encode_shares(nearest_available(THREE, 0))
-    made = Plan(
+    new_plan = Plan(
         THREE.digest, epoch, number, "r1", 0, 0, 0, neutral, neutral, bytes(3), bytes(3), bytes(3), 0, False,
         bytes([0, 1]), 0,
     )  # fmt: skip
-    return structs.replace(made, **more)
+    return structs.replace(new_plan, **more)
 
 
-# Placement
+# Distribution of demand
 
 
 @given(
     demand=st.lists(st.floats(0, 1e4), min_size=3, max_size=3),
-    room=st.lists(st.one_of(st.floats(0, 1e4), st.just(UNLIMITED)), min_size=3, max_size=3),
-    shut=st.sets(st.tuples(st.integers(0, 2), st.integers(0, 2))),
+    capacity=st.lists(st.one_of(st.floats(0, 1e4), st.just(UNLIMITED)), min_size=3, max_size=3),
+    cut_paths=st.sets(st.tuples(st.integers(0, 2), st.integers(0, 2))),
 )
 @settings(max_examples=300, deadline=None, derandomize=True)
-def test_all_demand_is_placed_within_room_or_said_to_be_refused(
-    demand: list[float], room: list[float], shut: set[tuple[int, int]]
+def test_all_demand_is_placed_within_capacity_or_refused(
+    demand: list[float], capacity: list[float], cut_paths: set[tuple[int, int]]
 ) -> None:
-    poured = distribute(demand, room, room, lambda s, t: (s, t) not in shut, THREE.near, PARTS_OF_ROOM)
+    distribution = distribute(
+        demand, capacity, capacity, lambda s, t: (s, t) not in cut_paths, THREE.near, FILL_LIMITS
+    )
     for source in range(3):
-        assert sum(poured.shares[source]) + poured.refused[source] == pytest.approx(1)
+        assert sum(distribution.shares[source]) + distribution.refused[source] == pytest.approx(1)
         assert all(
-            not share or (source, target) not in shut for target, share in enumerate(poured.shares[source])
+            not share or (source, target) not in cut_paths
+            for target, share in enumerate(distribution.shares[source])
         )
     for target in range(3):
-        assert poured.load[target] <= room[target] * (1 + 1e-9) + 1e-5
-    open_room = [room[t] for t in range(3) if all((s, t) not in shut for s in range(3))]
-    if sum(open_room) >= sum(demand) + 1:
-        assert max(poured.refused) < 1e-6  # refused only where there is no room
+        assert distribution.load[target] <= capacity[target] * (1 + 1e-9) + 1e-5
+    open_capacity = [capacity[t] for t in range(3) if all((s, t) not in cut_paths for s in range(3))]
+    if sum(open_capacity) >= sum(demand) + 1:
+        assert max(distribution.refused) < 1e-6  # reads are refused only for lack of capacity
 
 
-def test_near_first_and_beyond_that_the_nearest_with_room() -> None:
-    def shares(demand: list[float], room: list[float], **more: object) -> tuple[tuple[float, ...], ...]:
+def test_overflow_goes_to_the_nearest_zone_with_capacity() -> None:
+    def shares(demand: list[float], capacity: list[float], **more: object) -> tuple[tuple[float, ...], ...]:
         return distribute(
-            demand, room, room, lambda s, t: t not in more.values(), THREE.near, PARTS_OF_ROOM
+            demand, capacity, capacity, lambda s, t: t not in more.values(), THREE.near, FILL_LIMITS
         ).shares
 
     assert shares([500, 500, 500], [1000] * 3) == ((1, 0, 0), (0, 1, 0), (0, 0, 1))
     lost = shares([500, 500, 500], [1000] * 3, lost=1)
     assert lost[1] == pytest.approx(
         (0.5, 0, 0.5), abs=0.01
-    )  # the nearer one up to three quarters of its room
+    )  # the nearer zone is filled up to three quarters of its capacity
     assert lost[0] == (1, 0, 0)
-    crowd = shares([100, 900, 100], [1000] * 3)
-    assert crowd[1][1] == pytest.approx(800 / 900)
-    assert crowd[1][0] > 0
-    assert crowd[1][2] == 0
+    overloaded = shares([100, 900, 100], [1000] * 3)
+    assert overloaded[1][1] == pytest.approx(800 / 900)
+    assert overloaded[1][0] > 0
+    assert overloaded[1][2] == 0
 
 
-def test_more_is_not_sent_where_nothing_is_proven_while_it_is_proven_elsewhere() -> None:
-    poured = distribute(
-        [0, 600, 0], [UNLIMITED] * 3, [100, 600, 900], lambda s, t: t != 1, THREE.near, PARTS_OF_ROOM
+def test_overflow_prefers_zones_with_a_proven_rate() -> None:
+    distribution = distribute(
+        [0, 600, 0], [UNLIMITED] * 3, [100, 600, 900], lambda s, t: t != 1, THREE.near, FILL_LIMITS
     )
-    assert poured.load == pytest.approx((100, 0, 500), abs=0.1)
-    assert poured.refused == (0, 0, 0)
+    assert distribution.load == pytest.approx((100, 0, 500), abs=0.1)
+    assert distribution.refused == (0, 0, 0)
 
 
-# Claims and health
+# Path health
 
 
-def test_less_than_half_of_the_weight_moves_no_share() -> None:
+def test_samples_with_less_than_half_of_the_weight_do_not_move_the_median() -> None:
     assert weighted_median_share([PathSample(100, 100), PathSample(100, 0), PathSample(100, 1)]) <= 0.01
     assert (
         weighted_median_share(
@@ -104,7 +107,9 @@
         )
         == 0
     )
-    assert weighted_median_share([PathSample(10, 10), PathSample(10, 0)]) == 0  # half is not more than half
+    assert (
+        weighted_median_share([PathSample(10, 10), PathSample(10, 0)]) == 0
+    )  # exactly half of the weight is not enough
     assert weighted_median_share([PathSample(10, 9), PathSample(10, 8), PathSample(10, 0)]) == pytest.approx(
         0.8
     )
@@ -120,8 +125,8 @@
 
 def test_a_path_turns_by_evidence_and_takes_twice_as_much_after_a_relapse() -> None:
     health = PathHealth(SETTINGS)
-    lost, good, few = [PathSample(10, 10)], [PathSample(10, 0)], [PathSample(3, 3)]
-    assert windows(health, [lost, good, lost, few, lost]) == [False, False, False, False, True]
+    lost, good, too_few = [PathSample(10, 10)], [PathSample(10, 0)], [PathSample(3, 3)]
+    assert windows(health, [lost, good, lost, too_few, lost]) == [False, False, False, False, True]
     assert windows(health, [[], [], [], good, good, good, good]) == [True] * 6 + [False]
     assert windows(health, [lost, lost], 5 * S) == [False, True]
     assert windows(health, [good] * 9, 8 * S) == [True] * 7 + [False] * 2
@@ -130,36 +135,36 @@
     assert windows(health, [good, lost, good], 20 * S)[:2] == [False, False]
 
 
-def test_room_is_cut_where_answers_are_late_and_tried_again_after_a_while_that_doubles() -> None:
-    room, now = ZoneCapacity(SETTINGS, 100.0), 0
+def test_capacity_is_cut_when_answers_are_late_and_retried_after_a_time_that_doubles() -> None:
+    capacity, now = ZoneCapacity(SETTINGS, 100.0), 0
     for _ in range(20):
         now += S // 2
-        room.add_window(500, 0.0, now)
-    assert (room.limit(10), room.limit(5), room.limit(0)) == (1000, 500, 0)
+        capacity.add_window(500, 0.0, now)
+    assert (capacity.limit(10), capacity.limit(5), capacity.limit(0)) == (1000, 500, 0)
     waits = []
     for _ in range(3):
         for settled in (False, False, True, True):
-            assert room.limit(10) == 1000
+            assert capacity.limit(10) == 1000
             now += S // 2
-            room.add_window(120, 0.6, now, settled)
+            capacity.add_window(120, 0.6, now, settled)
         cut = now
-        assert room.limit(10) < 500
-        while room.limit(10) < 1000:
+        assert capacity.limit(10) < 500
+        while capacity.limit(10) < 1000:
             now += S // 2
-            room.add_window(120, 0.0, now)
+            capacity.add_window(120, 0.0, now)
         waits.append((now - cut) / SETTINGS.capacity_retry_ns)
     assert waits == pytest.approx([1, 2, 4], abs=0.05)
 
 
-def test_what_is_learnt_counts_as_proven_only_as_far_as_it_was_seen() -> None:
-    room = ZoneCapacity(SETTINGS, 0.0)
-    assert room.limit(3) == UNLIMITED
+def test_a_learned_capacity_is_proven_only_up_to_the_observed_rate() -> None:
+    capacity = ZoneCapacity(SETTINGS, 0.0)
+    assert capacity.limit(3) == UNLIMITED
     for step in range(20):
-        room.add_window(200, 0.0, (step + 1) * S // 2)
-    assert 200 < room.proven(3) <= 250
+        capacity.add_window(200, 0.0, (step + 1) * S // 2)
+    assert 200 < capacity.proven(3) <= 250
 
 
-# What a router holds of plans
+# Plans at one router
 
 
 def test_an_older_owner_s_plan_is_refused_and_the_later_one_stays() -> None:
@@ -174,35 +179,41 @@
     assert fenced.plan is None
 
 
-def test_without_an_owner_the_plan_holds_and_then_near_first_comes_step_by_step() -> None:
+def test_without_an_owner_the_plan_expires_and_reads_move_to_the_nearest_zone() -> None:
     follower = Follower(THREE, SETTINGS)
     moved = encode_shares([(0.5, 0.5, 0), (0, 0, 1), (0, 0, 1)])
     follower.receive(plan(end=moved, begin=moved, refused=bytes([0, 25, 0]), evacuated=0b010), 0)
     follower.receive(plan(end=moved, begin=moved, age_ms=2_000, confirmed_after_ms=2_000), 2 * S)
-    # The same word once more, long under way: it makes nothing young again.
+    # A delayed copy of the same message must not count as a new confirmation.
     follower.receive(plan(end=moved, begin=moved, age_ms=2_000, confirmed_after_ms=2_000), 9 * S)
     assert follower.is_binding(12 * S)
     assert not follower.is_binding(12 * S + 1)
-    told = [follower.zone_plan(at) for at in (11 * S, 17 * S, 30 * S)]
-    assert all(held is not None for held in told)
-    assert [held.shares for held in told if held] == [(0.5, 0.5, 0), (0.75, 0.25, 0), (1, 0, 0)]
-    assert [held.binding for held in told if held] == [True, False, False]
-    assert {held.closed for held in told if held} == {(1,)}  # what was evacuated by hand stays so
+    zone_plans = [follower.zone_plan(at) for at in (11 * S, 17 * S, 30 * S)]
+    assert all(zone_plan is not None for zone_plan in zone_plans)
+    assert [zone_plan.shares for zone_plan in zone_plans if zone_plan] == [
+        (0.5, 0.5, 0),
+        (0.75, 0.25, 0),
+        (1, 0, 0),
+    ]
+    assert [zone_plan.binding for zone_plan in zone_plans if zone_plan] == [True, False, False]
+    assert {zone_plan.closed for zone_plan in zone_plans if zone_plan} == {
+        (1,)
+    }  # evacuated zones get no reads after the plan expires either
     assert nearest_available(THREE, 0b001)[0] == (0, 1, 0)
 
 
-def test_a_way_is_gone_by_the_time_since_the_plan_was_made() -> None:
+def test_a_transition_follows_the_age_of_the_plan() -> None:
     begin, end = encode_shares([(1, 0, 0)] * 3), encode_shares([(0, 1, 0)] * 3)
-    made = plan(begin=begin, end=end, transition_ms=10_000)
-    assert matrix_at(made, 2_500 * NS_PER_MS, THREE)[0] == pytest.approx((0.75, 0.25, 0))
-    assert matrix_at(made, 60 * S, THREE)[0] == (0, 1, 0)
+    new_plan = plan(begin=begin, end=end, transition_ms=10_000)
+    assert matrix_at(new_plan, 2_500 * NS_PER_MS, THREE)[0] == pytest.approx((0.75, 0.25, 0))
+    assert matrix_at(new_plan, 60 * S, THREE)[0] == (0, 1, 0)
     late = Follower(THREE, SETTINGS)
-    late.receive(replace_ago(made, 9_000), 100 * S)
+    late.receive(with_age(new_plan, 9_000), 100 * S)
     assert late.matrix(100 * S)[0] == pytest.approx((0.1, 0.9, 0))
 
 
-def replace_ago(told: Plan, age_ms: int) -> Plan:
-    return structs.replace(told, age_ms=age_ms, confirmed_after_ms=age_ms)
+def with_age(plan_without_age: Plan, age_ms: int) -> Plan:
+    return structs.replace(plan_without_age, age_ms=age_ms, confirmed_after_ms=age_ms)
 
 
 @pytest.mark.parametrize(
@@ -212,7 +223,7 @@
         {"transition_ms": -1}, {"age_ms": 1 << 60}, {"confirmed_after_ms": 5}, {"bad": bytes(7)},
     ],
 )  # fmt: skip
-def test_a_plan_that_makes_no_sense_is_not_followed(wrong: dict[str, Any]) -> None:
+def test_an_invalid_plan_is_rejected(wrong: dict[str, Any]) -> None:
     follower = Follower(THREE, SETTINGS)
     assert not follower.receive(plan(**wrong), 0)
     assert (follower.plan, follower.rejected_plans) == (None, 1)
@@ -220,14 +231,14 @@
 
 def test_the_longest_messages_fit_a_datagram() -> None:
     rng = random.Random(1)
-    big, many = 0xFFFFFFFF, bytes(rng.randrange(SHARE_SCALE) for _ in range(36))
-    most = Plan(
-        big, big, 0xFFFF, "r" * 14, 86_400_000, 86_400_000, 3_600_000, many, many, many[:6], many[:6],
-        many[:6], 63, True, many[:6], 63, 63, "w" * 16,
+    max_u32, zone_bytes = 0xFFFFFFFF, bytes(rng.randrange(SHARE_SCALE) for _ in range(36))
+    largest = Plan(
+        max_u32, max_u32, 0xFFFF, "r" * 14, 86_400_000, 86_400_000, 3_600_000, zone_bytes, zone_bytes,
+        zone_bytes[:6], zone_bytes[:6], zone_bytes[:6], 63, True, zone_bytes[:6], 63, 63, "w" * 16,
     )  # fmt: skip
     rows = (ZoneReport(60, 60, 900, 900, 900, 900, 900),) * 6
-    report = Report(big, 5, big, 0xFFFF, 2_000, 60_000, 60_000, rows, ((9_999, 9_999),) * 6)
-    for message in (PlanReply(big, most), report):
+    report = Report(max_u32, 5, max_u32, 0xFFFF, 2_000, 60_000, 60_000, rows, ((9_999, 9_999),) * 6)
+    for message in (PlanReply(max_u32, largest), report):
         assert len(encode(message)) < MOST_CARRIED
 
 
