--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -73,10 +73,12 @@
         return messages
 
     def _send(self, to: str, message: Message) -> None:
+        """Queue a message for a router, unless it is this one."""
         if to != self.name:
             self._messages.append((to, message))
 
     def _broadcast(self, message: Message) -> None:
+        """Queue a message for all other live routers."""
         for name in self._live_routers:
             self._send(name, message)
 
@@ -217,6 +219,7 @@
                     self._store_result(message)
 
     def _on_plan(self, plan: Plan, now: int) -> None:
+        """Apply a received plan; forward it if it is new."""
         if self.follower.receive(plan, now):
             self._forward_plan(FORWARD_NEW, now)
 
@@ -244,6 +247,7 @@
         return order.id
 
     def _store_result(self, answer: OrderResult) -> None:
+        """Store the result of an order of this router; drop the oldest results beyond MAX_ORDERS."""
         self.order_results[answer.id] = answer
         while len(self.order_results) > MAX_ORDERS:
             del self.order_results[next(iter(self.order_results))]
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -110,7 +110,7 @@
         zones = range(len(topology.zones))
         span = max(now - self._window_opened_at, 1) / NS_PER_S
         self._window_opened_at = now
-        answered, strained_shares, attempts = ([0.0] * len(zones) for _ in range(3))
+        answered, strained_counts, attempts = ([0.0] * len(zones) for _ in range(3))
         samples: dict[int, list[dict[int, PathSample]]] = {}
         for reporter in self._reporters.values():
             received, reporter.window = reporter.window, []
@@ -124,7 +124,7 @@
                 if unanswered + rejected + answered_count:
                     by_zone[zone] = PathSample(unanswered + rejected + answered_count, unanswered)
                 answered[zone] += answered_count - late
-                strained_shares[zone] += rejected + late
+                strained_counts[zone] += rejected + late
                 attempts[zone] += rejected + answered_count
             samples.setdefault(source, []).append(by_zone)
             source_area = topology.area_of(source)
@@ -141,18 +141,20 @@
                         PathSample(answered_count + unanswered, unanswered)
                     )
         for source, by_router in samples.items():
-            for by_zone in self._trusted(source, by_router):
+            for by_zone in self._trusted_samples(source, by_router):
                 for zone, sample in by_zone.items():
                     window.samples.setdefault((source, zone), []).append(sample)
         window.in_time_rates = [received / span for received in answered]
         window.strained_shares = [
             strained_count / max(attempt_count, 1.0)
-            for strained_count, attempt_count in zip(strained_shares, attempts, strict=True)
+            for strained_count, attempt_count in zip(strained_counts, attempts, strict=True)
         ]
         self._learn_demand(now)
         return window
 
-    def _trusted(self, source: int, by_router: list[dict[int, PathSample]]) -> list[dict[int, PathSample]]:
+    def _trusted_samples(
+        self, source: int, by_router: list[dict[int, PathSample]]
+    ) -> list[dict[int, PathSample]]:
         """Return the samples of a zone's routers without those of routers whose own network is faulty.
 
         Such a router sees its own zone as bad while most routers of the zone see it as good.
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -190,6 +190,7 @@
         doubted = tuple(s for s in zones if all((bad[s] | evacuated) >> t & 1 for t in zones))
 
         def usable(source: int, target: int) -> bool:
+            """Whether reads may go from the source zone to the target zone."""
             return source not in doubted and not (bad[source] | evacuated) >> target & 1
 
         demand = [max(pair) for pair in zip(reports.fast_demand, reports.slow_demand, strict=True)]
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -70,6 +70,7 @@
         return member is None or member.fence.admit(LEASE_NAME, epoch)
 
     def _tick(self) -> None:
+        """Run the agent's periodic work and schedule the next call."""
         try:
             now, agent = boot_clock(), self.agent
             agent.tick([record.name for record in self._peers.agent.members.live()], now)
@@ -82,6 +83,7 @@
             self._timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _on_datagram(self, sender: str, data: bytes) -> None:
+        """Handle a failover message from a peer; invalid ones are ignored."""
         try:
             message = decode(data)
         except ValueError:
@@ -123,6 +125,7 @@
         )  # fmt: skip
 
     def _shares(self, matrix: tuple[tuple[float, ...], ...]) -> list[tuple[str, float]]:
+        """Return the shares of the reads of this router's zone, by zone name."""
         topology = self.agent.topology
         return list(zip(topology.zones, matrix[topology.mine], strict=True))
 
--- a/saltport/failover/messages.py
+++ b/saltport/failover/messages.py
@@ -5,7 +5,7 @@
 import msgspec
 from msgspec import Struct
 
-TAG_RANGE = range(80, 90)
+TAG_RANGE = range(80, 90)  # message tags of failover
 SHARE_SCALE = 250  # a share of 1.0 on the wire; shares are sent as one byte each
 
 
