--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -33,6 +33,7 @@
 ORDER_RETRY_NS = 500 * NS_PER_MS  # between two sends of an unanswered order, and of a plan query
 ORDER_TIMEOUT_NS = 5_000 * NS_PER_MS
 MAX_ORDERS = 32  # orders under way, and stored results
+MAX_REPORT_SPAN = 4  # in report intervals; the evidence of a longer span is out of date
 
 
 class Agent:
@@ -191,7 +192,7 @@
             self.topology.digest, self.topology.mine, epoch, number, span_ms, evidence.demand,
             evidence.refused, zone_reports, origins,
         )  # fmt: skip
-        if span_ms > 4 * self.settings.report_interval_ns // NS_PER_MS:
+        if span_ms > MAX_REPORT_SPAN * self.settings.report_interval_ns // NS_PER_MS:
             return  # the process was suspended, so the evidence is out of date
         decider = self._current_decider(now)
         if decider is not None:
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -13,6 +13,7 @@
 
 ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # a zone without a report for this long counts as without routers
 FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # weight of a new window in the smoothed demand
+MAX_REPORTS_PER_WINDOW = 8  # of one router; further reports count only as its latest one
 
 
 @dataclass(slots=True)
@@ -58,7 +59,7 @@
             return
         reporter = self._reporters.setdefault(name, _Reporter(report, now))
         reporter.latest, reporter.received_at = report, now
-        if len(reporter.window) < 8:
+        if len(reporter.window) < MAX_REPORTS_PER_WINDOW:
             reporter.window.append(report)
 
     def recent_reports(self, now: int) -> list[Report]:
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -39,6 +39,8 @@
 SETTLE_NS = 2_000 * NS_PER_MS  # late answers within this time after reads moved do not reduce a capacity
 NEGLIGIBLE_SHARE = 0.005  # shares up to this are no reason for a new plan
 RECENT_RECOVERY_NS = 20_000 * NS_PER_MS  # all listed servers of a recovered zone count for this long
+MAX_TRANSITION_MS = 3_600_000
+MAX_REASON_CHARS = 16  # a plan must fit one datagram
 MAX_STORED_RESULTS = 64  # order results that are remembered to answer repeated orders
 
 
@@ -370,9 +372,9 @@
         self._plan_created_at = self._now
         return Plan(
             self.topology.digest, self.epoch, self._plan_number, self.name, 0, 0,
-            min(transition_ms, 3_600_000), encode_shares(begin), encode_shares(end), refused, bad,
+            min(transition_ms, MAX_TRANSITION_MS), encode_shares(begin), encode_shares(end), refused, bad,
             self._trial_shares(), self.evacuated, self.frozen, self._serving_areas(), self._lost_areas(),
-            bitmask(list(self._routers_seen_at)), reason[:16],
+            bitmask(list(self._routers_seen_at)), reason[:MAX_REASON_CHARS],
         )  # fmt: skip
 
     def _trial_shares(self) -> bytes:
--- a/saltport/failover/room.py
+++ b/saltport/failover/room.py
@@ -9,6 +9,9 @@
 PEAK_DECAY_S = 600.0  # time over which the observed peak rate decays to nothing
 PROVEN_MARGIN = 1.25  # a zone without a configured capacity may get this multiple of its peak rate
 CUT_FACTOR = 0.95  # of the rate at overload, as the new limit
+RATE_SMOOTHING = 0.4  # weight of a new window in the smoothed rate
+MAX_DECAY_STEP_S = 2.0  # a longer gap between two windows decays the peak rate no further
+PROBE_RETRIES = 4  # an uncut limit resets the retry time after this many retry times since the last cut
 MIN_RATE_PER_S = 20.0  # below this rate, the share of late answers is not significant
 
 
@@ -35,9 +38,9 @@
         Danger: requests that waited in vain in another zone move along with the reads, all at once and
         already late. Counted as overload, they would reduce the capacity of a zone just when it is needed.
         """
-        elapsed_s = min((now - self._updated_at) / NS_PER_S, 2.0) if self._updated_at else 0.0
+        elapsed_s = min((now - self._updated_at) / NS_PER_S, MAX_DECAY_STEP_S) if self._updated_at else 0.0
         self._updated_at = now
-        self.rate += (in_time_rate - self.rate) * 0.4
+        self.rate += (in_time_rate - self.rate) * RATE_SMOOTHING
         is_strained = (
             settled
             and strained_share > self._settings.max_strained_share
@@ -50,7 +53,7 @@
             return
         if self._learned_limit < UNLIMITED and now - self.cut_at >= self._retry_after_ns:
             self.probing, self._learned_limit = True, UNLIMITED
-        elif self.probing and now - self.cut_at >= 4 * self._retry_after_ns:
+        elif self.probing and now - self.cut_at >= PROBE_RETRIES * self._retry_after_ns:
             self.probing, self._retry_after_ns = False, self._settings.capacity_retry_ns
         self._peak_rate = max(self._peak_rate * (1 - elapsed_s / PEAK_DECAY_S), self.rate)
 
