--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -1,4 +1,4 @@
-"""What all routers told of the zones, gathered by windows. No I/O."""
+"""Combines the reports of all routers about zones into windows of evidence, at the owner. No I/O."""
 
 from __future__ import annotations
 
@@ -7,147 +7,178 @@
 
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.topology import Topology
-from saltport.failover.health import Claim, agreed_share
+from saltport.failover.health import PathSample, weighted_median_share
 from saltport.failover.messages import Report
 from saltport.failover.settings import FailoverSettings
 
-GONE = 3 * NS_PER_S  # without a word of its routers a zone has none
-QUICK, SLOW = 0.5, 0.1  # of a new window in the smoothed demand
+ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # a zone without a report for this long counts as without routers
+FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # weight of a new window in the smoothed demand
+MAX_REPORTS_PER_WINDOW = 8  # of one router; further reports count only as its latest one
 
 
 @dataclass(slots=True)
-class _Teller:
-    """One router."""
+class _Reporter:
+    """The reports of one router: the latest, when it arrived, and all of the current window."""
 
     latest: Report
-    at: int
+    received_at: int
     window: list[Report] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Window:
-    """What all told since the last one."""
+    """The combined evidence of all routers since the previous window."""
 
-    claims: dict[tuple[int, int], list[Claim]] = field(default_factory=dict)
-    """By path: from a zone to another."""
-    origins: dict[tuple[int, int], list[Claim]] = field(default_factory=dict)
-    """By path: from a region to the origin of another."""
-    in_time: list[float] = field(default_factory=list)
-    """Answers a second, by zone."""
-    strained: list[float] = field(default_factory=list)
-    """Share of the attempts that was late or turned away, by zone."""
+    samples: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
+    """By path (source zone, target zone): one sample for each router."""
+    origins: dict[tuple[int, int], list[PathSample]] = field(default_factory=dict)
+    """By path (source region, region of the origin): one sample for each router."""
+    in_time_rates: list[float] = field(default_factory=list)
+    """By zone: answers per second that were in time."""
+    strained_shares: list[float] = field(default_factory=list)
+    """By zone: share of the answered or rejected attempts that were late or rejected."""
 
 
-class Board:
-    """The owner's."""
+class ReportAggregator:
+    """Collects the routers' reports and evaluates them window by window."""
 
     def __init__(self, topology: Topology, settings: FailoverSettings, now: int) -> None:
         self._topology, self._settings = topology, settings
-        self._tellers: dict[str, _Teller] = {}
-        self._closed = now
+        self._reporters: dict[str, _Reporter] = {}
+        self._window_opened_at = now
         zones = len(topology.zones)
-        self.quick, self.slow = [0.0] * zones, [0.0] * zones
-        """Reads a second by zone, smoothed over a second and over five."""
-        self._began = False
+        self.fast_demand, self.slow_demand = [0.0] * zones, [0.0] * zones
+        """Reads per second by zone, smoothed over one second and over five seconds."""
+        self._has_reports = False
 
-    def hear(self, name: str, report: Report, now: int) -> None:
-        """Take a router's report."""
+    def receive(self, name: str, report: Report, now: int) -> None:
+        """Store a report of the router `name`; reports that do not fit the topology are ignored."""
         topology = self._topology
-        sane = report.topology == topology.digest and 0 <= report.zone < len(topology.zones)
-        if not sane or len(report.rows) != len(topology.zones) or report.span_ms <= 0:
+        is_valid = report.topology == topology.digest and 0 <= report.zone < len(topology.zones)
+        if not is_valid or len(report.zone_reports) != len(topology.zones) or report.span_ms <= 0:
             return
-        teller = self._tellers.setdefault(name, _Teller(report, now))
-        teller.latest, teller.at = report, now
-        if len(teller.window) < 8:
-            teller.window.append(report)
-
-    def fresh(self, now: int) -> list[Report]:
-        """The latest report of each router that told anything lately."""
-        least = now - self._settings.fresh
-        return [teller.latest for teller in self._tellers.values() if teller.at >= least]
-
-    def followers(self, epoch: int, number: int, now: int) -> int:
-        """How many routers say that they follow this plan, or a later one."""
-        return sum((report.epoch, report.number) >= (epoch, number) for report in self.fresh(now))
-
-    def tells(self, zone: int, now: int) -> bool:
-        """Whether any router of a zone told anything lately, for longer than one of them takes to restart."""
-        least = now - GONE
-        return any(teller.latest.zone == zone and teller.at >= least for teller in self._tellers.values())
+        reporter = self._reporters.setdefault(name, _Reporter(report, now))
+        reporter.latest, reporter.received_at = report, now
+        if len(reporter.window) < MAX_REPORTS_PER_WINDOW:
+            reporter.window.append(report)
+
+    def recent_reports(self, now: int) -> list[Report]:
+        """Return the latest report of each router, without those that are too old."""
+        oldest = now - self._settings.report_max_age_ns
+        return [reporter.latest for reporter in self._reporters.values() if reporter.received_at >= oldest]
+
+    def follower_count(self, epoch: int, number: int, now: int) -> int:
+        """Return how many routers report that they follow this plan or a later one."""
+        return sum((report.epoch, report.number) >= (epoch, number) for report in self.recent_reports(now))
+
+    def has_live_routers(self, zone: int, now: int) -> bool:
+        """Whether any router of a zone reported recently; the time limit is longer than a restart takes."""
+        oldest = now - ROUTER_TIMEOUT_NS
+        return any(
+            reporter.latest.zone == zone and reporter.received_at >= oldest
+            for reporter in self._reporters.values()
+        )
 
     def servers(self, zone: int, now: int) -> float:
-        """Servers in use in a zone: as its own routers say, else as those who ask there, else as listed."""
-        fresh = self.fresh(now)
-        own = [report.rows[zone].usable for report in fresh if report.zone == zone]
-        if own:
-            return median_low(own)
-        asking = [r.rows[zone].usable for r in fresh if r.rows[zone].answered + r.rows[zone].silent]
-        return median_low(asking or [report.rows[zone].listed for report in fresh] or [1])
+        """Return the number of servers in use in a zone.
+
+        It is the median reported by the zone's own routers, else by routers that send attempts there, else
+        the number of listed servers.
+        """
+        recent_reports = self.recent_reports(now)
+        own_zone = [report.zone_reports[zone].usable for report in recent_reports if report.zone == zone]
+        if own_zone:
+            return median_low(own_zone)
+        callers = [
+            r.zone_reports[zone].usable
+            for r in recent_reports
+            if r.zone_reports[zone].answered + r.zone_reports[zone].unanswered
+        ]
+        return median_low(callers or [report.zone_reports[zone].listed for report in recent_reports] or [1])
 
     def listed(self, zone: int, now: int) -> float:
-        """Servers that the list names in a zone."""
-        return median_low([report.rows[zone].listed for report in self.fresh(now)] or [1])
+        """Return the number of servers of a zone in the server list."""
+        return median_low([report.zone_reports[zone].listed for report in self.recent_reports(now)] or [1])
 
-    def missed(self, zone: int, now: int) -> float:
-        """Of a zone's answers, the share that were misses."""
-        rows = [report.rows[zone] for report in self.fresh(now)]
-        return sum(row.missed for row in rows) / max(sum(row.answered for row in rows), 1)
+    def miss_share(self, zone: int, now: int) -> float:
+        """Return the share of a zone's answers that were cache misses."""
+        rows = [report.zone_reports[zone] for report in self.recent_reports(now)]
+        return sum(row.misses for row in rows) / max(sum(row.answered for row in rows), 1)
 
-    def close(self, now: int) -> Window:
-        """End a window."""
+    def close_window(self, now: int) -> Window:
+        """Return the evidence of the current window and start the next one."""
         topology, window = self._topology, Window()
         zones = range(len(topology.zones))
-        span = max(now - self._closed, 1) / NS_PER_S
-        self._closed = now
-        answered, strained, attempts = ([0.0] * len(zones) for _ in range(3))
-        claims: dict[int, list[dict[int, Claim]]] = {}
-        for teller in self._tellers.values():
-            held, teller.window = teller.window, []
-            if not held:
+        span = max(now - self._window_opened_at, 1) / NS_PER_S
+        self._window_opened_at = now
+        answered, strained_counts, attempts = ([0.0] * len(zones) for _ in range(3))
+        samples: dict[int, list[dict[int, PathSample]]] = {}
+        for reporter in self._reporters.values():
+            received, reporter.window = reporter.window, []
+            if not received:
                 continue
-            source, found = held[0].zone, {}
+            source, by_zone = received[0].zone, {}
             for zone in zones:
-                rows = [report.rows[zone] for report in held]
-                silent, full = sum(row.silent for row in rows), sum(row.full for row in rows)
-                good, late = sum(row.answered for row in rows), sum(row.late for row in rows)
-                if silent + full + good:
-                    found[zone] = Claim(silent + full + good, silent)
-                answered[zone] += good - late
-                strained[zone] += full + late
-                attempts[zone] += full + good
-            claims.setdefault(source, []).append(found)
-            area = topology.region_index(source)
-            for other in range(len(topology.distinct_regions)):
-                told = [report.origins[other] for report in held if other < len(report.origins)]
-                good, silent = sum(one for one, _ in told), sum(two for _, two in told)
-                if good + silent:
-                    window.origins.setdefault((area, other), []).append(Claim(good + silent, silent))
-        for source, by in claims.items():
-            for found in self._trusted(source, by):
-                for zone, claim in found.items():
-                    window.claims.setdefault((source, zone), []).append(claim)
-        window.in_time = [held / span for held in answered]
-        window.strained = [part / max(of, 1.0) for part, of in zip(strained, attempts, strict=True)]
+                rows = [report.zone_reports[zone] for report in received]
+                unanswered, rejected = sum(row.unanswered for row in rows), sum(row.rejected for row in rows)
+                answered_count, late = sum(row.answered for row in rows), sum(row.late for row in rows)
+                if unanswered + rejected + answered_count:
+                    by_zone[zone] = PathSample(unanswered + rejected + answered_count, unanswered)
+                answered[zone] += answered_count - late
+                strained_counts[zone] += rejected + late
+                attempts[zone] += rejected + answered_count
+            samples.setdefault(source, []).append(by_zone)
+            source_area = topology.region_index(source)
+            for origin_area in range(len(topology.distinct_regions)):
+                counts = [
+                    report.origins[origin_area] for report in received if origin_area < len(report.origins)
+                ]
+                answered_count, unanswered = (
+                    sum(good_count for good_count, _ in counts),
+                    sum(silent_count for _, silent_count in counts),
+                )
+                if answered_count + unanswered:
+                    window.origins.setdefault((source_area, origin_area), []).append(
+                        PathSample(answered_count + unanswered, unanswered)
+                    )
+        for source, by_router in samples.items():
+            for by_zone in self._trusted_samples(source, by_router):
+                for zone, sample in by_zone.items():
+                    window.samples.setdefault((source, zone), []).append(sample)
+        window.in_time_rates = [received / span for received in answered]
+        window.strained_shares = [
+            strained_count / max(attempt_count, 1.0)
+            for strained_count, attempt_count in zip(strained_counts, attempts, strict=True)
+        ]
         self._learn_demand(now)
         return window
 
-    def _trusted(self, source: int, by: list[dict[int, Claim]]) -> list[dict[int, Claim]]:
-        """Without the routers that find their own zone bad while it is well to the others: it is they.
+    def _trusted_samples(
+        self, source: int, by_router: list[dict[int, PathSample]]
+    ) -> list[dict[int, PathSample]]:
+        """Return the samples of a zone's routers without those of routers whose own network is faulty.
 
-        Danger: nobody else asks in the zones that such a router turns to: it would speak for all there.
+        Such a router sees its own zone as bad while most routers of the zone see it as good.
+        Danger: it sends its attempts to zones that no other router of its zone uses, so its samples alone
+        would decide the health of those paths.
         """
         bad = self._settings.bad_share
-        own = [found[source] for found in by if source in found]
-        if not own or agreed_share(own) >= bad:
-            return by
-        return [found for found in by if source not in found or found[source].share < bad]
+        own_zone = [by_zone[source] for by_zone in by_router if source in by_zone]
+        if not own_zone or weighted_median_share(own_zone) >= bad:
+            return by_router
+        return [
+            by_zone
+            for by_zone in by_router
+            if source not in by_zone or by_zone[source].unanswered_share < bad
+        ]
 
     def _learn_demand(self, now: int) -> None:
-        fresh = self.fresh(now)
+        """Update the smoothed demand of all zones from the recent reports."""
+        recent_reports = self.recent_reports(now)
         for zone in range(len(self._topology.zones)):
-            rate = sum(r.demand * 1_000 / r.span_ms for r in fresh if r.zone == zone)
-            if not self._began:
-                self.quick[zone] = self.slow[zone] = rate
-            self.quick[zone] += (rate - self.quick[zone]) * QUICK
-            self.slow[zone] += (rate - self.slow[zone]) * SLOW
-        self._began = self._began or bool(fresh)
+            rate = sum(r.demand * 1_000 / r.span_ms for r in recent_reports if r.zone == zone)
+            if not self._has_reports:
+                self.fast_demand[zone] = self.slow_demand[zone] = rate
+            self.fast_demand[zone] += (rate - self.fast_demand[zone]) * FAST_SMOOTHING
+            self.slow_demand[zone] += (rate - self.slow_demand[zone]) * SLOW_SMOOTHING
+        self._has_reports = self._has_reports or bool(recent_reports)
--- a/saltport/failover/change.py
+++ b/saltport/failover/change.py
@@ -1,6 +1,7 @@
-"""Whether what holds is still good enough: a new plan is worth it only where that is not so. No I/O.
+"""Decides whether a better distribution of reads justifies a new plan. No I/O.
 
-Danger: another vector that is as good is no reason. Demand swings by chance; each change empties some caches.
+Danger: a different distribution that is only as good is no reason for a plan. Demand fluctuates at random,
+and each change of shares makes some cached data useless.
 """
 
 from __future__ import annotations
@@ -11,20 +12,20 @@
 from saltport.failover.plans import Matrix
 from saltport.failover.settings import FailoverSettings
 
-OVER = 0.95  # of a zone's room, past which its load is a reason
-LESS = 0.05  # of its room: by so much a new plan must relieve it
-REFUSED = 0.05  # of a zone's reads: so many more or fewer refused are a reason
+OVERLOAD_THRESHOLD = 0.95  # a load above this share of a zone's capacity is a reason for a plan
+MIN_RELIEF = 0.05  # share of a zone's capacity by which the plan must reduce its load
+MIN_REFUSED_CHANGE = 0.05  # change of the refused share of a zone's reads that is a reason for a plan
 
 
 @dataclass(frozen=True, slots=True)
-class Vector:
-    """Where all go, and which part of each zone's reads is refused."""
+class Allocation:
+    """The shares by source and target zone, and the refused share of each source zone's reads."""
 
     rows: Matrix
     refused: tuple[float, ...]
 
     def load(self, demand: Sequence[float]) -> list[float]:
-        """Requests a second that each zone gets."""
+        """Return the requests per second that each zone gets for a demand by source zone."""
         zones = range(len(self.rows))
         return [
             sum(demand[source] * (1 - self.refused[source]) * self.rows[source][target] for source in zones)
@@ -32,16 +33,30 @@
         ]
 
 
-def worth_changing(
-    held: Vector, aim: Vector, demand: Sequence[float], room: Sequence[float], settings: FailoverSettings
+def is_worth_changing(
+    current: Allocation,
+    proposed: Allocation,
+    demand: Sequence[float],
+    capacity: Sequence[float],
+    settings: FailoverSettings,
 ) -> bool:
-    """Whether a zone is overloaded that need not be, reads go far that may stay near, or refusals are off."""
-    least = settings.idle * sum(demand)
-    busy = [source for source, asked in enumerate(demand) if asked > least]
-    now, then = held.load(demand), aim.load(demand)
+    """Whether the proposed allocation improves on the current one enough for a new plan.
+
+    It does if it relieves an overloaded zone, keeps noticeably more reads in their own zone, or changes the
+    refused share of a zone noticeably.
+    """
+    idle_limit = settings.idle_demand_share * sum(demand)
+    busy = [source for source, rate in enumerate(demand) if rate > idle_limit]
+    load_now, load_then = current.load(demand), proposed.load(demand)
     relieved = any(
-        now[zone] > OVER * most and now[zone] - then[zone] > LESS * most for zone, most in enumerate(room)
+        load_now[zone] > OVERLOAD_THRESHOLD * limit and load_now[zone] - load_then[zone] > MIN_RELIEF * limit
+        for zone, limit in enumerate(capacity)
+    )
+    nearer = any(
+        proposed.rows[source][source] - current.rows[source][source] >= settings.min_share_change
+        for source in busy
+    )
+    refusals = any(
+        abs(proposed.refused[source] - current.refused[source]) >= MIN_REFUSED_CHANGE for source in busy
     )
-    nearer = any(aim.rows[source][source] - held.rows[source][source] >= settings.step for source in busy)
-    refusals = any(abs(aim.refused[source] - held.refused[source]) >= REFUSED for source in busy)
     return relieved or nearer or refusals
