--- a/saltport/peers/__init__.py
+++ b/saltport/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Membership among routers: SWIM gossip, failure detection, reachability by zone, and numbered views."""
+"""Membership among routers: SWIM gossip, failure detection, reachability and views (docs/design/peers.md)."""
--- a/saltport/peers/agent.py
+++ b/saltport/peers/agent.py
@@ -242,9 +242,7 @@
             self._next_probe_at = now + self._probe_interval_ns
 
     def _probe_round_robin(self, now: int) -> None:
-        """Probe one more live member in random round-robin order, or every other time a dead member or an
-        unknown seed.
-        """
+        """Probe one more live member in shuffled order, or every other time a dead one or an unknown seed."""
         self._exploration_count += 1
         if self._exploration_count % 2 and self._probe_dead(now):
             return
@@ -275,9 +273,7 @@
             self.probes.start(name, now)
 
     def _probe_dead(self, now: int) -> bool:
-        """Probe a dead member or a seed that no live member has as its address; returns whether there was
-        one.
-        """
+        """Probe a dead member, or a seed whose address no live member has; returns whether there was one."""
         dead = [
             r.name for r in self.members.records.values() if r.state is State.DEAD and r.place is not None
         ]
@@ -313,8 +309,8 @@
             self.suspicions.add_own(record, probe_started_at, now)
 
     def _is_isolated(self, now: int) -> bool:
-        """Whether no probe was answered for about as long as a death takes, so that this router is the one
-        cut off.
+        """Whether no probe was answered for about as long as a death takes: this router is then cut off
+        itself.
         """
         last_contact = max(self._last_answer_at, self.local_health.awake_since)
         return (
@@ -336,9 +332,7 @@
         self._announce(now)
 
     def _on_own_suspicion(self, update: Suspect | Dead, sender: str, now: int) -> None:
-        """Refute a suspicion or death of this router, sending to its accuser, the sender and the observers
-        first.
-        """
+        """Refute a suspicion or death of this router, to the accuser, the sender and the observers first."""
         if update.incarnation >= self.me.incarnation:
             self.false_alarms += 1
             self.local_health.record_failure()
@@ -502,9 +496,7 @@
             self._corrections.append(record.update(self.name))
 
     def _apply_suspicion(self, update: Suspect, sender: str, now: int) -> None:
-        """Process a suspicion: refute it if it is about this router, correct it if outdated, otherwise add
-        it.
-        """
+        """Process a suspicion: refute one of this router, correct an outdated one, and add any other."""
         if update.name == self.name:
             if update.start == self.me.start:
                 self._on_own_suspicion(update, sender, now)
--- a/saltport/peers/envelope.py
+++ b/saltport/peers/envelope.py
@@ -60,9 +60,7 @@
 
     def __init__(self, keys: Sequence[bytes]) -> None:
         self._senders: OrderedDict[tuple[str, int], tuple[int, int]] = OrderedDict()
-        """By sender name and start: the highest counter, and a bit mask of the counters up to it that were
-        received.
-        """
+        """By sender name and start: the highest counter, and a bit mask of those received up to it."""
         self.dropped: Counter[str] = Counter()
         self.use_keys(keys)
 
--- a/saltport/peers/gossip_queue.py
+++ b/saltport/peers/gossip_queue.py
@@ -1,5 +1,6 @@
-"""The queue of updates to disseminate, least transmitted first; each is sent O(log N) times (SWIM, section
-4.1). No I/O.
+"""The queue of updates to disseminate: least transmitted first, each O(log N) times (SWIM, section 4.1).
+
+No I/O.
 """
 
 from __future__ import annotations
--- a/saltport/peers/link.py
+++ b/saltport/peers/link.py
@@ -1,6 +1,4 @@
-"""The UDP socket between routers: sends and receives datagrams, maps peer numbers to addresses, and drives
-the agent.
-"""
+"""The UDP socket between routers, which maps peer numbers to addresses and drives the agent."""
 
 from __future__ import annotations
 
@@ -73,9 +71,7 @@
         self._loop, self._plan, self._lag, self._on_event = loop, plan, lag, on_event
         self._envelope = Envelope(plan.keys)
         self.on_payload: Callable[[str, bytes], None] | None = None
-        """Handles payloads of live members that have no registered prefix; called with the sender's name
-        and the data.
-        """
+        """Handles payloads without a registered prefix; called with the sender's name and the data."""
         self.prefix_handlers: dict[int, Callable[[str, bytes], None]] = {}
         """Handlers of payloads by their first byte, called without this byte."""
         self._numbers = {address: number for number, address in enumerate(plan.peers)}
@@ -191,11 +187,7 @@
             self._on_event(event)
 
     async def close(self, replaced: bool) -> None:
-        """Stop and close the socket.
-
-        Unless another process replaces this one under the same name (`replaced`), announce the departure
-        first.
-        """
+        """Stop and close the socket; unless `replaced` by another process, announce the departure first."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
--- a/saltport/peers/local_health.py
+++ b/saltport/peers/local_health.py
@@ -1,4 +1,4 @@
-"""Local health (Lifeguard, section 3.1): this router's health score, event-loop lag and pauses.
+"""Local health (Lifeguard, section 3.1): health score, event-loop lag and pauses.
 
 No I/O; times are nanoseconds.
 """
@@ -40,9 +40,7 @@
         self.score = max(self.score - 1, 0)
 
     def record_failure(self) -> None:
-        """Worsen the score after a sign of local trouble: no helper replied, or this router had to refute a
-        suspicion.
-        """
+        """Worsen the score after a sign of local trouble: no helper replied, or a refutation was needed."""
         self.score = min(self.score + 1, MAX_SCORE)
 
     def scale_timeout(self, timeout_ns: int) -> int:
--- a/saltport/peers/members.py
+++ b/saltport/peers/members.py
@@ -53,8 +53,9 @@
         return (self.start, _FINAL if self.state is State.LEFT else self.incarnation, self.state)
 
     def update(self, declared_by: str) -> Alive | Dead | Left:
-        """Return this record as an update to disseminate; a suspected member counts as alive, as its
-        accusers send the suspicion.
+        """Return this record as an update to disseminate.
+
+        A suspected member is sent as alive, as its accusers send the suspicion.
         """
         if self.state is State.LEFT:
             return Left(self.name, self.start)
@@ -95,8 +96,8 @@
         self._max_records = max_records
         self.part_digests = [0] * DIGEST_PARTS
         self.digest = 0
-        """The XOR of the hashes of live members and their start numbers: equal where two routers know the
-        same members.
+        """The XOR of hashes of live members and their starts: equal where two routers know the same
+        members.
         """
         self.turned_away = 0
         """The number of new routers rejected because the table was full."""
@@ -180,8 +181,8 @@
         return True
 
     def forget(self, before_ns: int) -> list[str]:
-        """Remove records that have been dead or departed since before a time; returns all names removed
-        since the last call.
+        """Remove records dead or departed since before a time; returns all names removed since the last
+        call.
         """
         evicted, self._evicted = self._evicted, []
         expired = [r.name for r in self.records.values() if not r.live and r.since < before_ns]
--- a/saltport/peers/messages.py
+++ b/saltport/peers/messages.py
@@ -39,7 +39,7 @@
 
 
 class Suspect(Struct, frozen=True, array_like=True, tag=1):
-    """The suspicion of an accuser whose probe was not answered, with the time since the subject was last
+    """An accuser's suspicion of a router that did not answer its probe, with the time since it was last
     heard.
     """
 
@@ -88,7 +88,7 @@
 
 
 class Ping(Struct, frozen=True, array_like=True, tag=0):
-    """A probe. With `bare` neither the probe nor its answer carries gossip, for paths that lose long
+    """A probe; with `bare` neither the probe nor its answer carries gossip, for paths that lose long
     datagrams.
     """
 
@@ -118,8 +118,8 @@
 
 
 class Sync(Struct, frozen=True, array_like=True, tag=4):
-    """The digests of the sender's live members, one per part; the receiver answers with records where its
-    own differ.
+    """A request for records, with the digests of the sender's live members, one per part; parts that differ
+    are sent.
     """
 
     digests: tuple[int, ...]
--- a/saltport/peers/probes.py
+++ b/saltport/peers/probes.py
@@ -58,9 +58,7 @@
         self._me, self._members, self._send_queue = me, members, send_queue
         self._reach, self._local_health, self._settings, self._rng = reach, local_health, settings, rng
         self._on_failure = on_failure
-        """Called with the record of a live router that did not answer, the start of the probe, and the
-        time.
-        """
+        """Called with the record of a live router that did not answer, the probe's start, and the time."""
         self._active: dict[str, _Probe] = {}
         self._relays: dict[int, _RelayedProbe] = {}
 
@@ -142,9 +140,7 @@
             self._send_queue.send_to(name, Ping(own_seq), now)
 
     def on_helper_reply(self, name: str, seq: int) -> None:
-        """Note that a helper sent a result for a probe, positive or negative, so this router can be
-        reached.
-        """
+        """Note that a helper sent a result for a probe, so this router itself can be reached."""
         probe = self._active.get(name)
         if probe is not None and probe.seq == seq:
             probe.helper_replied = True
--- a/saltport/peers/send_queue.py
+++ b/saltport/peers/send_queue.py
@@ -119,7 +119,7 @@
         self.waiting.append((place, packet))
 
     def _has_budget(self, size_bytes: int, now: int) -> bool:
-        """Refill the token bucket; returns whether it holds that many bytes."""
+        """Refill the token bucket of the byte budget; returns whether it holds that many bytes."""
         bytes_per_s = self._settings.bytes_per_s
         self._tokens = min(
             self._tokens + (now - self._tokens_at) * bytes_per_s / NS_PER_S, float(bytes_per_s)
--- a/saltport/peers/settings.py
+++ b/saltport/peers/settings.py
@@ -11,7 +11,7 @@
 MAX_MEMBERS = 16_384
 """The most records in the member table, including dead members: ten times the largest expected fleet.
 
-It bounds memory (about 400 bytes per record) against a peer that invents names.
+It bounds memory (about 400 bytes per record) against a peer that invents names; see docs/design/bounds.md.
 """
 
 
--- a/saltport/peers/suspicion.py
+++ b/saltport/peers/suspicion.py
@@ -37,9 +37,7 @@
         return (self.start, self.incarnation) == (record.start, record.incarnation)
 
     def to_update(self, name: str, accuser: str, now: int) -> Suspect:
-        """Return the suspicion as an update of one accuser, with the latest time that anyone heard the
-        subject.
-        """
+        """Return the suspicion as an update of one accuser, with the latest time heard by anyone."""
         return Suspect(name, self.start, self.incarnation, accuser, ceil_ms(now - self.last_heard_at))
 
     def add_accuser(self, accuser: str, heard_at: int) -> bool:
@@ -66,9 +64,7 @@
     def death_due_at(
         self, settings: PeerSettings, members: int, accusers: int, mass_suspicion: bool = False
     ) -> int:
-        """Return when the subject is to be declared dead with that many accusers; `mass_suspicion` extends
-        the silence.
-        """
+        """Return when that many accusers make the subject dead; `mass_suspicion` extends the silence."""
         if not settings.refutation:
             return self.started_at + settings.silence(members, settings.confirmations + 1)
         silence = settings.silence(members, accusers)
--- a/saltport/peers/suspicions.py
+++ b/saltport/peers/suspicions.py
@@ -141,7 +141,7 @@
             suspicion.add_witness(witness, heard_at)
 
     def _notify_accuser(self, suspicion: Suspicion, name: str, accuser: str, now: int) -> None:
-        """Tell an accuser when its subject was last heard directly.
+        """Inform an accuser when its subject was last heard directly.
 
         Danger: forwarding second-hand statements would let them circulate endlessly.
         """
@@ -151,14 +151,15 @@
             self._send_queue.send_to(accuser, Gossip(), now, [statement])
 
     def take_deaths(self, last_answer_at: int, now: int) -> list[Dead]:
-        """Return the deaths to declare: suspects silent for long enough that this router itself accuses.
+        """Remove outdated suspicions, and return the deaths to declare.
 
-        `last_answer_at`: when any router last answered this one; without a recent answer it declares nobody
-        dead.
+        A suspect is dead when this router itself accuses it and it has been silent for long enough.
+        `last_answer_at`: when any router last answered this one; without a recent answer it declares no
+        deaths.
         """
         settings, count = self._settings, len(self._members)
-        confirmed = sum(len(entry.accusers) > 1 for entry in self.by_name.values())
-        if confirmed >= MIN_MASS_SUSPICION and confirmed >= settings.mass_suspicion_share * count:
+        corroborated = sum(len(entry.accusers) > 1 for entry in self.by_name.values())
+        if corroborated >= MIN_MASS_SUSPICION and corroborated >= settings.mass_suspicion_share * count:
             self._mass_suspicion_until = now + settings.min_silence_ns
         # Danger: as paused routers resume, the last ones still suspected would be too few for a mass
         # suspicion and be declared dead.
--- a/saltport/peers/views.py
+++ b/saltport/peers/views.py
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """The set of live routers under one number; changes at about the same time share a view."""
+    """The set of live routers under one number, which rises with each change or batch of changes."""
 
     number: int
     digest: int
--- a/tests/peers/test_model.py
+++ b/tests/peers/test_model.py
@@ -70,11 +70,11 @@
         self.cut |= {(a, b) for a in range(COUNT) for b in range(COUNT) if (a in group) != (b in group)}
 
     @rule(loss=st.floats(0, 0.5))
-    def set_loss(self, loss: float) -> None:
+    def lose_packets(self, loss: float) -> None:
         self.world.loss = loss
 
     @rule()
-    def heal(self) -> None:
+    def open_all_links(self) -> None:
         self.cut.clear()
         self.world.loss = 0
 
