--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -53,7 +53,7 @@
             self._current_epoch, warm_up_ns, self._admit,
         )  # fmt: skip
         owners.wanted.append(LEASE_NAME)
-        peers.marked[MESSAGE_PREFIX] = self._on_datagram
+        peers.prefix_handlers[MESSAGE_PREFIX] = self._on_datagram
         self._last_zone_plan: ZonePlan | None = None
         self._last_logged: tuple[object, ...] = ()
         self._timer: asyncio.TimerHandle | None = None
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -455,7 +455,7 @@
     event_log = EventLog()
 
     def on_event(event: MembershipEvent) -> None:
-        for is_grave, line in event_log.take(event):
+        for is_grave, line in event_log.add(event):
             log.log(logging.WARNING if is_grave else logging.INFO, "peers: %s", line)
 
     assert config.peers is not None
--- a/tests/failover/test_rules.py
+++ b/tests/failover/test_rules.py
@@ -19,7 +19,7 @@
 from saltport.failover.room import ZoneCapacity
 from saltport.failover.settings import FailoverSettings
 from saltport.failover.waterfall import UNLIMITED, distribute
-from saltport.peers.link import MOST_CARRIED
+from saltport.peers.link import MAX_PAYLOAD_BYTES
 
 SETTINGS = FailoverSettings()
 S = 1_000 * NS_PER_MS
@@ -249,7 +249,7 @@
     rows = (ZoneReport(60, 60, 900, 900, 900, 900, 900),) * 6
     report = Report(max_u32, 5, max_u32, 0xFFFF, 2_000, 60_000, 60_000, rows, ((9_999, 9_999),) * 6)
     for message in (PlanReply(max_u32, largest), report):
-        assert len(encode(message)) < MOST_CARRIED
+        assert len(encode(message)) < MAX_PAYLOAD_BYTES
 
 
 def test_a_topology_is_checked() -> None:
