--- a/benchmarks/scale/dissemination_world.py
+++ b/benchmarks/scale/dissemination_world.py
@@ -23,7 +23,7 @@
 from saltport.dissemination.router import Router
 from saltport.dissemination.settings import NS_PER_MS, NS_PER_S, DisseminationSettings
 from saltport.dissemination.states import Configuration, Purges, TopicState
-from saltport.dissemination.topic_store import States
+from saltport.dissemination.topic_store import StateFactory
 from saltport.dissemination.voter import Voter
 
 DETECTION = 3 * NS_PER_S
@@ -131,7 +131,7 @@
         self.watch_leader()
         self.sample_verdicts()
 
-    def start(self, node: int, states: States | None = None) -> Router:
+    def start(self, node: int, states: StateFactory | None = None) -> Router:
         """A router's process comes up, knowing nothing; `states`: of another release."""
         rng = random.Random(self.rng.getrandbits(32))
         router = Router(node, self.placement, self.settings, states or self.states, rng, self.now, self.now)
--- a/saltport/dissemination/__init__.py
+++ b/saltport/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Dissemination in levels: a numbered log by topic, from the voters through relays to each router. No I/O."""
+"""Dissemination of numbered per-topic logs, from the voters through relays to all routers. No I/O."""
--- a/saltport/dissemination/acknowledgements.py
+++ b/saltport/dissemination/acknowledgements.py
@@ -1,8 +1,8 @@
-"""Sums of acknowledgements on their way up: from routers to a site's collector, a region's, the coordinator.
+"""Sums acknowledgements on the way from routers through site and region collectors to the coordinator.
 
-A collector holds the last word of each child for some rounds, so that a lost datagram changes a count by
-nothing or by a round's delay; a child is counted once. Each site and region has one collector at a time, in
-turn. Of rejections the latest few are passed on.
+A collector uses the latest acknowledgement of each child for some rounds, so that a lost datagram at most
+delays a count by a round; each child is counted once. The collector of each site and region rotates. Only the
+latest rejections are passed on.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 
 MAX_REJECTIONS = 4  # in one acknowledgement
 MAX_CHILDREN = 2_048  # at a collector
-CHILD_EXPIRY_ROUNDS = 4  # for which a child's last word counts, while nothing newer came
-MAX_REASON_CHARS = 60  # characters
+CHILD_EXPIRY_ROUNDS = 4  # rounds after which a child without a newer acknowledgement is no longer counted
+MAX_REASON_CHARS = 60
 
 RejectionKey = tuple[int, int, int, str]
+"""Topic, entry number, index of the record in the entry, and reason."""
 
 
 def merge_progress(progress: Iterable[TopicProgress]) -> tuple[TopicProgress, ...]:
-    """The lowest of each topic."""
+    """The lowest progress of each topic, ordered by topic."""
     lowest: dict[int, TopicProgress] = {}
     for row in progress:
         current = lowest.get(row.topic)
@@ -32,7 +33,7 @@
 
 
 def merge_rejections(rejections: Iterable[Rejection]) -> tuple[Rejection, ...]:
-    """Counts of the same rejection added up; the latest ones, if there are too many."""
+    """Sum the counts of equal rejections; return those of the latest entries, at most `MAX_REJECTIONS`."""
     counts: dict[RejectionKey, int] = {}
     for rejection in rejections:
         key = (rejection.topic, rejection.number, rejection.index, rejection.reason[:MAX_REASON_CHARS])
@@ -41,8 +42,8 @@
     return tuple(Rejection(*key, counts[key]) for key in latest)
 
 
-def fitted(message: Acknowledgement) -> Acknowledgement:
-    """Fewer rejections, if it is too long for a datagram."""
+def fit_to_datagram(message: Acknowledgement) -> Acknowledgement:
+    """Return the acknowledgement without as many rejections as needed to fit a datagram."""
     while message.rejections and len(encode(message)) > MAX_MESSAGE_BYTES:
         message = Acknowledgement(
             message.round, message.level, message.router_count, message.progress,
@@ -53,17 +54,17 @@
 
 @dataclass(slots=True)
 class _LevelState:
-    """What a collector holds for one level."""
+    """A collector's state for one level."""
 
     latest: dict[str, Acknowledgement] = field(default_factory=dict)
-    """By child: its last word."""
+    """Latest acknowledgement by child."""
     due: int | None = None
-    """When the sum of the round under way goes up."""
+    """Time to send the sum of the current round, or None if it was sent."""
     round: int = 0
 
 
 class Collector:
-    """What a router collects for others: the last word of each child, for so many rounds."""
+    """Latest acknowledgements of child nodes, summed for the next level."""
 
     def __init__(self, site_delay: int, region_delay: int) -> None:
         self._collect_delays = {Level.SITE: site_delay, Level.REGION: region_delay, Level.VOTERS: 0}
@@ -71,11 +72,11 @@
 
     @property
     def due(self) -> int | None:
-        """When the next sum goes up."""
+        """Time to send the next sum, or None."""
         return min((state.due for state in self._levels.values() if state.due is not None), default=None)
 
     def add(self, child: str, acknowledgement: Acknowledgement, now: int) -> None:
-        """Take the part of a router, a site or a region; an older one than is here is left."""
+        """Store the acknowledgement of a router, site or region; ignore it if a newer one is stored."""
         state = self._levels.setdefault(acknowledgement.level, _LevelState())
         previous = state.latest.get(child)
         if previous is not None and previous.round > acknowledgement.round:
@@ -89,14 +90,14 @@
                 state.due = now + self._collect_delays[acknowledgement.level]
 
     def take_due(self, now: int) -> list[Acknowledgement]:
-        """Sums whose time has come, for the next level up."""
+        """Return the sums that are due, addressed to the next level."""
         due = [level for level, state in self._levels.items() if state.due is not None and state.due <= now]
         for level in due:
             self._levels[level].due = None
         return [self.sum(level) for level in due]
 
     def sum(self, level: Level) -> Acknowledgement:
-        """Of the children heard within the last rounds, as the next level takes it."""
+        """Sum of the children that acknowledged in the last rounds, addressed to the next level."""
         state = self._levels.setdefault(level, _LevelState())
         for child in [
             c
@@ -105,7 +106,7 @@
         ]:
             del state.latest[child]
         parts = state.latest.values()
-        return fitted(
+        return fit_to_datagram(
             Acknowledgement(
                 state.round,
                 Level(min(level + 1, Level.VOTERS)),
--- a/saltport/dissemination/acknowledger.py
+++ b/saltport/dissemination/acknowledger.py
@@ -1,4 +1,4 @@
-"""A router's part in acknowledgements: its own word each round, and what it collects for others. No I/O."""
+"""A router's acknowledgements: its own in each round, and those it collects for others. No I/O."""
 
 from __future__ import annotations
 
@@ -6,22 +6,25 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 
-from saltport.dissemination.acknowledgements import Collector, fitted
+from saltport.dissemination.acknowledgements import Collector, fit_to_datagram
 from saltport.dissemination.log import TopicLog
 from saltport.dissemination.messages import Acknowledgement, Level, Rejection, TopicProgress
 from saltport.dissemination.placement import Placement
 from saltport.dissemination.settings import NS_PER_MS, DisseminationSettings
-from saltport.dissemination.topic_store import Applied
+from saltport.dissemination.topic_store import AppliedRecord
 
 ROUNDS_PER_COLLECTOR = 16  # rounds after which another router collects
-REJECTION_REPEAT_ROUNDS = 6  # in which a rejection is told: datagrams get lost
-MAX_REJECTIONS = 16  # waiting to be told
-ROUND_BITS = 24  # for rounds of one epoch: later epochs have greater rounds
-OWN_REPORT_SPREAD_NS = 200 * NS_PER_MS  # over which the routers of a site send their words
+REJECTION_REPEAT_ROUNDS = 6  # rounds that report a rejection, because datagrams get lost
+MAX_REJECTIONS = 16  # waiting to be reported
+ROUND_BITS = 24  # bits for the round within an epoch; the epoch above them makes later rounds greater
+OWN_REPORT_SPREAD_NS = 200 * NS_PER_MS  # the routers of a site spread their acknowledgements over this time
 
 
 class Acknowledger:
-    """Rounds are counted by the coordinator's clock, so that all routers have the same ones."""
+    """Schedules and sends a router's acknowledgements.
+
+    Rounds are derived from the coordinator's clock, so that all routers agree on them.
+    """
 
     def __init__(self, node: int, settings: DisseminationSettings, rng: random.Random) -> None:
         self._node, self._settings, self._rng = node, settings, rng
@@ -32,30 +35,33 @@
 
     @property
     def due(self) -> int | None:
-        """When `turn` has something to send."""
+        """Time of the next call of `tick`, or None if nothing is to be sent."""
         collected = self._collector.due
         if self._own_due is None or collected is None:
             return collected if self._own_due is None else self._own_due
         return min(collected, self._own_due)
 
-    def on_push(self, epoch: int, sent: int, now: int) -> None:
-        """The first push of a round starts it; `sent`: milliseconds of this epoch's coordinator."""
-        round_number = (epoch << ROUND_BITS) + sent * NS_PER_MS // self._settings.acknowledge_interval
+    def on_push(self, epoch: int, sent_ms: int, now: int) -> None:
+        """Start a round at its first push; `sent_ms` is the push's send time by the coordinator's clock."""
+        round_number = (epoch << ROUND_BITS) + sent_ms * NS_PER_MS // self._settings.acknowledge_interval
         if round_number <= self._round:
             return
         self._round = round_number
         if self._own_due is None:
             self._own_due = now + self._rng.randrange(OWN_REPORT_SPREAD_NS)
 
-    def on_applied(self, records: Iterable[Applied]) -> None:
-        """Refused ones are told for some rounds."""
+    def on_applied(self, records: Iterable[AppliedRecord]) -> None:
+        """Queue the refused records, to be reported for `REJECTION_REPEAT_ROUNDS` rounds."""
         for record in records:
             if record.reason:
                 rejection = Rejection(record.topic, record.number, record.index, record.reason)
                 self._rejections.append((REJECTION_REPEAT_ROUNDS, rejection))
 
     def collect(self, source: int, acknowledgement: Acknowledgement, placement: Placement, now: int) -> None:
-        """By router or by site: a site's collectors take turns, and its last word counts."""
+        """Store an acknowledgement by its router or, above the site level, by its site.
+
+        The collector of a site rotates: keyed by site, the latest sum replaces that of another collector.
+        """
         site = placement.site(source)
         if site is not None:
             child = str(source) if acknowledgement.level is Level.SITE else site.name
@@ -64,7 +70,7 @@
     def tick(
         self, logs: Mapping[int, TopicLog], placement: Placement, coordinator: int, now: int
     ) -> list[tuple[int, Acknowledgement]]:
-        """What to send, and to whom."""
+        """Return the acknowledgements that are due, each with its target."""
         ready = self._collector.take_due(now)
         if self._own_due is not None and self._own_due <= now:
             self._own_due = None
@@ -84,7 +90,7 @@
         rejections = tuple(rejection for _, rejection in self._rejections)
         left = ((rounds - 1, rejection) for rounds, rejection in self._rejections if rounds > 1)
         self._rejections = deque(left, maxlen=MAX_REJECTIONS)
-        return fitted(Acknowledgement(self._round, Level.SITE, 1, progress, rejections))
+        return fit_to_datagram(Acknowledgement(self._round, Level.SITE, 1, progress, rejections))
 
     def _target(self, acknowledgement: Acknowledgement, placement: Placement, coordinator: int) -> int:
         site = placement.site(self._node)
--- a/saltport/dissemination/config.py
+++ b/saltport/dissemination/config.py
@@ -1,4 +1,4 @@
-"""The `[dissemination]` table of a configuration file: its settings, or one plain line of error. No I/O."""
+"""Reads the `[dissemination]` table of a configuration file. No I/O."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 
 
 class DisseminationConfigError(ValueError):
-    """The table can't be used; the text is one plain line."""
+    """The table is invalid; the text is one line that names the fault."""
 
 
 class DisseminationTable(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file may say; times in milliseconds, rates in bytes a second."""
+    """Keys of the table; times are in milliseconds, and byte rates in bytes per second."""
 
     on: bool = False
     batch_ms: Milliseconds = DEFAULT.batch_interval // NS_PER_MS
@@ -38,7 +38,7 @@
     messages_per_s: Count = DEFAULT.messages_per_s
 
     def settings(self) -> DisseminationSettings:
-        """For the routers and voters of a fleet."""
+        """Convert the table to the settings of routers and voters."""
         return DisseminationSettings(
             batch_interval=self.batch_ms * NS_PER_MS,
             silence_timeout=self.batch_ms * NS_PER_MS * 7 // 5,
@@ -59,7 +59,7 @@
 
 
 def read_table(text: str) -> DisseminationTable:
-    """Read a file's text; other tables in it are left; raises DisseminationConfigError."""
+    """Parse a configuration file's text, ignoring other tables; raise DisseminationConfigError."""
     try:
         table = msgspec.convert(tomllib.loads(text), _File).dissemination
     except tomllib.TOMLDecodeError as error:
--- a/saltport/dissemination/log.py
+++ b/saltport/dissemination/log.py
@@ -1,4 +1,4 @@
-"""One topic's log at a router or voter: entries in the order of their numbers, each taken once. No I/O."""
+"""One topic's log at a router or voter: entries ordered by number, each accepted once. No I/O."""
 
 from __future__ import annotations
 
@@ -9,35 +9,36 @@
 
 
 class OfferResult(Enum):
-    """What became of an entry that came."""
+    """Result of offering an entry to a log."""
 
     APPENDED = auto()
     PENDING = auto()
-    """It is held until the gap before it is filled."""
+    """Stored until the gap before it is filled."""
     DUPLICATE = auto()
     DROPPED = auto()
-    """Too far beyond the gap: dropped, to be fetched later."""
+    """Not stored: too far beyond the gap, so to be fetched later, or of one topic too many."""
     DIVERGED = auto()
-    """Its predecessor isn't the one that is here: only a snapshot mends that."""
+    """Its predecessor differs from the entry in this log, which only a snapshot can repair."""
 
 
 class TopicLog:
-    """Applied entries up to `last`, the latest of them retained, and pending ones beyond a gap."""
+    """Entries in order up to `last`, of which the latest are retained, and pending ones beyond a gap."""
 
     def __init__(self, retained: int, pending: int) -> None:
         self.last = 0
         """Number of the last entry in order."""
         self.last_epoch = 0
         self.head = 0
-        """The highest number that is known to exist."""
+        """Highest entry number known to exist."""
         self.diverged = False
+        """Whether an offered entry contradicted this log; cleared by `reset`."""
         self._retained: dict[int, Entry] = {}
         self._pending: dict[int, Entry] = {}
         self._max_retained, self._max_pending = retained, pending
         self._ready: list[Entry] = []
 
     def offer(self, entry: Entry) -> OfferResult:
-        """Take an entry; those that are in order now wait for `take`."""
+        """Accept an entry; entries that are now in order are returned by `take_ready`."""
         if entry.number > self.head:
             self.head = entry.number
         if entry.number <= self.last or entry.number in self._pending:
@@ -65,20 +66,20 @@
         return True
 
     def take_ready(self) -> list[Entry]:
-        """Entries to be applied, in order, each given out once."""
+        """Return the entries to apply, in order, and clear them."""
         ready, self._ready = self._ready, []
         return ready
 
     def get(self, number: int) -> Entry | None:
-        """An entry that is here, in order or pending."""
+        """Return a retained or pending entry, or None."""
         return self._retained.get(number) or self._pending.get(number)
 
     def truncated(self, number: int) -> bool:
-        """Whether this entry was here in order and is retained no more."""
+        """Whether an entry in order is no longer retained."""
         return number <= self.last and number not in self._retained
 
     def missing(self, limit: int) -> tuple[int, ...]:
-        """The first numbers that are known to exist and aren't here."""
+        """The first numbers, at most `limit`, of entries that exist but are not in this log."""
         found: list[int] = []
         number, end = self.last + 1, min(self.head, self.last + self._max_pending)
         while number <= end and len(found) < limit:
@@ -88,13 +89,13 @@
         return tuple(found)
 
     def learn_head(self, number: int) -> bool:
-        """An entry of this number exists; returns whether something is missing."""
+        """Note that an entry of this number exists; return whether entries are missing."""
         if number > self.head:
             self.head = number
         return self.head > self.last
 
     def reset(self, number: int, epoch: int) -> None:
-        """Start from a snapshot taken after this entry; pending entries that follow it are kept."""
+        """Restart after the last entry of a snapshot; later pending entries stay."""
         remaining = [entry for entry in self._pending.values() if entry.number > number]
         self.last, self.last_epoch, self.diverged = number, epoch, False
         self.head = max(self.head, number)
--- a/saltport/dissemination/messages.py
+++ b/saltport/dissemination/messages.py
@@ -1,8 +1,8 @@
-"""What voters, relays and routers send one another; each fits one datagram.
+"""Messages between voters, relays and routers; each fits one datagram.
 
-Fields are added at the end and with a default only: an older decoder skips them, a newer one fills them in.
-A message with an unknown tag is refused by `decode`. A topic or a record that a router doesn't know is
-relayed and logged all the same, and only its application is refused.
+New fields are added at the end and with a default: an older decoder skips them, a newer one fills them in.
+`decode` rejects a message with an unknown tag. A router relays and logs entries of topics and records that it
+does not know, and only refuses to apply them.
 """
 
 from __future__ import annotations
@@ -13,14 +13,18 @@
 from msgspec import Struct
 
 VERSION = 1
-"""Of the records that this release can apply; told upward with acknowledgements."""
+"""Version of the records that this release can apply; reported in acknowledgements."""
 TAGS = range(100, 110)
+"""Message tags of this protocol."""
 MAX_HEADS = 4
-"""Topics told of in one push, in turn if there are more; with fewer, all that have entries are there."""
+"""Heads in one push; the coordinator rotates over them if there are more topics.
+
+A push with fewer heads names every topic that has entries.
+"""
 
 
 class Topic(IntEnum):
-    """The logs that this release knows; each has its own numbers."""
+    """Topics known to this release; each has its own log, with its own entry numbers."""
 
     PURGES = 1
     CONFIGURATION = 2
@@ -29,7 +33,7 @@
 
 
 class Level(IntEnum):
-    """Who is asked for a missing entry, and who forwards a pushed one."""
+    """Level of the hierarchy: of the nodes asked for a missing entry, or of a push or acknowledgement."""
 
     SITE = 0
     REGION = 1
@@ -37,11 +41,11 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One committed batch of a topic's log. `(epoch, number)` names it; numbers have no gaps."""
+    """A batch of records in a topic's log, identified by `(epoch, number)`; numbers have no gaps."""
 
     topic: int
     epoch: int
-    """Of the coordinator that proposed it."""
+    """Epoch of the coordinator that proposed the entry."""
     number: int
     previous_epoch: int
     """Epoch of entry `number - 1` (the log matching property of Raft, section 5.3)."""
@@ -56,46 +60,46 @@
 
 
 class Push(Struct, frozen=True, array_like=True, tag=100):
-    """From the coordinator downward: an entry, or none in a heartbeat."""
+    """An entry on its way from the coordinator to the routers, or a heartbeat without an entry."""
 
     epoch: int
-    """Of the coordinator: the fence."""
+    """Epoch of the coordinator; routers refuse pushes of older epochs."""
     coordinator: int
     """The coordinator's node number."""
     sent_ms: int
-    """Milliseconds from when this coordinator began until it sent this, for freshness."""
+    """Send time in milliseconds since the coordinator's term began; used to compute freshness."""
     level: Level
-    """`VOTERS`: to a region's relay; `REGION`: to a site's relay; `SITE`: to the other routers."""
+    """`VOTERS`: sent to relays of a region; `REGION`: to relays of a site; `SITE`: to other routers."""
     heads: tuple[Head, ...]
     entry: Entry | None = None
     poll_number: int = 0
-    """The number of the poll that the coordinator itself answers with this."""
+    """Number of the poll that the coordinator answers with this push; 0 if it answers none."""
 
 
 class Fetch(Struct, frozen=True, array_like=True, tag=101):
-    """Asks for missing entries; who lacks them too asks one level further up."""
+    """Request for missing entries; a receiver that lacks them too asks one level higher."""
 
     topic: int
     level: Level
     numbers: tuple[int, ...]
-    """Empty: the latest snapshot, by its first part."""
+    """Entry numbers; empty to request the first part of the latest snapshot."""
 
 
 class Poll(Struct, frozen=True, array_like=True, tag=108):
-    """Asks for the latest heartbeat; answered by a push without entry."""
+    """Request for the latest heartbeat; answered by a push without entry."""
 
     number: int = 0
-    """Asks the coordinator itself: its answer dates its clock."""
+    """Number that the coordinator repeats in its answer, to synchronise with its clock; 0 for other nodes."""
 
 
 class Repair(Struct, frozen=True, array_like=True, tag=102):
-    """Answers a fetch with one entry."""
+    """One entry in answer to a fetch."""
 
     entry: Entry
 
 
 class FetchSnapshotParts(Struct, frozen=True, array_like=True, tag=103):
-    """Asks for parts of a snapshot."""
+    """Request for parts of the snapshot taken after entry `number`."""
 
     topic: int
     number: int
@@ -103,11 +107,11 @@
 
 
 class SnapshotPart(Struct, frozen=True, array_like=True, tag=104):
-    """One part of a topic's state after entry `number`."""
+    """One part of a snapshot of a topic's state after entry `number`."""
 
     topic: int
     epoch: int
-    """Of entry `number`."""
+    """Epoch of entry `number`."""
     number: int
     part: int
     parts: int
@@ -115,16 +119,16 @@
 
 
 class TopicProgress(Struct, frozen=True, array_like=True):
-    """How far the counted routers are with a topic."""
+    """Progress of the counted routers in a topic: the lowest number among their last applied entries."""
 
     topic: int
     lowest_number: int
     router: int
-    """One of those that are at `lowest`."""
+    """A router whose last applied entry is `lowest_number`."""
 
 
 class Rejection(Struct, frozen=True, array_like=True):
-    """So many routers refused to apply a record; what was in force before stays in force."""
+    """A record that `count` routers refused to apply; they keep the previous value."""
 
     topic: int
     number: int
@@ -134,20 +138,20 @@
 
 
 class Acknowledgement(Struct, frozen=True, array_like=True, tag=105):
-    """Sums of a round, upward: from a router, a site or a region."""
+    """Sum of the acknowledgements of a round, sent upward by a router, a site or a region."""
 
     round: int
     level: Level
-    """Who collects it."""
+    """Level of the collector that receives it."""
     router_count: int
     progress: tuple[TopicProgress, ...]
     rejections: tuple[Rejection, ...] = ()
     version: int = VERSION
-    """The lowest one of those counted."""
+    """Lowest version among the counted routers."""
 
 
 class Submission(Struct, frozen=True, array_like=True):
-    """A change that a router wants; its process numbers them from one."""
+    """A change requested by a router; each router process numbers its submissions from 1."""
 
     sequence: int
     topic: int
@@ -155,32 +159,32 @@
 
 
 class Submit(Struct, frozen=True, array_like=True, tag=106):
-    """Undecided submissions of a router in their order, from the first one on."""
+    """A router's undecided submissions in order, starting with the oldest."""
 
     process_start: int
-    """Of the router's process: each process has another one."""
+    """Identifies the router's process: each process has a different value."""
     submissions: tuple[Submission, ...]
 
 
 class Refusal(Struct, frozen=True, array_like=True):
-    """This submission won't be committed, or is refused by routers."""
+    """A submission that is refused by the coordinator, or whose record is refused by routers."""
 
     sequence: int
     reason: str
 
 
 class Decision(Struct, frozen=True, array_like=True, tag=107):
-    """What became of submissions, each named; the others are undecided."""
+    """Outcomes of the listed submissions; submissions not listed are undecided."""
 
     process_start: int
     committed: tuple[int, ...]
     refusals: tuple[Refusal, ...] = ()
     rejections: tuple[Refusal, ...] = ()
-    """Committed, and then refused by routers that should apply them."""
+    """Submissions that were committed, and whose records routers then refused to apply."""
 
 
 class Origin(Struct, frozen=True, array_like=True):
-    """Which submission a record came from; kept by the voters alone."""
+    """The submission that a record came from; stored by the voters only."""
 
     router: int
     process_start: int
@@ -188,7 +192,7 @@
 
 
 class Proposal(Struct, frozen=True, array_like=True):
-    """What the voters commit: an entry and its origins. Not a datagram: an entry of their own log."""
+    """An entry with the origins of its records, as committed to the voters' own log; not sent to routers."""
 
     entry: Entry
     origins: tuple[Origin, ...]
@@ -202,10 +206,10 @@
 
 
 def encode(message: Message | Proposal | Entry | Submission | Rejection) -> bytes:
-    """The bytes on the wire."""
+    """Encode a message or record as MessagePack."""
     return _encoder.encode(message)
 
 
 def decode(data: bytes) -> Message:
-    """Read a message; raises ValueError for anything else."""
+    """Decode a message; raise ValueError for bytes that are not a message of this protocol."""
     return _decoder.decode(data)
--- a/saltport/dissemination/placement.py
+++ b/saltport/dissemination/placement.py
@@ -1,8 +1,8 @@
-"""Who relays what: a turn by hash order over live members, computed alike by all who hold the same view.
+"""Chooses relays by rotating a hash order of live members; nodes with the same view choose the same relays.
 
-Each entry has its own relays in each site and region, in turn, so that relaying is shared evenly by all
-routers, and a dead or slow relay delays its own entries only. Two who hold different views choose different
-relays: that costs bytes, and never order, because entries are taken by their numbers.
+The relays of each site and region rotate with the entry number, so that all routers share the work of
+relaying, and a dead or slow relay delays only its own entries. Nodes with different views choose different
+relays: that costs bytes but never order, because entries are applied by number.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
     members: tuple[int, ...]
 
 
-def _score(place: str, node: int) -> bytes:
+def _hash_rank(place: str, node: int) -> bytes:
     return blake2b(f"{place}/{node}".encode(), digest_size=8).digest()
 
 
 class Placement:
-    """Relays by turn, from one view of the live routers."""
+    """Relays by rotation, for one view of the live routers."""
 
     def __init__(
         self, sites: Iterable[Site], voters: tuple[int, ...], settings: DisseminationSettings
@@ -52,7 +52,7 @@
 
     @staticmethod
     def _hash_order(place: str, nodes: Iterable[int]) -> tuple[int, ...]:
-        return tuple(sorted(nodes, key=lambda node: _score(place, node)))
+        return tuple(sorted(nodes, key=lambda node: _hash_rank(place, node)))
 
     @property
     def regions(self) -> Mapping[str, list[Site]]:
@@ -61,27 +61,27 @@
 
     @staticmethod
     def rotation(topic: int, number: int) -> int:
-        """Which relays an entry has; topic 0: a heartbeat, or a time of collecting acknowledgements."""
+        """Return the rotation that selects an entry's relays; topic 0 is for heartbeats and collectors."""
         return number + 7 * topic
 
     def site(self, node: int) -> Site | None:
-        """Where a router is; None: this view doesn't have it."""
+        """Return the site of a router, or None if the router is not in this view."""
         return self._site_of.get(node)
 
     def site_order(self, site: Site, rotation: int) -> tuple[int, ...]:
-        """All live routers of a site, this turn's relays first."""
+        """All live routers of a site, the relays of this rotation first."""
         return self._order("site", site.name, rotation)
 
     def site_relays(self, site: Site, rotation: int) -> tuple[int, ...]:
-        """Those to which a site's copies come."""
+        """Relays of a site in this rotation."""
         return self._order("site", site.name, rotation)[: self._relay_count["site"]]
 
     def region_order(self, region: str, rotation: int) -> tuple[int, ...]:
-        """All live routers of a region, this turn's relays first."""
+        """All live routers of a region, the relays of this rotation first."""
         return self._order("region", region, rotation)
 
     def region_relays(self, region: str, rotation: int) -> tuple[int, ...]:
-        """Those to which a region's copies come."""
+        """Relays of a region in this rotation."""
         return self._order("region", region, rotation)[: self._relay_count["region"]]
 
     def _order(self, kind: str, name: str, rotation: int) -> tuple[int, ...]:
--- a/saltport/dissemination/relay.py
+++ b/saltport/dissemination/relay.py
@@ -1,7 +1,7 @@
-"""To whom a relay passes a push on. No I/O.
+"""Which nodes a relay forwards a push to. No I/O.
 
-A region's relay tells one of the relays of each site; a site's relay tells its fellow relays and its share
-of the other routers. Each entry has its own relays by its turn.
+A relay of a region forwards to one relay of each site. A relay of a site forwards to the other relays of the
+site and to its share of the remaining routers. Each entry has its own relays, chosen by its rotation.
 """
 
 from __future__ import annotations
@@ -13,32 +13,35 @@
 from saltport.dissemination.messages import Level, Push
 from saltport.dissemination.placement import Placement, Site
 
-MAX_REMEMBERED_PUSHES = 256  # pushes
-HEARTBEAT_ROTATION_MS = 101  # milliseconds after which a heartbeat has other relays
+MAX_REMEMBERED_PUSHES = 256
+HEARTBEAT_ROTATION_MS = 101  # interval after which heartbeats use other relays
 
 
 class Forward(NamedTuple):
-    """Pass a push on to these, as this level."""
+    """Nodes to forward a push to, and the level the forwarded push carries."""
 
     level: Level
     targets: tuple[int, ...]
 
 
 def push_rotation(placement: Placement, push: Push) -> int:
-    """Of its entry; of its time, if it is a heartbeat."""
+    """Rotation that selects the relays of a push: by its entry, or by its send time for a heartbeat."""
     if push.entry is None:
         return placement.rotation(0, push.sent_ms // HEARTBEAT_ROTATION_MS)
     return placement.rotation(push.entry.topic, push.entry.number)
 
 
 class ForwardHistory:
-    """As what pushes were passed on: a router may be a relay of its region and of its site."""
+    """Levels at which recent pushes were forwarded.
+
+    A router may relay the same push both for its region and for its site.
+    """
 
     def __init__(self) -> None:
         self._levels: OrderedDict[tuple[int, int, int], set[Level]] = OrderedDict()
 
     def levels(self, push: Push) -> set[Level]:
-        """Of this push; whoever passes it on adds to them."""
+        """Set of levels at which a push was forwarded; the caller adds to it when it forwards the push."""
         entry = push.entry
         key = (entry.topic, entry.number, 0) if entry is not None else (0, push.sent_ms, push.epoch)
         levels = self._levels.get(key)
@@ -52,12 +55,15 @@
 def plan_forwards(
     own_node: int, site: Site, push: Push, placement: Placement, forwarded_levels: set[Level]
 ) -> Iterator[Forward]:
-    """What a router does with a push; `done`: as what it passed the same one on already, and does now."""
+    """Yield the forwards of a push by this router, and add their levels to `forwarded_levels`.
+
+    Levels that are already in `forwarded_levels` are skipped.
+    """
     rotation = push_rotation(placement, push)
     if push.level is Level.VOTERS and Level.VOTERS not in forwarded_levels:
         forwarded_levels.add(Level.VOTERS)
         for target_site in placement.regions.get(site.region, ()):
-            chosen = _chosen(own_node, target_site, rotation, placement)
+            chosen = _assigned_relays(own_node, target_site, rotation, placement)
             yield Forward(Level.REGION, tuple(node for node in chosen if node != own_node))
     relays = push.level is Level.REGION or (
         push.level is Level.VOTERS and own_node in placement.site_relays(site, rotation)
@@ -67,18 +73,18 @@
         yield from plan_site_forwards(own_node, site, rotation, placement)
 
 
-def _chosen(own_node: int, site: Site, rotation: int, placement: Placement) -> tuple[int, ...]:
-    """One of a site's relays for each of the region's, in turn; all, if its own view doesn't choose it."""
+def _assigned_relays(own_node: int, site: Site, rotation: int, placement: Placement) -> tuple[int, ...]:
+    """The site relay that this region relay forwards to; all of them if its own view does not choose it."""
     relays, mine = placement.site_relays(site, rotation), placement.region_relays(site.region, rotation)
     return (relays[mine.index(own_node) % len(relays)],) if own_node in mine else relays
 
 
 def plan_site_forwards(own_node: int, site: Site, rotation: int, placement: Placement) -> Iterator[Forward]:
-    """What a site's relay passes on: all to its fellows, and to each other router by one of them."""
+    """Yield a site relay's forwards: to the other relays, and to its share of the remaining routers."""
     relays = placement.site_relays(site, rotation)
     others = placement.site_order(site, rotation)[len(relays) :]
     yield Forward(Level.REGION, tuple(node for node in relays if node != own_node))
     if own_node in relays:
         yield Forward(Level.SITE, others[relays.index(own_node) :: len(relays)])
-    else:  # chosen by somebody with another view: tell everybody, twice does no harm
+    else:  # chosen under another view: forward to all, because duplicates are ignored
         yield Forward(Level.SITE, others)
--- a/saltport/dissemination/repair.py
+++ b/saltport/dissemination/repair.py
@@ -1,9 +1,9 @@
-"""When and at which level a router asks for what it lacks of one topic. No I/O.
+"""When and at which level a router fetches the missing entries of one topic. No I/O.
 
-Gaps are found by number: an entry beyond the next one, a head told with any push, or somebody else's fetch.
-Fetches go to the entry's relays one after the other; after some tries without progress the next level up
-is asked, at last the voters. Who is asked and lacks the entry too asks one level further up itself, so that
-one of a site asks for all.
+Gaps are found by number: from an entry beyond the next one, a head in a push, or another node's fetch.
+Fetches go to the relays of the first missing entry, one after the other; after `tries_per_level` fetches
+without progress they go to the next level up, and at last to the voters. A node that is asked for an entry it
+lacks asks one level higher itself, so that one node of a site fetches for all.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 
 
 class PlannedFetch(NamedTuple):
-    """A fetch that is due."""
+    """A fetch to send now."""
 
     level: Level
     numbers: tuple[int, ...]
-    """Empty: a snapshot."""
+    """Entry numbers to fetch; empty to fetch a snapshot."""
     first: int
-    """The entry whose relays are asked."""
+    """Number of the entry whose relays are asked."""
     target_index: int
-    """Which of them, by their order."""
+    """Index of the relay in their order; it grows with each try."""
 
 
 class GapRepair:
-    """One topic's fetches."""
+    """Schedule of the fetches of one topic."""
 
     def __init__(self, log: TopicLog, settings: DisseminationSettings) -> None:
         self._log, self._settings = log, settings
         self.due: int | None = None
-        """When to ask; None: nothing is missing."""
+        """Time of the next fetch, or None if nothing is missing."""
         self.tries = self._site_tries = self._escalation_due = 0
         self._level = Level.SITE
         self._outstanding: set[int] = set()
@@ -44,25 +44,25 @@
 
     @property
     def needs_snapshot(self) -> bool:
-        """Whether the log can't be mended entry by entry."""
+        """Whether the log cannot be repaired by fetching single entries."""
         log = self._log
         begins_late = log.last == 0 and log.head > self._settings.fetch_entries
         return log.diverged or begins_late or log.head - log.last > self._settings.retained_entries
 
     def check_for_gap(self, now: int) -> None:
-        """Something may be missing."""
+        """Schedule a fetch after `gap_grace` if entries are missing and no fetch is scheduled."""
         if self.due is None and (self._log.head > self._log.last or self._log.diverged):
             self._restart(now + self._settings.gap_grace)
 
     def on_unanswered_fetch(self, level: Level, now: int) -> None:
-        """Somebody asked us, as one of this level, for what we lack too."""
+        """Fetch at once from one level higher than `level`, at which another node asked this one in vain."""
         self.check_for_gap(now)
         next_level = Level(min(level + 1, Level.VOTERS))
         if self.due is not None and next_level > self._level:
             self._level, self.tries, self.due, self._escalation_due = next_level, 0, now, now
 
     def on_entry(self, number: int, now: int) -> None:
-        """An entry was taken; the next fetch leaves as soon as all of the last one has come."""
+        """Record the arrival of an entry; the next fetch is due once all entries of the last one arrived."""
         if self._log.last >= self._log.head:
             self.due = None
             return
@@ -80,10 +80,10 @@
         self._first_missing = self._log.last + 1
 
     def plan_fetches(self, now: int, lowest_level: Callable[[int], Level]) -> list[PlannedFetch]:
-        """What to ask for now, and whom; the next try is put off.
+        """Return the fetches to send now, and schedule the next try.
 
-        `base` gives the level at which this router asks at least for an entry: one above what it is itself.
-        Who asks above its site asks within it as well: an answer from there comes sooner, if there is one.
+        `lowest_level` returns the lowest level that this router asks for an entry. A router that asks above
+        its site also asks within it, because an answer from there arrives sooner.
         """
         numbers = () if self.needs_snapshot else self._log.missing(self._settings.fetch_entries)
         first = numbers[0] if numbers else self._log.last
@@ -97,12 +97,14 @@
         self._site_tries += 1
         if now >= self._escalation_due:
             fetches.append(PlannedFetch(level, numbers, first, self.tries))
-            wait = self._retry(level) * BACKOFF_FACTOR ** (self.tries % self._settings.tries_per_level)
+            wait = self._retry_interval(level) * BACKOFF_FACTOR ** (
+                self.tries % self._settings.tries_per_level
+            )
             self._escalation_due = now + min(int(wait), self._settings.max_retry)
             self.tries += 1
         self.due = min(self._escalation_due, now + self._settings.region_retry)
         return fetches
 
-    def _retry(self, level: Level) -> int:
+    def _retry_interval(self, level: Level) -> int:
         settings = self._settings
         return (settings.site_retry, settings.region_retry, settings.voter_retry)[level]
--- a/saltport/dissemination/router.py
+++ b/saltport/dissemination/router.py
@@ -1,7 +1,7 @@
-"""One router's part: takes pushes, relays in turn, repairs gaps, acknowledges, submits. No I/O.
+"""The router's side: receives and relays pushes, repairs gaps, acknowledges and submits changes. No I/O.
 
-Time is an argument; call `turn` at `due`, `receive` for each datagram, and send what `take` hands out after
-both.
+Time is passed in as an argument. The host calls `tick` at `due` and `receive` for each datagram, and after
+either sends what `take_datagrams` returns.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 import random
 
 from saltport.dissemination.acknowledger import Acknowledger
-from saltport.dissemination.budget import Budget, Work
+from saltport.dissemination.budget import Budget, WorkKind
 from saltport.dissemination.freshness import Freshness, Verdict
 from saltport.dissemination.log import OfferResult
 from saltport.dissemination.messages import (
@@ -34,22 +34,25 @@
 from saltport.dissemination.silence import SilenceDetector
 from saltport.dissemination.snapshot import SnapshotTransfer
 from saltport.dissemination.submissions import Submissions
-from saltport.dissemination.topic_store import Applied, States, TopicStore
+from saltport.dissemination.topic_store import AppliedRecord, StateFactory, TopicStore
 from saltport.owners.fence import Fence
 
 TASK = "dissemination"
-"""The task whose owner is the coordinator."""
+"""Name of the owned task whose owner is the coordinator."""
 
 
 class Router:
-    """What one router knows and does; `start` differs for each process."""
+    """One router's protocol state machine.
+
+    `process_start` identifies the router's process: each process has a different value.
+    """
 
     def __init__(
         self,
         node: int,
         placement: Placement,
         settings: DisseminationSettings,
-        states: States,
+        states: StateFactory,
         rng: random.Random,
         process_start: int,
         now: int,
@@ -59,12 +62,12 @@
         self.freshness = Freshness(settings, rng)
         self.fence = Fence()
         self.submissions = Submissions(process_start, placement.voters, settings)
-        self.applied: list[Applied] = []
-        """Since the last look; the host takes them."""
+        self.applied: list[AppliedRecord] = []
+        """Records given to their states since the host last cleared the list."""
         self.loaded: list[tuple[int, int]] = []
-        """Topics and entry numbers of snapshots since the last look."""
-        self.incoming = Budget(settings.messages_per_s, settings.burst_messages, now)
-        self.unreadable = 0
+        """(topic, entry number) of each snapshot loaded since the host last cleared the list."""
+        self.incoming_budget = Budget(settings.messages_per_s, settings.burst_messages, now)
+        self.unreadable_snapshots = 0
         self._rng = rng
         self._silence_detector = SilenceDetector(settings, now)
         self._latest_push: Push | None = None
@@ -75,21 +78,21 @@
         self._coordinator = placement.voters[0]
         self._forward_history = ForwardHistory()
 
-    # Asked by the data path
+    # Called by the data path
 
     def verdict(self, topic: int, now: int) -> Verdict:
-        """Whether what depends on this topic may be served."""
+        """Whether data that depends on this topic may be served."""
         return self.freshness.verdict(topic, now)
 
     def submit(self, topic: int, body: bytes, now: int) -> int:
-        """Ask for a change; raises SubmissionError."""
+        """Queue a change for the coordinator; return its sequence number, or raise SubmissionError."""
         return self.submissions.submit(topic, body, now)
 
-    # Driven by the host
+    # Called by the host
 
     @property
     def due(self) -> int | None:
-        """When `turn` has something to do; None: nothing waits."""
+        """Time of the next call of `tick`, or None if no work is scheduled."""
         times = [repair.due for topic, repair in self._repairs.items() if topic not in self._transfers]
         times += [transfer.due for transfer in self._transfers.values()]
         times += [
@@ -101,17 +104,17 @@
         return min((time for time in times if time is not None), default=None)
 
     def take_datagrams(self) -> list[Outgoing]:
-        """Datagrams to be sent."""
+        """Return the datagrams to send, and clear the queue."""
         return self._queue.take_datagrams()
 
     @property
-    def dropped(self) -> dict[Work, int]:
-        """Datagrams that the budget of bytes dropped, by kind."""
+    def dropped(self) -> dict[WorkKind, int]:
+        """Number of outgoing datagrams dropped by the byte budget, by kind of work."""
         return dict(self._queue.budget.dropped)
 
     def receive(self, source: int, message: Message, now: int) -> None:
-        """Take a datagram."""
-        if not self.incoming.admit(_work_kind(message), 1.0, now):
+        """Process a datagram; drop it if the budget of incoming messages is exhausted."""
+        if not self.incoming_budget.admit(_work_kind(message), 1.0, now):
             return
         if isinstance(message, Push):
             self._on_push(message, now)
@@ -121,7 +124,7 @@
             self._on_fetch(source, message, now)
         elif isinstance(message, FetchSnapshotParts):
             for part in self.topic_store.parts(message):
-                self._queue.send(Work.REPAIR, (source,), part, now)
+                self._queue.enqueue(WorkKind.REPAIR, (source,), part, now)
         elif isinstance(message, SnapshotPart):
             self._on_snapshot_part(source, message, now)
         elif isinstance(message, Poll):
@@ -132,7 +135,7 @@
             self.submissions.on_decision(message)
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Do all scheduled work whose time has come."""
         for topic, repair in list(self._repairs.items()):
             if topic not in self._transfers and repair.due is not None and repair.due <= now:
                 self._fetch(topic, repair, now)
@@ -140,16 +143,16 @@
             if transfer.failed:
                 del self._transfers[topic]
             elif transfer.due <= now:
-                self._queue.send(Work.FETCH, (transfer.source,), transfer.next_fetch(now), now)
+                self._queue.enqueue(WorkKind.FETCH, (transfer.source,), transfer.next_fetch(now), now)
         if self._silence_detector.due <= now:
             self._send_poll(now)
         if self.freshness.due is not None and self.freshness.due <= now:
             poll = Poll(self.freshness.start_poll(now))
-            self._queue.send(Work.FETCH, (self._coordinator,), poll, now)
+            self._queue.enqueue(WorkKind.FETCH, (self._coordinator,), poll, now)
         self._send_acknowledgements(now)
         if self.submissions.due is not None and self.submissions.due <= now:
             for target, submit in self.submissions.tick(now):
-                self._queue.send(Work.PUSH, (target,), submit, now)
+                self._queue.enqueue(WorkKind.PUSH, (target,), submit, now)
 
     def _send_acknowledgements(self, now: int) -> None:
         due = self._acknowledger.due
@@ -158,7 +161,7 @@
         for target, message in self._acknowledger.tick(
             self.topic_store.logs, self.placement, self._coordinator, now
         ):
-            self._queue.send(Work.ACKNOWLEDGE, (target,), message, now)
+            self._queue.enqueue(WorkKind.ACKNOWLEDGE, (target,), message, now)
 
     # Pushes
 
@@ -178,14 +181,14 @@
     def _send_poll(self, now: int) -> None:
         level = self._silence_detector.next_poll(now)
         target = self._target(self._rng.getrandbits(16), level, 0)
-        self._queue.send(Work.FETCH, (target,), Poll(), now)
+        self._queue.enqueue(WorkKind.FETCH, (target,), Poll(), now)
 
     def _on_poll(self, source: int, now: int) -> None:
-        """Tell the latest push again, with its own heads: they are what it vouches for."""
+        """Answer with the latest push, with the heads it carried: its send time is proof for those only."""
         latest = self._latest_push
         if latest is not None:
             message = Push(latest.epoch, latest.coordinator, latest.sent_ms, Level.SITE, latest.heads)
-            self._queue.send(Work.REPAIR, (source,), message, now)
+            self._queue.enqueue(WorkKind.REPAIR, (source,), message, now)
 
     def _forward(self, push: Push, now: int) -> None:
         site = self.placement.site(self.node)
@@ -197,10 +200,13 @@
                 message = Push(
                     push.epoch, push.coordinator, push.sent_ms, forward.level, push.heads, push.entry
                 )
-                self._queue.send(Work.PUSH, forward.targets, message, now)
+                self._queue.enqueue(WorkKind.PUSH, forward.targets, message, now)
 
     def _on_repair(self, repair: Repair, now: int) -> None:
-        """A relay that lacked an entry couldn't pass it on either: its share of the site waits for it."""
+        """Apply a fetched entry, and forward it if this router is a relay of its site for that entry.
+
+        A relay that missed an entry could not forward it, so its share of the site still lacks the entry.
+        """
         entry = repair.entry
         new = self._offer(entry, now) in (OfferResult.APPENDED, OfferResult.PENDING)
         log = self.topic_store.logs.get(entry.topic)
@@ -210,7 +216,7 @@
         if site is None or self.node not in self.placement.site_relays(site, rotation):
             return
         for forward in plan_site_forwards(self.node, site, rotation, self.placement):
-            self._queue.send(Work.PUSH, forward.targets, repair, now)
+            self._queue.enqueue(WorkKind.PUSH, forward.targets, repair, now)
 
     def _offer(self, entry: Entry, now: int) -> OfferResult:
         offer, applied = self.topic_store.offer(entry)
@@ -218,12 +224,12 @@
         self._on_log_changed(entry.topic, entry.number, now)
         return offer
 
-    def _record(self, applied: list[Applied]) -> None:
+    def _record(self, applied: list[AppliedRecord]) -> None:
         self.applied += applied
         self._acknowledger.on_applied(applied)
 
     def _on_log_changed(self, topic: int, number: int, now: int) -> None:
-        """The log of a topic moved, or a gap in it was seen."""
+        """Update repair and freshness after a topic's log advanced or a gap in it was found."""
         log = self.topic_store.logs.get(topic)
         if log is None:
             return
@@ -248,14 +254,14 @@
         if log.head <= log.last and not log.diverged:
             repair.due = None
             return
-        for planned in repair.plan_fetches(now, lambda first: self._base_level(topic, first)):
+        for planned in repair.plan_fetches(now, lambda first: self._lowest_fetch_level(topic, first)):
             rotation = self.placement.rotation(topic, planned.first)
             target = self._target(rotation, planned.level, planned.target_index)
             fetch = Fetch(topic, planned.level, planned.numbers)
-            self._queue.send(Work.FETCH, (target,), fetch, now)
+            self._queue.enqueue(WorkKind.FETCH, (target,), fetch, now)
 
-    def _base_level(self, topic: int, number: int) -> Level:
-        """Relays of an entry don't ask one another, but the level above them."""
+    def _lowest_fetch_level(self, topic: int, number: int) -> Level:
+        """Lowest level to ask for an entry: its relays ask the level above them instead of one another."""
         site, rotation = self.placement.site(self.node), self.placement.rotation(topic, number)
         if site is None or self.node in self.placement.region_relays(site.region, rotation):
             return Level.VOTERS
@@ -277,11 +283,11 @@
     def _on_fetch(self, source: int, fetch: Fetch, now: int) -> None:
         answer = self.topic_store.answer(fetch)
         for message in answer.messages:
-            self._queue.send(Work.REPAIR, (source,), message, now)
+            self._queue.enqueue(WorkKind.REPAIR, (source,), message, now)
         log = self.topic_store.log(fetch.topic)
-        if log is None or (fetch.numbers and not answer.lacking):
+        if log is None or (fetch.numbers and not answer.missing_numbers):
             return
-        for number in answer.lacking:
+        for number in answer.missing_numbers:
             if number <= log.last + self.settings.pending_entries:
                 log.learn_head(number)
         self._on_log_changed(fetch.topic, 0, now)
@@ -310,16 +316,16 @@
         try:
             applied = self.topic_store.load(transfer.topic, transfer.number, transfer.epoch, transfer.data)
         except ValueError:
-            self.unreadable += 1
+            self.unreadable_snapshots += 1
             return
         self.loaded.append((transfer.topic, transfer.number))
         self._record(applied)
         self._on_log_changed(transfer.topic, transfer.number, now)
 
 
-def _work_kind(message: Message) -> Work:
+def _work_kind(message: Message) -> WorkKind:
     if isinstance(message, Acknowledgement):
-        return Work.ACKNOWLEDGE
+        return WorkKind.ACKNOWLEDGE
     if isinstance(message, Fetch | FetchSnapshotParts | Poll):
-        return Work.REPAIR
-    return Work.PUSH
+        return WorkKind.REPAIR
+    return WorkKind.PUSH
--- a/saltport/dissemination/silence.py
+++ b/saltport/dissemination/silence.py
@@ -1,6 +1,6 @@
-"""When a router that hears no new push polls others for one. No I/O.
+"""When a router that receives no newer push polls others for one. No I/O.
 
-Without it, a router that loses several pushes in a row would see its gap only with the next one that arrives.
+Without polling, a router that loses several pushes in a row would notice its gap only at the next push.
 """
 
 from __future__ import annotations
@@ -10,21 +10,21 @@
 
 BACKOFF_FACTOR = 1.5
 SITE_ONLY_TRIES = 4
-"""Polls before each second one goes to the region, and each fourth one to the voters."""
+"""Number of polls that all go to the site; later, each second one goes to the region or the voters."""
 
 
 class SilenceDetector:
-    """The latest push, and when to ask for a later one."""
+    """Tracks the latest push, and when to poll for a newer one."""
 
     def __init__(self, settings: DisseminationSettings, now: int) -> None:
         self._settings = settings
         self.latest = (0, 0)
-        """Epoch, and when it was sent."""
+        """Epoch and send time of the latest push."""
         self.due = now
         self._tries = 0
 
     def on_push(self, epoch: int, sent_ms: int, now: int) -> bool:
-        """A push came; returns whether it is later than all before."""
+        """Record a push; return whether it is newer than all earlier ones."""
         if (epoch, sent_ms) <= self.latest:
             return False
         self.latest = (epoch, sent_ms)
@@ -33,7 +33,7 @@
         return True
 
     def next_poll(self, now: int) -> Level:
-        """Whom to poll now; the next poll is put off."""
+        """Return the level to poll now, and schedule the next poll."""
         settings = self._settings
         wait = settings.poll_retry * BACKOFF_FACTOR ** min(self._tries, 16)
         self.due = now + min(int(wait), settings.max_poll_retry)
--- a/saltport/dissemination/snapshot.py
+++ b/saltport/dissemination/snapshot.py
@@ -1,4 +1,4 @@
-"""Collects the parts of a snapshot. No I/O."""
+"""Transfer of a snapshot in parts. No I/O."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from saltport.dissemination.settings import DisseminationSettings
 from saltport.dissemination.topic_store import MAX_PARTS
 
-MAX_TRIES = 12  # fetches of parts in a row without an answer, after which it is begun anew elsewhere
+MAX_TRIES = 12  # unanswered fetches in a row, after which the transfer restarts from another node
 
 
 class SnapshotTransfer:
-    """Of one topic, from one node; at most `MOST_PARTS` parts are held."""
+    """Transfer of one topic's snapshot from one node, of at most `MAX_PARTS` parts."""
 
     def __init__(self, first: SnapshotPart, source: int, settings: DisseminationSettings, now: int) -> None:
         self.topic, self.number, self.epoch = first.topic, first.number, first.epoch
@@ -24,26 +24,26 @@
 
     @staticmethod
     def acceptable(part: SnapshotPart) -> bool:
-        """Whether a transfer may begin with this part."""
+        """Whether a transfer may start with this part."""
         return 0 < part.parts <= MAX_PARTS and 0 <= part.part < part.parts
 
     @property
     def complete(self) -> bool:
-        """Whether all parts are here."""
+        """Whether all parts have arrived."""
         return len(self._parts) == self._total
 
     @property
     def failed(self) -> bool:
-        """Whether its source gave up, or has another snapshot by now."""
+        """Whether the source stopped answering, as when it has replaced the snapshot."""
         return self._tries >= MAX_TRIES
 
     @property
     def data(self) -> bytes:
-        """All of it."""
+        """The snapshot's bytes; call only when `complete`."""
         return b"".join(self._parts[part] for part in range(self._total))
 
     def add(self, part: SnapshotPart, now: int) -> None:
-        """Take a part; parts of another snapshot are left."""
+        """Store a part; ignore parts of another snapshot."""
         if (part.number, part.epoch, part.parts) != (self.number, self.epoch, self._total):
             return
         if 0 <= part.part < self._total and part.part not in self._parts:
@@ -53,7 +53,7 @@
                 self.due = now
 
     def next_fetch(self, now: int) -> FetchSnapshotParts:
-        """For the next parts that are missing."""
+        """Return a request for the next missing parts, and schedule the next one."""
         missing = (part for part in range(self._total) if part not in self._parts)
         asked = tuple(part for part, _ in zip(missing, range(self._settings.fetch_entries), strict=False))
         self._tries += 1
--- a/saltport/dissemination/states.py
+++ b/saltport/dissemination/states.py
@@ -1,4 +1,4 @@
-"""What a topic's entries make at a router: an interface, and the states of purges and configuration."""
+"""State that a router builds from a topic's entries: interface, purges and configuration."""
 
 from __future__ import annotations
 
@@ -12,47 +12,47 @@
 
 
 class TopicState(Protocol):
-    """Applies records in order; `save` and `load` are for snapshots."""
+    """State built from a topic's records in order; `save` and `load` serve snapshots."""
 
     def apply(self, number: int, record: bytes) -> str:
-        """Take a record of entry `number`; returns why it is refused, empty: it is in force."""
+        """Apply a record of entry `number`; return why it is refused, or an empty string."""
 
     def save(self) -> bytes:
-        """The state after the last record."""
+        """Return the state after the last record, encoded."""
 
     def load(self, number: int, data: bytes) -> None:
-        """Start from a snapshot taken after entry `number`; raises ValueError."""
+        """Replace the state by a snapshot taken after entry `number`; raise ValueError if unreadable."""
 
 
 class UnknownTopic:
-    """A topic of a later release: logged and relayed, applied by nobody here."""
+    """State of a topic of a later release: its entries are logged and relayed, but not applied."""
 
     def apply(self, number: int, record: bytes) -> str:
-        """Refused: this release doesn't know what it means."""
+        """Refuse the record, because this release does not know its meaning."""
         return "unknown topic"
 
     def save(self) -> bytes:
-        """Nothing: who knows the topic must ask one that applies it."""
+        """Not supported: a router that knows the topic must ask one that applies it."""
         raise NotImplementedError
 
     def load(self, number: int, data: bytes) -> None:
-        """Nothing is kept."""
+        """Ignore the snapshot."""
 
 
 @dataclass(frozen=True, slots=True)
 class FetchToken:
-    """Handed out when a fetch of an object begins."""
+    """Marks when a fetch of an object began."""
 
     last_purge: int
-    """The last purge entry that was applied then."""
+    """Number of the last purge entry applied when the fetch began."""
 
 
 class Purges:
-    """Which objects were purged when, so that a fetch that was overtaken by a purge isn't stored or served.
+    """Recent purges by key, so that the result of a fetch overtaken by a purge is not stored or served.
 
-    The latest purges are remembered one by one. A fetch that began before the oldest of them counts as
-    overtaken, and so does each fetch that began before a snapshot was loaded: the purges in it aren't known
-    one by one.
+    Only the latest purges are remembered individually. A fetch that began before the oldest of them counts as
+    overtaken, and so does a fetch that began before a snapshot was loaded, whose purges are not known
+    individually.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._floor = self._applied = 0
 
     def apply(self, number: int, record: bytes) -> str:
-        """A record is the key of an object; its stored answers are dropped."""
+        """Purge the object whose key is `record`."""
         self._applied = number
         self._latest[record] = number
         self._latest.move_to_end(record)
@@ -74,19 +74,19 @@
         return ""
 
     def begin_fetch(self) -> FetchToken:
-        """Call before the first byte of the question leaves."""
+        """Return the token of a fetch; call before the first byte of its request is sent."""
         return FetchToken(self._applied)
 
     def overtaken(self, key: bytes, token: FetchToken) -> bool:
-        """Whether what this fetch brought may be older than a purge: don't store it, and fetch anew."""
+        """Whether the result of a fetch may be older than a purge; if so, discard it and fetch again."""
         return token.last_purge < max(self._floor, self._latest.get(key, 0))
 
     def save(self) -> bytes:
-        """Nothing: a snapshot of purges voids all that was stored before it."""
+        """Return no data, because loading a snapshot of purges invalidates everything stored before."""
         return b""
 
     def load(self, number: int, data: bytes) -> None:
-        """Purges up to `number` aren't known one by one: nothing stored before may be served."""
+        """Invalidate all stored objects, because purges up to `number` are not known individually."""
         self._floor = max(self._floor, self._applied, number)
         self._applied = number
         self._latest.clear()
@@ -94,7 +94,7 @@
 
 
 class Change(Struct, frozen=True, array_like=True):
-    """A configuration record: one key's new value, empty: the default."""
+    """A configuration record: a key and its new value; an empty value restores the default."""
 
     key: str
     value: bytes
@@ -104,19 +104,19 @@
 
 
 def pack_change(key: str, value: bytes) -> bytes:
-    """A configuration record."""
+    """Encode a configuration record."""
     return msgspec.msgpack.encode(Change(key, value))
 
 
 class Configuration:
-    """Values in force by key. A bad change is refused with its reason, and the old value stays in force."""
+    """Configuration values by key; an invalid change is refused with a reason and the old value stays."""
 
     def __init__(self, check: Callable[[str, bytes], str], max_keys: int = 4_096) -> None:
         self._check, self._max_keys = check, max_keys
         self.values: dict[str, bytes] = {}
 
     def apply(self, number: int, record: bytes) -> str:
-        """Take a change if `check` has nothing against it."""
+        """Apply a change unless it is invalid; return why it is refused, or an empty string."""
         try:
             change = _decoder.decode(record)
         except ValueError:
@@ -132,9 +132,9 @@
         return ""
 
     def save(self) -> bytes:
-        """All values in force."""
+        """Return all values, encoded."""
         return msgspec.msgpack.encode(self.values)
 
     def load(self, number: int, data: bytes) -> None:
-        """From a snapshot; raises ValueError."""
+        """Replace all values by those of a snapshot; raise ValueError if it is unreadable."""
         self.values = msgspec.msgpack.decode(data, type=dict[str, bytes])
--- a/saltport/dissemination/submissions.py
+++ b/saltport/dissemination/submissions.py
@@ -1,8 +1,7 @@
-"""What a router wants changed, until the voters have decided it. No I/O.
+"""Changes that a router has submitted, until the voters decide them. No I/O.
 
-Undecided submissions are sent again, in their order and from the first one on, so that the coordinator
-never takes a later one before an earlier one. A refusal is final only if no other voter ever got the
-submission.
+Undecided submissions are sent again in order, starting with the oldest, so that the coordinator never accepts
+a later one before an earlier one. A refusal is final only if no other voter was sent the submission.
 """
 
 from __future__ import annotations
@@ -14,24 +13,24 @@
 from saltport.dissemination.messages import Decision, Submission, Submit, encode
 from saltport.dissemination.settings import MAX_MESSAGE_BYTES, DisseminationSettings
 
-MAX_RECORD_BYTES = 144  # bytes of one record
-SUBMIT_OVERHEAD_BYTES = 16  # bytes of a message around its submissions
+MAX_RECORD_BYTES = 144
+SUBMIT_OVERHEAD_BYTES = 16  # a message without its submissions
 
 
 class Outcome(Enum):
-    """What became of a submission."""
+    """Outcome of a submission."""
 
     COMMITTED = "committed"
     REFUSED = "refused"
     UNKNOWN = "unknown"
-    """No voter answered in time; it may be committed or not."""
+    """No voter decided in time; the change may or may not be committed."""
     REJECTED = "rejected by routers"
-    """Committed, and refused by those that should apply it: what was in force before stays."""
+    """Committed, but routers refused to apply it and use the previous value."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubmissionResult:
-    """Of one submission."""
+    """Outcome of one submission, with the reason for a failure."""
 
     sequence: int
     outcome: Outcome
@@ -39,7 +38,7 @@
 
 
 class SubmissionError(ValueError):
-    """A change can't be submitted."""
+    """A change cannot be submitted; the text says why."""
 
 
 @dataclass(slots=True)
@@ -50,7 +49,7 @@
 
 
 class Submissions:
-    """Undecided submissions of one router, at most `most_submissions`."""
+    """Undecided submissions of one router, at most `max_submissions`."""
 
     def __init__(self, process_start: int, voters: tuple[int, ...], settings: DisseminationSettings) -> None:
         self._process_start, self._voters, self._settings = process_start, voters, settings
@@ -62,7 +61,7 @@
         self.outcomes: list[SubmissionResult] = []
 
     def submit(self, topic: int, body: bytes, now: int) -> int:
-        """Ask for a change; returns its number; raises SubmissionError."""
+        """Queue a change and return its sequence number; raise SubmissionError if it is not accepted."""
         if len(body) > MAX_RECORD_BYTES:
             raise SubmissionError(f"a record has at most {MAX_RECORD_BYTES} bytes, this one {len(body)}")
         if len(self._pending) >= self._settings.max_submissions:
@@ -73,7 +72,7 @@
         return sequence
 
     def tick(self, now: int) -> list[tuple[int, Submit]]:
-        """What to send to which voters."""
+        """Return the messages that are due, each with its target voter; expire old submissions."""
         while self._pending and now - self._pending[0].submitted_at >= self._settings.submit_timeout:
             timed_out = self._pending.popleft()
             self.outcomes.append(
@@ -98,7 +97,7 @@
         return [(target, message) for target in targets]
 
     def _targets(self) -> list[int]:
-        """The coordinator as long as it answers, else it and one voter after the other."""
+        """The coordinator while it answers, otherwise it and each voter in rotation."""
         copies = self._settings.submit_copies
         if self.coordinator is not None and self._tries < 4:
             return [self.coordinator] * copies
@@ -106,7 +105,7 @@
         return [next_voter if self.coordinator is None else self.coordinator] + [next_voter] * (copies - 1)
 
     def on_decision(self, decision: Decision) -> None:
-        """A coordinator answered; what was meant for an earlier process is left."""
+        """Record the outcomes in a decision; ignore one for an earlier process of this router."""
         if decision.process_start != self._process_start:
             return
         refused = {refusal.sequence: refusal.reason for refusal in decision.refusals}
--- a/saltport/dissemination/term.py
+++ b/saltport/dissemination/term.py
@@ -1,4 +1,4 @@
-"""One coordinator's time in office: accepts submissions and puts them into numbered entries. No I/O."""
+"""One coordinator's term: accepts submissions and batches them into numbered entries. No I/O."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from saltport.dissemination.submissions import MAX_RECORD_BYTES
 from saltport.dissemination.topic_store import TopicStore
 
-MAX_ENTRY_BYTES = 176  # bytes of an encoded entry: with its push and heads it must fit a datagram
-ENTRY_OVERHEAD_BYTES = 21  # bytes of it around the records, and two more for each of them
-MAX_WAITING_SUBMISSIONS = 4_096  # submissions of all routers that wait for the next batch
+MAX_ENTRY_BYTES = 176  # encoded entry; with its push and heads it must fit a datagram
+ENTRY_OVERHEAD_BYTES = 21  # encoded entry without its records, each of which adds two bytes
+MAX_WAITING_SUBMISSIONS = 4_096  # of all routers, for the next batch
 
 NO_MAJORITY = "no majority of voters"
 OVERLOADED = "too many submissions"
@@ -19,7 +19,7 @@
 
 
 class Term:
-    """From when a voter leads until it steps down; what isn't committed by then is forgotten."""
+    """State of a coordinator from its election until it steps down; uncommitted submissions are then lost."""
 
     def __init__(
         self,
@@ -36,20 +36,23 @@
         self._bucket = TokenBucket(settings.submissions_per_s, 2 * settings.submissions_per_s, now)
         self._waiting: list[tuple[Origin, Submission]] = []
         self._last_sequences = outcomes.last_committed()
-        """The last submission of each stream that was proposed or refused."""
+        """Sequence of the last submission of each stream that was accepted or refused."""
         self._last_proposed = {topic: (log.last, log.last_epoch) for topic, log in topic_store.logs.items()}
         """Number and epoch of each topic's last proposed entry."""
 
     def has_lease(self, now: int) -> bool:
-        """Whether no other coordinator can have committed anything; else nothing may vouch for the heads."""
+        """Whether no other coordinator can have committed entries.
+
+        Without the lease, the heads must not be presented as current.
+        """
         return now - self.lease_confirmed_at <= self._settings.lease
 
     def elapsed_ms(self, now: int) -> int:
-        """Milliseconds since it began."""
+        """Milliseconds since the term began."""
         return (now - self.started_at) // NS_PER_MS
 
     def submit(self, origin: Origin, submission: Submission, now: int) -> None:
-        """Accept or refuse a submission whose outcome isn't known; a repeated one that waits is left."""
+        """Accept or refuse a submission without known outcome; ignore one that is already waiting."""
         stream = stream_of(origin, submission.topic)
         if submission.sequence <= self._last_sequences.get(stream, 0):
             return
@@ -69,7 +72,7 @@
         return ""
 
     def propose_batch(self, now: int) -> list[Proposal]:
-        """All that waits, by topic and in its order, in entries that fit a datagram."""
+        """Return all waiting submissions as entries that fit a datagram, by topic and in order."""
         interval = self._settings.batch_interval
         self.next_batch += interval * ((now - self.next_batch) // interval + 1)
         by_topic: dict[int, list[tuple[Origin, Submission]]] = {}
--- a/saltport/dissemination/topic_store.py
+++ b/saltport/dissemination/topic_store.py
@@ -1,4 +1,4 @@
-"""The logs of all topics with their states: applies what is in order, answers fetches, makes snapshots."""
+"""Logs and states of all topics: applies entries in order, answers fetches, and makes snapshots."""
 
 from __future__ import annotations
 
@@ -18,19 +18,17 @@
 from saltport.dissemination.settings import DisseminationSettings
 from saltport.dissemination.states import TopicState, UnknownTopic
 
-PART_BYTES = 160  # bytes of a snapshot in one message
+PART_BYTES = 160  # data of a snapshot in one message
 MAX_PARTS = 4_096
-SNAPSHOT_REUSE_ENTRIES = (
-    64  # entries after which one of several parts is made anew: its parts belong together
-)
+SNAPSHOT_REUSE_ENTRIES = 64  # a snapshot of several parts serves this long: its parts must match
 
-States = Callable[[int], TopicState | None]
-"""Makes a topic's state; None: this release doesn't know the topic."""
+StateFactory = Callable[[int], TopicState | None]
+"""Create a topic's state, or return None if this release does not know the topic."""
 
 
 @dataclass(frozen=True, slots=True)
-class Applied:
-    """A record that was given to its topic's state, in order."""
+class AppliedRecord:
+    """A record that was passed to its topic's state."""
 
     topic: int
     epoch: int
@@ -38,16 +36,16 @@
     index: int
     record: bytes
     reason: str
-    """Why it was refused; empty: it is in force."""
+    """Why the state refused the record; empty if it took effect."""
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """To a fetch."""
+class FetchAnswer:
+    """Answer to a fetch."""
 
     messages: tuple[Message, ...]
-    lacking: tuple[int, ...]
-    """Not here either."""
+    missing_numbers: tuple[int, ...]
+    """Requested entry numbers that are missing here too."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,16 +64,16 @@
 
 
 class TopicStore:
-    """Logs and states by topic, at most `most_topics` of them."""
+    """Logs and states by topic, for at most `max_topics` topics."""
 
-    def __init__(self, settings: DisseminationSettings, states: States) -> None:
+    def __init__(self, settings: DisseminationSettings, states: StateFactory) -> None:
         self._settings, self._make_state = settings, states
         self.logs: dict[int, TopicLog] = {}
         self.states: dict[int, TopicState] = {}
         self._snapshots: dict[int, _Snapshot] = {}
 
     def log(self, topic: int) -> TopicLog | None:
-        """A topic's log, begun if it isn't known yet; None: there are too many."""
+        """Return a topic's log, created if new, or None if there are too many topics."""
         log = self.logs.get(topic)
         if log is None and len(self.logs) < self._settings.max_topics:
             log = self.logs[topic] = TopicLog(self._settings.retained_entries, self._settings.pending_entries)
@@ -83,36 +81,36 @@
         return log
 
     def heads(self) -> tuple[Head, ...]:
-        """The last entry in order of each topic."""
+        """The last entry in order of each topic that has entries."""
         return tuple(Head(topic, log.last) for topic, log in self.logs.items() if log.last)
 
-    def offer(self, entry: Entry) -> tuple[OfferResult, list[Applied]]:
-        """Take an entry, and apply what is in order now."""
+    def offer(self, entry: Entry) -> tuple[OfferResult, list[AppliedRecord]]:
+        """Add an entry to its log, and apply the entries that are now in order."""
         log = self.log(entry.topic)
         if log is None:
             return OfferResult.DROPPED, []
         offer = log.offer(entry)
         return offer, self._apply(log) if offer is OfferResult.APPENDED else []
 
-    def _apply(self, log: TopicLog) -> list[Applied]:
+    def _apply(self, log: TopicLog) -> list[AppliedRecord]:
         return [
-            Applied(entry.topic, entry.epoch, entry.number, index, record,
+            AppliedRecord(entry.topic, entry.epoch, entry.number, index, record,
                     self.states[entry.topic].apply(entry.number, record))
             for entry in log.take_ready()
             for index, record in enumerate(entry.records)
         ]  # fmt: skip
 
-    def answer(self, fetch: Fetch) -> Answer:
-        """Entries that are here; the snapshot's first part where they are truncated or it is asked for."""
+    def answer(self, fetch: Fetch) -> FetchAnswer:
+        """Return the requested entries, or a snapshot's first part if requested or an entry is truncated."""
         log = self.logs.get(fetch.topic)
         numbers = fetch.numbers[: self._settings.fetch_entries]
         if log is None or (not numbers and not log.last):
-            return Answer((), numbers)
+            return FetchAnswer((), numbers)
         if not numbers or any(map(log.truncated, numbers)):
             part = self._first_part(fetch.topic, log)
-            return Answer((part,) if part else (), ())
+            return FetchAnswer((part,) if part else (), ())
         found = [(number, log.get(number)) for number in numbers]
-        return Answer(
+        return FetchAnswer(
             tuple(Repair(entry) for _, entry in found if entry is not None),
             tuple(number for number, entry in found if entry is None),
         )
@@ -131,15 +129,15 @@
         return snapshot.part(topic, 0)
 
     def parts(self, fetch: FetchSnapshotParts) -> list[SnapshotPart]:
-        """Parts of the snapshot that is kept; none, if it is another by now: the asker begins anew."""
+        """Return parts of the stored snapshot; none if it was replaced, so that the requester starts over."""
         snapshot = self._snapshots.get(fetch.topic)
         if snapshot is None or snapshot.number != fetch.number:
             return []
         asked = fetch.parts[: self._settings.fetch_entries]
         return [snapshot.part(fetch.topic, part) for part in asked if 0 <= part < snapshot.parts]
 
-    def load(self, topic: int, number: int, epoch: int, data: bytes) -> list[Applied]:
-        """Start a topic from a snapshot, and apply what was pending beyond it; raises ValueError."""
+    def load(self, topic: int, number: int, epoch: int, data: bytes) -> list[AppliedRecord]:
+        """Load a topic's snapshot, and apply pending entries after it; raise ValueError if unreadable."""
         log = self.log(topic)
         if log is None:
             return []
--- a/saltport/dissemination/voter.py
+++ b/saltport/dissemination/voter.py
@@ -1,8 +1,8 @@
-"""A voter's part: as coordinator it orders submissions and pushes what is committed; all answer fetches.
+"""The voter's side: the coordinator orders submissions and pushes committed entries; all answer fetches.
 
-Whoever replicates (the owners' log) is the caller: `take_proposals` hands out what to commit, and
-`committed` is called at every voter for each committed proposal, in the log's order. Nothing is pushed
-before it is committed, so that no record of a coordinator that lost its majority ever reaches a router.
+Replication (by the log of the owners) is done by the caller: `take_proposals` returns entries to commit, and
+`on_committed` is called at every voter for each committed proposal, in log order. Nothing is pushed before it
+is committed, so that no record of a coordinator that lost its majority ever reaches a router.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections import OrderedDict
 
 from saltport.dissemination.acknowledgements import Collector, RejectionKey
-from saltport.dissemination.budget import Budget, Work
+from saltport.dissemination.budget import Budget, WorkKind
 from saltport.dissemination.messages import (
     MAX_HEADS,
     Acknowledgement,
@@ -33,70 +33,70 @@
 from saltport.dissemination.settings import DisseminationSettings
 from saltport.dissemination.submission_outcomes import SubmissionOutcomes
 from saltport.dissemination.term import Term
-from saltport.dissemination.topic_store import States, TopicStore
+from saltport.dissemination.topic_store import StateFactory, TopicStore
 
-HEADS_ROTATION_MS = 250  # milliseconds after which the next topics are told of
+HEADS_ROTATION_MS = 250  # interval after which pushes carry the heads of other topics, if there are too many
 MAX_REJECTIONS = 256
-BYTES_PER_S = 4_000_000  # a voter isn't a router: its sending is bounded against storms of fetches only
+BYTES_PER_S = 4_000_000  # bounds answers in a storm of fetches only, so far above a router's rate
 BURST_BYTES = 8_000_000
 MESSAGES_PER_S = 50_000
 
 
 class Voter:
-    """One of those that hold the committed logs; one of them coordinates at a time."""
+    """A node that stores the committed logs; one voter at a time is the coordinator."""
 
     def __init__(
-        self, node: int, placement: Placement, settings: DisseminationSettings, states: States, now: int
+        self, node: int, placement: Placement, settings: DisseminationSettings, states: StateFactory, now: int
     ) -> None:
         self.node, self.placement, self.settings = node, placement, settings
         self.topic_store = TopicStore(settings, states)
         self.rejections: OrderedDict[RejectionKey, int] = OrderedDict()
-        """How many routers refused a record, at the most told at a time."""
+        """Highest number of routers reported to have refused a record, by rejection."""
         self._collector = Collector(0, 0)
         self._queue = SendQueue(BYTES_PER_S, BURST_BYTES, now)
-        self._incoming = Budget(MESSAGES_PER_S, MESSAGES_PER_S, now)
+        self._incoming_budget = Budget(MESSAGES_PER_S, MESSAGES_PER_S, now)
         self._outcomes = SubmissionOutcomes()
         self._term: Term | None = None
         self._origins: OrderedDict[tuple[int, int], tuple[Origin, ...]] = OrderedDict()
         self._proposals: list[Proposal] = []
 
-    # Leading
+    # Coordination
 
     @property
     def epoch(self) -> int | None:
-        """Of its own term as coordinator; None: another one leads."""
+        """Epoch of this voter's term as coordinator, or None if it is not the coordinator."""
         return None if self._term is None else self._term.epoch
 
     def become_coordinator(self, epoch: int, now: int) -> None:
-        """It is coordinator from now on, and knows all that was committed before."""
+        """Start a term as coordinator; all entries committed in earlier terms must have been passed in."""
         self._term = Term(epoch, self.topic_store, self._outcomes, self.settings, now)
 
     def on_majority_confirmed(self, sent_at: int) -> None:
-        """A majority of voters answered a question that left at this time: the lease counts from then."""
+        """Renew the lease from `sent_at`, when the request that a majority of voters answered was sent."""
         if self._term is not None:
             self._term.lease_confirmed_at = max(sent_at, self._term.lease_confirmed_at)
 
     def step_down(self) -> None:
-        """It isn't coordinator any more: what wasn't committed is forgotten."""
+        """End the term as coordinator, and discard proposals that were not taken."""
         self._term = None
         self._proposals.clear()
 
     def take_proposals(self) -> list[Proposal]:
-        """What to commit, in this order."""
+        """Return the proposals to commit, in order, and clear them."""
         proposals, self._proposals = self._proposals, []
         return proposals
 
     @property
     def due(self) -> int | None:
-        """When `turn` has something to do."""
+        """Time of the next call of `tick`, or None if this voter is not the coordinator."""
         return None if self._term is None else self._term.next_batch
 
     def take_datagrams(self) -> list[Outgoing]:
-        """Datagrams to be sent."""
+        """Return the datagrams to send, and clear the queue."""
         return self._queue.take_datagrams()
 
     def tick(self, now: int) -> None:
-        """Propose the batch that is due, or send a heartbeat."""
+        """Propose the batch that is due; send a heartbeat if nothing was pushed for a batch interval."""
         term = self._term
         if term is None or now < term.next_batch:
             return
@@ -105,10 +105,12 @@
             self._push(term, None, now)
 
     def on_committed(self, proposal: Proposal, now: int) -> None:
-        """A majority holds this; called at each voter, in the order of the log.
+        """Apply a proposal committed by a majority; called at each voter in log order.
 
-        Danger: a deposed coordinator may learn of its successor's entries one by one before it knows that
-        it is deposed. Its pushes would vouch for old heads with the time of now.
+        The coordinator also pushes the entry and reports the decision to the submitting routers.
+
+        Danger: a deposed coordinator may receive its successor's entries one by one before it learns that
+        it is deposed. Its pushes would then present old heads as current.
         """
         entry = proposal.entry
         self.topic_store.offer(entry)
@@ -127,7 +129,7 @@
         for origin in proposal.origins:
             by_process.setdefault((origin.router, origin.process_start), []).append(origin.sequence)
         for (router, process_start), sequences in by_process.items():
-            self._queue.send(Work.PUSH, (router,), Decision(process_start, tuple(sequences)), now)
+            self._queue.enqueue(WorkKind.PUSH, (router,), Decision(process_start, tuple(sequences)), now)
 
     def _push(self, term: Term, entry: Entry | None, now: int) -> None:
         term.last_push = now
@@ -135,12 +137,12 @@
         rotation = push_rotation(self.placement, push)
         for region in self.placement.regions:
             relays = self.placement.region_relays(region, rotation)
-            self._queue.send(Work.PUSH, relays, push, now)
+            self._queue.enqueue(WorkKind.PUSH, relays, push, now)
 
     def _heartbeat(
         self, term: Term, level: Level, now: int, entry: Entry | None = None, poll_number: int = 0
     ) -> Push:
-        """The heads of topics, of some in turn if there are many."""
+        """A push with the heads of the topics, rotating over them if there are more than `MAX_HEADS`."""
         sent_ms = term.elapsed_ms(now)
         heads = self.topic_store.heads()
         if len(heads) > MAX_HEADS:
@@ -151,19 +153,19 @@
     # Datagrams
 
     def receive(self, source: int, message: Message, now: int) -> None:
-        """Take a datagram."""
-        if not self._incoming.admit(Work.PUSH, 1.0, now):
+        """Process a datagram; drop it if the budget of incoming messages is exhausted."""
+        if not self._incoming_budget.admit(WorkKind.PUSH, 1.0, now):
             return
         if isinstance(message, Fetch):
             for answer in self.topic_store.answer(message).messages:
-                self._queue.send(Work.REPAIR, (source,), answer, now)
+                self._queue.enqueue(WorkKind.REPAIR, (source,), answer, now)
         elif isinstance(message, FetchSnapshotParts):
             for part in self.topic_store.parts(message):
-                self._queue.send(Work.REPAIR, (source,), part, now)
+                self._queue.enqueue(WorkKind.REPAIR, (source,), part, now)
         elif isinstance(message, Poll):
             if self._term is not None and self._term.has_lease(now):
                 heartbeat = self._heartbeat(self._term, Level.SITE, now, poll_number=message.number)
-                self._queue.send(Work.REPAIR, (source,), heartbeat, now)
+                self._queue.enqueue(WorkKind.REPAIR, (source,), heartbeat, now)
         elif isinstance(message, Submit):
             self._on_submit(source, message, now)
         elif isinstance(message, Acknowledgement):
@@ -186,7 +188,7 @@
                 committed.append(submission.sequence)
         if committed or refusals:
             answer = Decision(submit.process_start, tuple(committed), tuple(refusals))
-            self._queue.send(Work.PUSH, (router,), answer, now)
+            self._queue.enqueue(WorkKind.PUSH, (router,), answer, now)
 
     def _on_acknowledgement(self, source: int, acknowledgement: Acknowledgement, now: int) -> None:
         site = self.placement.site(source)
@@ -203,7 +205,7 @@
 
     @property
     def acknowledgement_summary(self) -> Acknowledgement:
-        """How many routers were heard in the last rounds, and how far the last of them is with each topic."""
+        """Sum of recent acknowledgements: count of routers, and the lowest entry applied by topic."""
         return self._collector.sum(Level.VOTERS)
 
     def _notify_origin(self, key: RejectionKey, now: int) -> None:
@@ -212,4 +214,4 @@
         if index < len(origins):
             origin = origins[index]
             decision = Decision(origin.process_start, (), (), (Refusal(origin.sequence, reason),))
-            self._queue.send(Work.PUSH, (origin.router,), decision, now)
+            self._queue.enqueue(WorkKind.PUSH, (origin.router,), decision, now)
--- a/tests/dissemination/test_bounds.py
+++ b/tests/dissemination/test_bounds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from saltport.dissemination.budget import Budget, TokenBucket, Work
+from saltport.dissemination.budget import Budget, TokenBucket, WorkKind
 from saltport.dissemination.freshness import MAX_PENDING_HEADS, Freshness, Verdict
 from saltport.dissemination.messages import MAX_HEADS, Head, Level, Push, Topic
 from saltport.dissemination.settings import NS_PER_MS, NS_PER_S, DisseminationSettings
@@ -23,25 +23,27 @@
 
 def test_work_gives_way_in_the_stated_order() -> None:
     budget = Budget(0.001, 1_000, 0)
-    order: list[Work] = []
+    order: list[WorkKind] = []
     for _ in range(200):
-        for work in Work:
+        for work in WorkKind:
             if not budget.admit(work, 10, 0) and work not in order:
                 order.append(work)
-    assert order == [Work.ACKNOWLEDGE, Work.REPAIR, Work.FETCH, Work.PUSH]
-    assert all(budget.dropped[work] for work in Work)
+    assert order == [WorkKind.ACKNOWLEDGE, WorkKind.REPAIR, WorkKind.FETCH, WorkKind.PUSH]
+    assert all(budget.dropped[work] for work in WorkKind)
 
 
-def at(milliseconds: int, head: int = 3, poll_number: int = 0, epoch: int = 1) -> Push:
+def heartbeat(milliseconds: int, head: int = 3, poll_number: int = 0, epoch: int = 1) -> Push:
     return Push(epoch, 90, milliseconds, Level.SITE, (Head(Topic.PURGES, head),), None, poll_number)
 
 
 def synced(round_trip: int = 0) -> Freshness:
     """Caught up as of 1 s; the coordinator began at 0 by this router's clock."""
     freshness = Freshness(SETTINGS, random.Random(1))
-    freshness.on_push(at(900), 900 * NS_PER_MS)
+    freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     number = freshness.start_poll(1_000 * NS_PER_MS)
-    freshness.on_push(at(1_000 + round_trip // 2, poll_number=number), (1_000 + round_trip) * NS_PER_MS)
+    freshness.on_push(
+        heartbeat(1_000 + round_trip // 2, poll_number=number), (1_000 + round_trip) * NS_PER_MS
+    )
     freshness.on_applied(Topic.PURGES, 3)
     return freshness
 
@@ -60,17 +62,17 @@
     freshness = Freshness(SETTINGS, random.Random(1))
     assert freshness.verdict(Topic.PURGES, 0) is Verdict.STALE
     for number in range(1, 100):
-        freshness.on_push(at(250 * number), 250 * number * NS_PER_MS)
+        freshness.on_push(heartbeat(250 * number), 250 * number * NS_PER_MS)
         freshness.on_applied(Topic.PURGES, 3)
     assert freshness.age(Topic.PURGES, 25 * SECOND) is None
 
 
 def test_the_answer_to_an_earlier_poll_dates_nothing() -> None:
     freshness = Freshness(SETTINGS, random.Random(1))
-    freshness.on_push(at(900), 900 * NS_PER_MS)
+    freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     first = freshness.start_poll(SECOND)
     freshness.start_poll(9 * SECOND)
-    freshness.on_push(at(1_001, poll_number=first), 9 * SECOND)
+    freshness.on_push(heartbeat(1_001, poll_number=first), 9 * SECOND)
     freshness.on_applied(Topic.PURGES, 3)
     assert freshness.verdict(Topic.PURGES, 9 * SECOND) is Verdict.STALE
 
@@ -80,7 +82,7 @@
     freshness = synced(round_trip)
     for sent_ms in range(2_000, 60_000, 250):
         now = (sent_ms + round_trip) * NS_PER_MS
-        freshness.on_push(at(sent_ms), now)
+        freshness.on_push(heartbeat(sent_ms), now)
         freshness.on_applied(Topic.PURGES, 3)
         age = freshness.age(Topic.PURGES, now)
         assert age is not None
@@ -90,7 +92,7 @@
 def test_a_known_gap_makes_stale_until_it_is_filled() -> None:
     freshness = synced()
     for number in range(5, 20):
-        freshness.on_push(at(250 * number, head=4), 250 * number * NS_PER_MS)
+        freshness.on_push(heartbeat(250 * number, head=4), 250 * number * NS_PER_MS)
         freshness.on_applied(Topic.PURGES, 3)
     now = 250 * 19 * NS_PER_MS
     assert freshness.verdict(Topic.PURGES, now) is Verdict.STALE
@@ -101,7 +103,7 @@
 def test_a_push_that_was_held_up_or_told_again_counts_from_when_it_was_sent() -> None:
     freshness = synced()
     for arrival_s in range(4, 12):
-        freshness.on_push(at(1_100), arrival_s * SECOND)
+        freshness.on_push(heartbeat(1_100), arrival_s * SECOND)
         freshness.on_applied(Topic.PURGES, 3)
         assert freshness.verdict(Topic.PURGES, arrival_s * SECOND) is Verdict.STALE
 
@@ -109,7 +111,7 @@
 def test_waiting_pushes_are_bounded_and_leave_it_stale() -> None:
     freshness = synced()
     for number in range(11, 11 + 3 * MAX_PENDING_HEADS):
-        freshness.on_push(at(250 * number, head=number), 250 * number * NS_PER_MS)
+        freshness.on_push(heartbeat(250 * number, head=number), 250 * number * NS_PER_MS)
     freshness.on_applied(Topic.PURGES, 10 + MAX_PENDING_HEADS)
     assert freshness.verdict(Topic.PURGES, 250 * (11 + 3 * MAX_PENDING_HEADS) * NS_PER_MS) is Verdict.STALE
 
@@ -128,11 +130,11 @@
 
 def test_a_topic_that_was_told_of_before_the_clock_was_dated_isnt_taken_for_empty() -> None:
     freshness = Freshness(SETTINGS, random.Random(1))
-    freshness.on_push(at(900), 900 * NS_PER_MS)
+    freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     number = freshness.start_poll(SECOND)
     freshness.on_push(Push(1, 90, 1_000, Level.SITE, (), None, number), SECOND)
     for sent_ms in range(1_250, 4_000, 250):
-        freshness.on_push(at(sent_ms), sent_ms * NS_PER_MS)
+        freshness.on_push(heartbeat(sent_ms), sent_ms * NS_PER_MS)
         assert freshness.verdict(Topic.PURGES, sent_ms * NS_PER_MS) is Verdict.STALE
     freshness.on_applied(Topic.PURGES, 3)
     assert freshness.verdict(Topic.PURGES, 4 * SECOND) is Verdict.FRESH
@@ -149,13 +151,13 @@
 
 def test_a_new_coordinators_clock_is_dated_anew() -> None:
     freshness = synced()
-    freshness.on_push(at(5, epoch=2), 2 * SECOND)
+    freshness.on_push(heartbeat(5, epoch=2), 2 * SECOND)
     freshness.on_applied(Topic.PURGES, 3)
     assert freshness.age(Topic.PURGES, 2 * SECOND) == SECOND + NS_PER_MS
     assert freshness.due is not None
     assert freshness.due <= 2 * SECOND + SETTINGS.clock_spread
     number = freshness.start_poll(freshness.due)
-    freshness.on_push(at(400, poll_number=number, epoch=2), 3 * SECOND)
+    freshness.on_push(heartbeat(400, poll_number=number, epoch=2), 3 * SECOND)
     freshness.on_applied(Topic.PURGES, 3)
     assert freshness.verdict(Topic.PURGES, 3 * SECOND) is Verdict.FRESH
 
@@ -166,7 +168,7 @@
     for sent_ms in range(1_000, 3 * 3_600_000, 250):
         now = int((SECOND + (sent_ms - 1_000) * NS_PER_MS) * fast)
         poll_number = freshness.start_poll(now) if freshness.due is not None and freshness.due <= now else 0
-        freshness.on_push(at(sent_ms, poll_number=poll_number), now)
+        freshness.on_push(heartbeat(sent_ms, poll_number=poll_number), now)
         freshness.on_applied(Topic.PURGES, 3)
         assert freshness.verdict(Topic.PURGES, now) is Verdict.FRESH
 
--- a/tests/dissemination/test_history.py
+++ b/tests/dissemination/test_history.py
@@ -18,13 +18,13 @@
 from saltport.owners.fence import Fence
 
 
-class AppliedRecord(NamedTuple):
+class Record(NamedTuple):
     topic: int
     record: bytes
 
 
-def records(text: str) -> list[AppliedRecord]:
-    return [AppliedRecord(1, letter.encode()) for letter in text]
+def records(text: str) -> list[Record]:
+    return [Record(1, letter.encode()) for letter in text]
 
 
 def check_history(*applied_texts: str, at: int = 10) -> list[str]:
--- a/tests/dissemination/test_log.py
+++ b/tests/dissemination/test_log.py
@@ -94,7 +94,7 @@
         assert [change.reason for change in applied] == [""]
     answer = topic_store.answer(Fetch(2, Level.SITE, (9, 11)))
     assert [type(message) for message in answer.messages] == [Repair]
-    assert answer.lacking == (11,)
+    assert answer.missing_numbers == (11,)
     (part,) = topic_store.answer(Fetch(2, Level.SITE, (3,))).messages
     assert isinstance(part, SnapshotPart)
     other = TopicStore(settings, lambda _: Configuration(lambda *_: ""))
--- a/tests/dissemination/test_messages.py
+++ b/tests/dissemination/test_messages.py
@@ -6,7 +6,7 @@
 import pytest
 from msgspec import Struct
 
-from saltport.dissemination.acknowledgements import fitted
+from saltport.dissemination.acknowledgements import fit_to_datagram
 from saltport.dissemination.messages import (
     MAX_HEADS,
     Acknowledgement,
@@ -90,10 +90,12 @@
     assert len(encode(Fetch(200, Level.VOTERS, tuple(range(LARGE, LARGE + 16))))) <= MAX_MESSAGE_BYTES
     progress = tuple(TopicProgress(topic, LARGE, 1_604) for topic in range(1, 5))
     rejections = tuple(Rejection(2, LARGE + n, 3, "r" * 60, 1_600) for n in range(4))
-    message = fitted(Acknowledgement(LARGE, Level.VOTERS, 1_600, progress, rejections))
+    message = fit_to_datagram(Acknowledgement(LARGE, Level.VOTERS, 1_600, progress, rejections))
     assert len(encode(message)) <= MAX_MESSAGE_BYTES
     assert message.rejections
     most = tuple(
         TopicProgress(200 + topic, LARGE, 1_604) for topic in range(DisseminationSettings().max_topics)
     )
-    assert len(encode(fitted(Acknowledgement(2**60, Level.VOTERS, 1_600, most)))) <= MAX_MESSAGE_BYTES
+    assert (
+        len(encode(fit_to_datagram(Acknowledgement(2**60, Level.VOTERS, 1_600, most)))) <= MAX_MESSAGE_BYTES
+    )
--- a/tests/dissemination/test_relays.py
+++ b/tests/dissemination/test_relays.py
@@ -8,7 +8,7 @@
 import pytest
 
 from saltport.dissemination.acknowledgements import CHILD_EXPIRY_ROUNDS, Collector
-from saltport.dissemination.budget import Work
+from saltport.dissemination.budget import WorkKind
 from saltport.dissemination.log import TopicLog
 from saltport.dissemination.messages import (
     Acknowledgement,
@@ -41,7 +41,7 @@
 PLACEMENT = Placement(SITES, VOTERS, SETTINGS)
 
 
-def nothing(topic: int) -> TopicState | None:
+def no_state(topic: int) -> TopicState | None:
     return None
 
 
@@ -51,7 +51,7 @@
 
 
 def router(node: int, placement: Placement = PLACEMENT) -> Router:
-    return Router(node, placement, SETTINGS, nothing, random.Random(node), 77, 0)
+    return Router(node, placement, SETTINGS, no_state, random.Random(node), 77, 0)
 
 
 @pytest.mark.parametrize("number", range(1, 25))
@@ -203,11 +203,11 @@
         relay.receive(7, Fetch(1, Level.SITE, tuple(range(1, 17))), 0)
     answered = sum(out.size for out in relay.take_datagrams())
     assert answered <= SETTINGS.burst_bytes * 2 / 3
-    assert relay.dropped[Work.REPAIR]
-    assert relay.incoming.dropped[Work.REPAIR]
+    assert relay.dropped[WorkKind.REPAIR]
+    assert relay.incoming_budget.dropped[WorkKind.REPAIR]
     relay.receive(3, push(30, Level.REGION), 0)
     assert len(sent(relay, Push)) == 1 + 9
-    assert not relay.dropped.get(Work.PUSH)
+    assert not relay.dropped.get(WorkKind.PUSH)
 
 
 def test_a_stranger_is_no_relay() -> None:
--- a/tests/dissemination/test_voter.py
+++ b/tests/dissemination/test_voter.py
@@ -35,12 +35,12 @@
 PLACEMENT = Placement(SITES, (90, 91, 92), SETTINGS)
 
 
-def nothing(topic: int) -> TopicState | None:
+def no_state(topic: int) -> TopicState | None:
     return None
 
 
 def voter(node: int = 90) -> Voter:
-    return Voter(node, PLACEMENT, SETTINGS, nothing, 0)
+    return Voter(node, PLACEMENT, SETTINGS, no_state, 0)
 
 
 def leader(epoch: int = 1) -> Voter:
