--- a/saltport/dissemination/submission_outcomes.py
+++ b/saltport/dissemination/ledger.py
@@ -1,4 +1,4 @@
-"""Outcomes of submissions that a voter remembers, so that repeated submissions get the same answer."""
+"""Ledger of the outcomes of submissions at a voter, so that repeated submissions get the same answer."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     return origin.router, origin.process_start, topic
 
 
-class SubmissionOutcomes:
+class OutcomeLedger:
     """Outcomes by submission, and the last committed submission of each stream."""
 
     def __init__(self) -> None:
--- a/saltport/dissemination/term.py
+++ b/saltport/dissemination/term.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from saltport.dissemination.budget import TokenBucket
+from saltport.dissemination.ledger import OutcomeLedger, stream_of
 from saltport.dissemination.messages import Entry, Origin, Proposal, Submission
 from saltport.dissemination.settings import NS_PER_MS, DisseminationSettings
-from saltport.dissemination.submission_outcomes import SubmissionOutcomes, stream_of
 from saltport.dissemination.submissions import MAX_RECORD_BYTES
 from saltport.dissemination.topic_store import TopicStore
 
@@ -25,7 +25,7 @@
         self,
         epoch: int,
         topic_store: TopicStore,
-        outcomes: SubmissionOutcomes,
+        outcomes: OutcomeLedger,
         settings: DisseminationSettings,
         now: int,
     ) -> None:
--- a/saltport/dissemination/voter.py
+++ b/saltport/dissemination/voter.py
@@ -11,6 +11,7 @@
 
 from saltport.dissemination.acknowledgements import Collector, RejectionKey
 from saltport.dissemination.budget import Budget, WorkKind
+from saltport.dissemination.ledger import OutcomeLedger
 from saltport.dissemination.messages import (
     MAX_HEADS,
     Acknowledgement,
@@ -31,7 +32,6 @@
 from saltport.dissemination.placement import Placement
 from saltport.dissemination.relay import push_rotation
 from saltport.dissemination.settings import DisseminationSettings
-from saltport.dissemination.submission_outcomes import SubmissionOutcomes
 from saltport.dissemination.term import Term
 from saltport.dissemination.topic_store import StateFactory, TopicStore
 
@@ -55,7 +55,7 @@
         self._collector = Collector(0, 0)
         self._queue = SendQueue(BYTES_PER_S, BURST_BYTES, now)
         self._incoming_budget = Budget(MESSAGES_PER_S, MESSAGES_PER_S, now)
-        self._outcomes = SubmissionOutcomes()
+        self._outcomes = OutcomeLedger()
         self._term: Term | None = None
         self._origins: OrderedDict[tuple[int, int], tuple[Origin, ...]] = OrderedDict()
         self._proposals: list[Proposal] = []
--- a/tests/dissemination/__init__.py
+++ b/tests/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of dissemination in levels."""
+"""Tests of hierarchical dissemination."""
--- a/tests/dissemination/test_bounds.py
+++ b/tests/dissemination/test_bounds.py
@@ -1,4 +1,4 @@
-"""Budgets give way in the stated order; freshness errs towards refusal; states refuse what is bad."""
+"""Budgets drop work in the documented order; freshness errs towards refusal; states refuse bad records."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 def synced(round_trip: int = 0) -> Freshness:
-    """Caught up as of 1 s; the coordinator began at 0 by this router's clock."""
+    """Caught up as of 1 s, with a coordinator whose term started at 0 by this router's clock."""
     freshness = Freshness(SETTINGS, random.Random(1))
     freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     number = freshness.start_poll(1_000 * NS_PER_MS)
@@ -67,7 +67,7 @@
     assert freshness.age(Topic.PURGES, 25 * SECOND) is None
 
 
-def test_the_answer_to_an_earlier_poll_dates_nothing() -> None:
+def test_the_answer_to_an_earlier_poll_does_not_synchronise_the_clock() -> None:
     freshness = Freshness(SETTINGS, random.Random(1))
     freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     first = freshness.start_poll(SECOND)
@@ -100,7 +100,7 @@
     assert freshness.verdict(Topic.PURGES, now) is Verdict.FRESH
 
 
-def test_a_push_that_was_held_up_or_told_again_counts_from_when_it_was_sent() -> None:
+def test_a_delayed_or_repeated_push_counts_from_when_it_was_sent() -> None:
     freshness = synced()
     for arrival_s in range(4, 12):
         freshness.on_push(heartbeat(1_100), arrival_s * SECOND)
@@ -128,7 +128,7 @@
     assert freshness.verdict(Topic.CONFIGURATION, 4 * SECOND) is Verdict.FRESH
 
 
-def test_a_topic_that_was_told_of_before_the_clock_was_dated_isnt_taken_for_empty() -> None:
+def test_a_topic_listed_before_the_clock_was_synchronised_isnt_taken_for_empty() -> None:
     freshness = Freshness(SETTINGS, random.Random(1))
     freshness.on_push(heartbeat(900), 900 * NS_PER_MS)
     number = freshness.start_poll(SECOND)
@@ -140,7 +140,7 @@
     assert freshness.verdict(Topic.PURGES, 4 * SECOND) is Verdict.FRESH
 
 
-def test_a_list_of_heads_that_may_be_a_part_says_nothing_of_other_topics() -> None:
+def test_a_possibly_incomplete_list_of_heads_proves_nothing_about_other_topics() -> None:
     freshness = Freshness(SETTINGS, random.Random(1))
     heads = tuple(Head(topic, 3) for topic in range(11, 11 + MAX_HEADS))
     freshness.on_push(Push(1, 90, 900, Level.SITE, heads), 900 * NS_PER_MS)
@@ -149,7 +149,7 @@
     assert freshness.verdict(Topic.PURGES, SECOND) is Verdict.STALE
 
 
-def test_a_new_coordinators_clock_is_dated_anew() -> None:
+def test_a_new_coordinators_clock_is_synchronised_again() -> None:
     freshness = synced()
     freshness.on_push(heartbeat(5, epoch=2), 2 * SECOND)
     freshness.on_applied(Topic.PURGES, 3)
@@ -174,7 +174,7 @@
 
 
 class Cache:
-    """What a router stored."""
+    """Records which stored objects a router purged or invalidated."""
 
     def __init__(self) -> None:
         self.dropped: list[bytes] = []
@@ -215,8 +215,8 @@
     assert not purges.overtaken(b"x", purges.begin_fetch())
 
 
-def test_a_snapshot_from_before_what_was_applied_trusts_no_fetch_until_past_it() -> None:
-    """Only a log that diverged goes back: what was fetched under its purges isn't trusted either."""
+def test_after_a_snapshot_older_than_the_log_no_fetch_is_trusted_until_the_log_is_past_it() -> None:
+    """A snapshot is older than the log only after a divergence; fetches under its purges are not trusted."""
     purges = Purges(8, lambda _: None, lambda: None)
     purges.apply(9, b"a")
     token = purges.begin_fetch()
--- a/tests/dissemination/test_config.py
+++ b/tests/dissemination/test_config.py
@@ -1,4 +1,4 @@
-"""The file under deploy/ is read, is off, and says what the settings say; bad ones get one plain line."""
+"""The deployed file is off and states the default settings; an invalid file gets a one-line error."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     assert "\n" not in str(error.value)
 
 
-def test_nothing_that_runs_imports_it() -> None:
+def test_the_running_programs_dont_import_dissemination() -> None:
     code = (
         "import sys, saltport.cli, saltport.router.__main__;"
         "print([name for name in sys.modules if name.startswith('saltport.dissemination')])"
--- a/tests/dissemination/test_history.py
+++ b/tests/dissemination/test_history.py
@@ -1,4 +1,4 @@
-"""The checker finds planted defects: in a history by hand, and in a world whose program was spoilt."""
+"""The checker finds defects: in histories written by hand, and in simulations with a planted defect."""
 
 from __future__ import annotations
 
@@ -83,7 +83,7 @@
     assert "serves topic 1 without 1" in history.faults[0]
 
 
-def test_delays_are_counted_from_the_making_or_the_return() -> None:
+def test_delays_are_counted_from_submission_or_return() -> None:
     history = History()
     history.start(0, 0)
     history.start(1, 0)
@@ -96,7 +96,7 @@
     assert (history.delays.total, history.late.percentile(1)) == (1, 0.4)
 
 
-def test_until_it_is_caught_up_a_router_that_came_back_counts_as_late() -> None:
+def test_a_returned_router_counts_as_late_until_it_is_caught_up() -> None:
     history = History()
     history.start(0, 0)
     history.excuse(0, 5_000_000_000)
@@ -110,7 +110,7 @@
     assert (history.late.total, history.late.percentile(1)) == (2, 3.5)
 
 
-# Spoilt programs
+# Planted defects
 
 
 def skips_gaps(self: TopicLog, entry: Entry) -> OfferResult:
@@ -141,7 +141,7 @@
 
 
 def world(seconds: float = 13) -> World:
-    """A region is apart for a while, with the coordinator in it; purges are made outside and inside."""
+    """Isolate the region of the coordinator for a while, with purges submitted inside and outside it."""
     sim = World(Fleet(40, 4, 5), seed=3, loss=0.1)
     sim.start_all()
     sim.run(2)
@@ -157,11 +157,11 @@
 
 
 def faults(sim: World) -> list[str]:
-    """Purges that were made apart may be committed or not; all others must be."""
+    """Faults, except that purges submitted in the isolated region may remain uncommitted."""
     return [fault for fault in sim.history.finish() if not fault.startswith("never committed: b'apart")]
 
 
-def test_the_program_as_it_is_has_no_fault() -> None:
+def test_the_unmodified_program_has_no_fault() -> None:
     sim = world()
     assert faults(sim) == []
     assert sim.epoch == 2
@@ -177,15 +177,15 @@
         (Term, "has_lease", always_leased, "serves topic"),
     ],
 )
-def test_a_spoilt_program_is_found(
+def test_a_planted_defect_is_found(
     owner: type, name: str, defect: Callable[..., object], fault: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, defect)
     assert any(fault in found for found in faults(world()))
 
 
-def test_an_old_owner_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A coordinator that pushes before commitment, without a lease, and routers without the fence."""
+def test_a_coordinator_without_lease_or_fence_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A coordinator pushes before commitment and without a lease, and routers do not fence old epochs."""
     tick = Voter.tick
 
     def pushes_at_once(self: Voter, now: int) -> None:
--- a/tests/dissemination/test_log.py
+++ b/tests/dissemination/test_log.py
@@ -1,4 +1,4 @@
-"""Entries are taken by their numbers, each once and in order; gaps are named; what diverged is noticed."""
+"""Entries are taken once and in order of their numbers; gaps are listed; divergence is detected."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     return Entry(Topic.PURGES, epoch, number, before, (b"key%d" % number,))
 
 
-def test_in_order_each_once() -> None:
+def test_entries_are_taken_in_order_and_once() -> None:
     log = TopicLog(8, 8)
     assert log.offer(entry(1)) is OfferResult.APPENDED
     assert log.offer(entry(1)) is OfferResult.DUPLICATE
@@ -35,7 +35,7 @@
 
 @given(st.lists(st.integers(1, 30), max_size=120), st.integers(0, 2**32))
 def test_any_arrival_order(arrivals: list[int], seed: int) -> None:
-    """Whatever comes how often and in which order: a prefix, in order, and then all of it."""
+    """Entries that arrive in any order and repeatedly are applied in order, and without gaps."""
     log = TopicLog(64, 12)
     applied: list[int] = []
     for number in arrivals:
@@ -52,7 +52,7 @@
     assert applied == list(range(1, 31))
 
 
-def test_far_beyond_a_gap_is_dropped_and_named_as_missing() -> None:
+def test_an_entry_far_beyond_a_gap_is_dropped_and_listed_as_missing() -> None:
     log = TopicLog(64, 4)
     assert log.offer(entry(6)) is OfferResult.DROPPED
     assert log.head == 6
@@ -117,7 +117,7 @@
     assert not topic_store.answer(Fetch(99, Level.SITE, ())).messages
 
 
-def test_a_spoilt_snapshot_changes_nothing() -> None:
+def test_a_corrupt_snapshot_changes_nothing() -> None:
     topic_store = TopicStore(DisseminationSettings(), lambda _: Configuration(lambda *_: ""))
     topic_store.offer(Entry(2, 1, 1, 0, (pack_change("a", b"1"),)))
     with pytest.raises(ValueError, match=r"malformed|truncated|Expected"):
--- a/tests/dissemination/test_messages.py
+++ b/tests/dissemination/test_messages.py
@@ -1,4 +1,4 @@
-"""Messages fit a datagram; an older and a newer release read each other's."""
+"""Messages fit a datagram; older and newer releases can decode each other's messages."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class NewerPush(Struct, frozen=True, array_like=True, tag=100):
-    """A push of a later release, with one more field."""
+    """A push of a later release, with an additional field."""
 
     epoch: int
     coordinator: int
@@ -40,7 +40,7 @@
 
 
 class OlderAcknowledgement(Struct, frozen=True, array_like=True, tag=105):
-    """Before rejections and versions were told."""
+    """An acknowledgement of an older release, without rejections and version."""
 
     round: int
     level: Level
--- a/tests/dissemination/test_relays.py
+++ b/tests/dissemination/test_relays.py
@@ -1,4 +1,4 @@
-"""Relays: each router is told by those who share a view, in turn; who lacks something asks the right ones."""
+"""Relays rotate and reach every router; a router that lacks an entry asks the right nodes."""
 
 from __future__ import annotations
 
@@ -55,8 +55,8 @@
 
 
 @pytest.mark.parametrize("number", range(1, 25))
-def test_all_routers_are_told_and_only_relays_twice(number: int) -> None:
-    """Whichever of the region's relays got it: a router that relays nothing is told exactly once."""
+def test_all_routers_get_a_push_and_only_relays_get_it_twice(number: int) -> None:
+    """Whichever relay of the region got the push, a router that is not a relay receives it exactly once."""
     rotation = PLACEMENT.rotation(1, number)
     deliveries: Counter[int] = Counter()
     forwarded = {node: ForwardHistory() for node in range(120)}
@@ -93,7 +93,7 @@
         assert other.site_relays(SITES[3], number) == PLACEMENT.site_relays(SITES[3], number)
 
 
-def test_a_relay_that_its_own_view_doesnt_choose_tells_everybody() -> None:
+def test_a_relay_that_its_own_view_doesnt_choose_forwards_to_all() -> None:
     other = next(n for n in range(20) if n not in PLACEMENT.site_relays(SITES[0], PLACEMENT.rotation(1, 1)))
     planned = list(plan_forwards(other, SITES[0], push(1, Level.REGION), PLACEMENT, set()))
     assert {target for forward in planned for target in forward.targets} | {other} >= set(range(20))
@@ -109,7 +109,7 @@
 
 
 def test_a_region_relay_passes_on_what_it_had_as_a_sites_relay() -> None:
-    """Redundancy of the region's relays must not hang on which copy came first."""
+    """The redundancy of region relays must not depend on which copy of a push arrives first."""
     rotation = PLACEMENT.rotation(1, 1)
     relay = router(PLACEMENT.region_relays("g0", rotation)[1])
     relay.receive(3, push(1, Level.REGION), 0)
@@ -156,7 +156,7 @@
     assert [record.number for record in node.applied] == list(range(1, number + 2))
 
 
-def test_who_is_asked_and_lacks_it_asks_further_up() -> None:
+def test_a_node_asked_for_an_entry_it_lacks_asks_one_level_higher() -> None:
     rotation = PLACEMENT.rotation(1, 1)
     relay = router(PLACEMENT.site_relays(SITES[0], rotation)[0])
     relay.receive(7, Fetch(1, Level.SITE, (1,)), 0)
@@ -194,7 +194,7 @@
 
 
 def test_a_storm_of_fetches_gives_way_to_pushes() -> None:
-    """Answers are dropped first and bounded; what is pushed on still goes out."""
+    """Answers to fetches are dropped first and bounded; pushes are still forwarded."""
     relay = router(PLACEMENT.site_relays(SITES[0], PLACEMENT.rotation(1, 30))[0])
     for number in range(1, 30):
         relay.receive(3, push(number, Level.SITE), 0)
@@ -210,8 +210,8 @@
     assert not relay.dropped.get(WorkKind.PUSH)
 
 
-def test_a_stranger_is_no_relay() -> None:
-    """A router that the view doesn't have takes what it is told, and asks the voters."""
+def test_a_router_outside_the_view_doesnt_relay() -> None:
+    """A router that is missing from the view applies pushes, and fetches from the voters."""
     node = router(555)
     node.receive(3, push(3, Level.REGION), 0)
     assert node.take_datagrams() == []
@@ -233,7 +233,7 @@
     assert detector.on_push(2, 0, 60 * NS_PER_S)
 
 
-def test_a_poll_is_answered_with_the_beat_that_was_heard() -> None:
+def test_a_poll_is_answered_with_the_latest_heartbeat() -> None:
     node = router(0)
     node.receive(5, Poll(), 0)
     assert node.take_datagrams() == []
@@ -249,7 +249,7 @@
     return Acknowledgement(number, Level.SITE, count, (TopicProgress(1, lowest_number, child),))
 
 
-def test_children_are_counted_once_and_lost_words_bridged() -> None:
+def test_children_are_counted_once_and_lost_acknowledgements_bridged() -> None:
     collector = Collector(NS_PER_S // 2, NS_PER_S)
     for number in range(1, 10):
         for child in range(20):
@@ -272,7 +272,7 @@
     assert (summed.router_count, summed.progress) == (1, (TopicProgress(1, 9, 2),))
 
 
-def test_reasons_are_added_up_and_the_latest_go_first() -> None:
+def test_rejections_are_added_up_and_the_latest_go_first() -> None:
     collector = Collector(0, 0)
     for child in range(30):
         reasons = tuple(Rejection(2, number, 0, "no number") for number in range(1, 8))
@@ -293,7 +293,7 @@
     return queue
 
 
-def test_undecided_ones_are_sent_again_in_order() -> None:
+def test_undecided_submissions_are_sent_again_in_order() -> None:
     queue = submissions()
     first, second = queue.submit(1, b"a", 0), queue.submit(1, b"b", 0)
     for now in (0, SETTINGS.submit_retry):
--- a/tests/dissemination/test_voter.py
+++ b/tests/dissemination/test_voter.py
@@ -1,7 +1,8 @@
-"""The coordinator: order by router and topic, nothing pushed before it is committed, lasting refusals."""
+"""The coordinator orders submissions by router and topic, pushes committed entries only, and upholds refusals."""
 
 from __future__ import annotations
 
+from saltport.dissemination.ledger import MAX_OUTCOMES, MAX_STREAMS, OutcomeLedger
 from saltport.dissemination.messages import (
     Acknowledgement,
     Decision,
@@ -23,7 +24,6 @@
 from saltport.dissemination.placement import Placement, Site
 from saltport.dissemination.settings import NS_PER_S, DisseminationSettings
 from saltport.dissemination.states import TopicState
-from saltport.dissemination.submission_outcomes import MAX_OUTCOMES, MAX_STREAMS, SubmissionOutcomes
 from saltport.dissemination.submissions import MAX_RECORD_BYTES
 from saltport.dissemination.term import NO_MAJORITY, OVERLOADED, TOO_LARGE
 from saltport.dissemination.voter import Voter
@@ -67,7 +67,7 @@
     return [record for proposal in proposals for record in proposal.entry.records]
 
 
-def test_each_once_and_in_order_whatever_is_repeated() -> None:
+def test_repeated_submissions_are_committed_once_and_in_order() -> None:
     coordinator = leader()
     for message in (submit(5), submit(5, 6), submit(5), submit(5, 6, 7)):
         coordinator.receive(3, message, 0)
@@ -94,7 +94,7 @@
     ] * 8
 
 
-def test_a_new_coordinator_goes_on_where_the_log_ends() -> None:
+def test_a_new_coordinator_continues_where_the_log_ends() -> None:
     coordinator, other = leader(), voter(91)
     coordinator.receive(3, submit(5), 0)
     coordinator.tick(BATCH)
@@ -112,7 +112,7 @@
     assert after.entry.records == (b"r6",)
 
 
-def test_who_steps_down_proposes_and_answers_nothing() -> None:
+def test_a_coordinator_that_stepped_down_proposes_and_answers_nothing() -> None:
     coordinator = leader()
     coordinator.receive(3, submit(5), 0)
     coordinator.tick(BATCH)
@@ -126,7 +126,7 @@
     assert coordinator.epoch is None
 
 
-def test_without_a_majority_it_refuses_and_vouches_for_nothing() -> None:
+def test_a_coordinator_without_a_majority_refuses_and_sends_no_heartbeat() -> None:
     coordinator = leader()
     late = SETTINGS.lease + BATCH
     coordinator.receive(3, submit(5), late)
@@ -155,7 +155,7 @@
     assert coordinator.topic_store.logs[1].last == 2
 
 
-def test_bounds_are_told() -> None:
+def test_exceeded_bounds_are_refused_with_a_reason() -> None:
     coordinator = leader()
     coordinator.receive(3, submit(5, body=b"x" * (MAX_RECORD_BYTES + 1)), 0)
     assert sent(coordinator, Decision) == [Decision(START, (), (Refusal(5, TOO_LARGE),))]
@@ -188,7 +188,7 @@
     assert sent(coordinator, Repair) == [Repair(entry)]
 
 
-def test_reasons_come_back_to_whoever_made_the_change() -> None:
+def test_reasons_of_rejections_reach_the_submitting_router() -> None:
     coordinator = leader()
     coordinator.receive(3, submit(5, 6, topic=2), 0)
     coordinator.tick(BATCH)
@@ -210,7 +210,7 @@
 
 
 def test_a_new_process_begins_anew_even_with_a_lower_start() -> None:
-    """Clocks are set back: its first change isn't taken for an old one of the process before it."""
+    """After the clock was set back, a new process's first change must not count as one of the old process."""
     coordinator = leader()
     coordinator.receive(3, submit(1, 2), 0)
     assert committed(coordinator, BATCH) == [b"r1", b"r2"]
@@ -220,8 +220,8 @@
     assert sent(coordinator, Decision) == [Decision(START - 9, (1,))]
 
 
-def test_what_is_remembered_is_bounded_and_nothing_is_said_of_the_rest() -> None:
-    outcomes = SubmissionOutcomes()
+def test_remembered_outcomes_are_bounded_and_older_ones_unknown() -> None:
+    outcomes = OutcomeLedger()
     for router in range(MAX_OUTCOMES + 10):
         outcomes.record_committed(Origin(router, START, 1), 1)
     assert outcomes.outcome(Origin(3, START, 1)) is None
@@ -229,7 +229,7 @@
     assert len(outcomes.last_committed()) == MAX_STREAMS
 
 
-def test_a_refused_one_before_a_committed_one_stays_refused() -> None:
+def test_a_refused_submission_before_a_committed_one_stays_refused() -> None:
     coordinator = leader()
     late = SETTINGS.lease + BATCH
     coordinator.receive(3, submit(5), late)
--- a/tests/dissemination/test_world.py
+++ b/tests/dissemination/test_world.py
@@ -1,4 +1,4 @@
-"""The hard cases in virtual time: verdicts by safety and counts, seconds of the world and not the machine."""
+"""Fault scenarios in virtual time, judged by safety and by counts; all times are simulated seconds."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 def purges(sim: World, count: int, nodes: list[int], name: str = "p", rate: int = 8) -> None:
-    """So many, at a rate a second, in turn from these routers."""
+    """Submit `count` purges at `rate` per second, from the given routers in rotation."""
     for number in range(count):
         sim.submit(nodes[number % len(nodes)], Topic.PURGES, f"{name}{number}".encode())
         sim.run(1 / rate)
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.05, 0.3])
-def test_everywhere_once_and_in_order(loss: float) -> None:
+def test_all_routers_apply_each_purge_once_and_in_order(loss: float) -> None:
     sim = world(loss=loss)
     purges(sim, 80, [1, 2, 7])
     sim.run(8)
@@ -69,7 +69,7 @@
 
 
 def test_dead_relays_cost_under_a_second() -> None:
-    """All relays of the next entry in a site, and of its region, die at once."""
+    """All relays of the next entry in a site and in its region die at once."""
     sim = world(loss=0.0)
     purges(sim, 8, [1])
     sim.run(2)
@@ -118,8 +118,8 @@
     assert sim.history.slowest() < before + 1
 
 
-def test_two_minutes_apart_refuses_to_serve_until_caught_up() -> None:
-    """A purge overtakes a fetch that began before the cut: nothing is served before the purge is there."""
+def test_a_region_cut_off_for_two_minutes_refuses_to_serve_until_caught_up() -> None:
+    """A purge during the cut overtakes an earlier fetch: nothing is served until the purge has arrived."""
     sim = world()
     purges(sim, 16, [1])
     token = purge_state(sim, 2).begin_fetch()
@@ -137,7 +137,7 @@
     assert sim.history.late.total > 340 * len(REGION_2)
 
 
-def test_away_for_too_long_takes_a_snapshot() -> None:
+def test_a_region_cut_off_longer_than_the_log_is_retained_loads_a_snapshot() -> None:
     sim = world(settings=DisseminationSettings(retained_entries=16))
     for number in range(40):
         sim.submit(1 + number % 5, Topic.CONFIGURATION, pack_change(f"key{number % 30}", b"%d" % number * 20))
@@ -157,8 +157,8 @@
     }
 
 
-def test_a_region_alone_changes_nothing() -> None:
-    """The coordinator is in it, with a minority of voters."""
+def test_an_isolated_region_commits_nothing() -> None:
+    """The isolated region has the coordinator and a minority of the voters."""
     sim = world()
     purges(sim, 8, [1])
     sim.part(0, 20 * NS_PER_S)
@@ -182,7 +182,7 @@
     assert {sim.router(node).verdict(Topic.PURGES, sim.now) for node in range(60)} == {Verdict.FRESH}
 
 
-def test_a_coordinator_that_stood_still_does_no_harm() -> None:
+def test_a_paused_coordinator_does_no_harm() -> None:
     sim = world()
     purges(sim, 8, [1])
     old = sim.leader
@@ -279,7 +279,7 @@
 
 
 def test_routers_keep_within_their_bounds() -> None:
-    """Over a cut and a return: what a router holds, and the bytes that it sends in any ten seconds."""
+    """Bounds of stored entries, and of bytes sent in ten seconds, hold during a partition and after it."""
     sim = world()
     settings = sim.settings
     sim.part(2, 40 * NS_PER_S)
@@ -298,8 +298,8 @@
         assert len(log._pending) <= settings.pending_entries
 
 
-def test_a_router_that_starts_in_a_region_apart_isnt_fresh_by_what_its_neighbours_tell() -> None:
-    """They tell the last heartbeat again, many times: it is no younger for that."""
+def test_a_router_started_in_an_isolated_region_isnt_fresh_by_repeated_heartbeats() -> None:
+    """Neighbours repeat the last heartbeat many times, which must not make it count as newer."""
     sim = world()
     purges(sim, 16, [1])
     sim.part(2, 20 * NS_PER_S)
@@ -318,7 +318,7 @@
 
 
 def chaos(seed: int, seconds: int = 20) -> World:
-    """Deaths, stops, cuts both ways and one way, slow nodes and coordinators that stand still, at random."""
+    """Random deaths, pauses, partitions, slow nodes and paused coordinators."""
     rng = random.Random(seed)
     sim = world(seed=seed, loss=rng.choice([0.0, 0.05, 0.3]))
     sim.settings = replace(sim.settings, retained_entries=rng.choice([16, 4_096]))
@@ -346,7 +346,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3, 33, 56])
 def test_random_faults_break_no_rule(seed: int) -> None:
-    """A change of a router that was cut off may be lost: then it wasn't told that it is committed."""
+    """A change of an isolated router may be lost, but only if it was not reported as committed."""
     sim = chaos(seed)
     lost = [fault for fault in sim.history.finish() if fault.startswith("never committed")]
     assert [fault for fault in sim.history.faults if fault not in lost] == []
