--- a/saltport/dissemination/acknowledgements.py
+++ b/saltport/dissemination/acknowledgements.py
@@ -25,10 +25,10 @@
 def merge_progress(progress: Iterable[TopicProgress]) -> tuple[TopicProgress, ...]:
     """The lowest progress of each topic, ordered by topic."""
     lowest: dict[int, TopicProgress] = {}
-    for row in progress:
-        current = lowest.get(row.topic)
-        if current is None or row.lowest_number < current.lowest_number:
-            lowest[row.topic] = row
+    for reported in progress:
+        current = lowest.get(reported.topic)
+        if current is None or reported.lowest_number < current.lowest_number:
+            lowest[reported.topic] = reported
     return tuple(lowest[topic] for topic in sorted(lowest))
 
 
@@ -43,7 +43,7 @@
 
 
 def fit_to_datagram(message: Acknowledgement) -> Acknowledgement:
-    """Return the acknowledgement without as many rejections as needed to fit a datagram."""
+    """Drop rejections from the end until the acknowledgement fits a datagram."""
     while message.rejections and len(encode(message)) > MAX_MESSAGE_BYTES:
         message = Acknowledgement(
             message.round, message.level, message.router_count, message.progress,
@@ -61,6 +61,7 @@
     due: int | None = None
     """Time to send the sum of the current round, or None if it was sent."""
     round: int = 0
+    """Latest round of which an acknowledgement arrived."""
 
 
 class Collector:
@@ -111,7 +112,9 @@
                 state.round,
                 Level(min(level + 1, Level.VOTERS)),
                 sum(acknowledgement.router_count for acknowledgement in parts),
-                merge_progress(row for acknowledgement in parts for row in acknowledgement.progress),
+                merge_progress(
+                    reported for acknowledgement in parts for reported in acknowledgement.progress
+                ),
                 merge_rejections(
                     rejection for acknowledgement in parts for rejection in acknowledgement.rejections
                 ),
--- a/saltport/dissemination/acknowledger.py
+++ b/saltport/dissemination/acknowledger.py
@@ -86,6 +86,7 @@
         return sent
 
     def _own(self, logs: Mapping[int, TopicLog]) -> Acknowledgement:
+        """This router's own acknowledgement of the current round."""
         progress = tuple(TopicProgress(topic, log.last, self._node) for topic, log in sorted(logs.items()))
         rejections = tuple(rejection for _, rejection in self._rejections)
         left = ((rounds - 1, rejection) for rounds, rejection in self._rejections if rounds > 1)
@@ -93,6 +94,7 @@
         return fit_to_datagram(Acknowledgement(self._round, Level.SITE, 1, progress, rejections))
 
     def _target(self, acknowledgement: Acknowledgement, placement: Placement, coordinator: int) -> int:
+        """Return the node to send an acknowledgement to: the collector of its level, or the coordinator."""
         site = placement.site(self._node)
         rotation = placement.rotation(0, acknowledgement.round // ROUNDS_PER_COLLECTOR)
         if site is None or acknowledgement.level is Level.VOTERS:
--- a/saltport/dissemination/freshness.py
+++ b/saltport/dissemination/freshness.py
@@ -41,12 +41,15 @@
         self._coordinator_started: int | None = None
         """Lower bound of the start of the coordinator's term by this router's clock, or None if unknown."""
         self._synced_at = 0
+        """Time of the answer that `_coordinator_started` was computed from."""
         self._all_heads_as_of: int | None = None
         """Send time of the latest push that listed all heads: topics not listed then had no entries."""
         self._known_topics: set[int] = set()
         """Topics that any push has listed."""
         self._caught_up: dict[int, int] = {}
+        """By topic: the latest time as of which all entries are applied."""
         self._pending_heads: dict[int, deque[tuple[int, int]]] = {}
+        """By topic: head and send time of pushes whose entries are not all applied."""
 
     def start_poll(self, now: int) -> int:
         """Start a poll of the coordinator, and return its number.
--- a/saltport/dissemination/log.py
+++ b/saltport/dissemination/log.py
@@ -56,6 +56,7 @@
         return OfferResult.APPENDED
 
     def _append(self, entry: Entry) -> bool:
+        """Append the next entry; return False, and mark the log diverged, if it contradicts the last."""
         if entry.previous_epoch != self.last_epoch or entry.epoch < self.last_epoch:
             self.diverged = True
             return False
--- a/saltport/dissemination/messages.py
+++ b/saltport/dissemination/messages.py
@@ -33,7 +33,7 @@
 
 
 class Level(IntEnum):
-    """Level of the hierarchy: of the nodes asked for a missing entry, or of a push or acknowledgement."""
+    """Level of the hierarchy: of the nodes that a fetch, push or acknowledgement is addressed to."""
 
     SITE = 0
     REGION = 1
--- a/saltport/dissemination/repair.py
+++ b/saltport/dissemination/repair.py
@@ -55,7 +55,7 @@
             self._restart(now + self._settings.gap_grace)
 
     def on_unanswered_fetch(self, level: Level, now: int) -> None:
-        """Fetch at once from one level higher than `level`, at which another node asked this one in vain."""
+        """Fetch at once from the level above `level`, where another node asked for an entry missing here."""
         self.check_for_gap(now)
         next_level = Level(min(level + 1, Level.VOTERS))
         if self.due is not None and next_level > self._level:
--- a/saltport/dissemination/router.py
+++ b/saltport/dissemination/router.py
@@ -138,7 +138,7 @@
         """Do all scheduled work whose time has come."""
         for topic, repair in list(self._repairs.items()):
             if topic not in self._transfers and repair.due is not None and repair.due <= now:
-                self._fetch(topic, repair, now)
+                self._send_fetches(topic, repair, now)
         for topic, transfer in list(self._transfers.items()):
             if transfer.failed:
                 del self._transfers[topic]
@@ -184,13 +184,14 @@
         self._queue.enqueue(WorkKind.FETCH, (target,), Poll(), now)
 
     def _on_poll(self, source: int, now: int) -> None:
-        """Answer with the latest push, with the heads it carried: its send time is proof for those only."""
+        """Answer with the latest push and its own heads: its send time proves freshness for those only."""
         latest = self._latest_push
         if latest is not None:
             message = Push(latest.epoch, latest.coordinator, latest.sent_ms, Level.SITE, latest.heads)
             self._queue.enqueue(WorkKind.REPAIR, (source,), message, now)
 
     def _forward(self, push: Push, now: int) -> None:
+        """Forward a push to the nodes that this router relays it to, if any."""
         site = self.placement.site(self.node)
         if site is None or push.level is Level.SITE:
             return
@@ -219,6 +220,7 @@
             self._queue.enqueue(WorkKind.PUSH, forward.targets, repair, now)
 
     def _offer(self, entry: Entry, now: int) -> OfferResult:
+        """Add an entry to its log, and record and acknowledge the records applied by it."""
         offer, applied = self.topic_store.offer(entry)
         self._record(applied)
         self._on_log_changed(entry.topic, entry.number, now)
@@ -241,6 +243,7 @@
         self.freshness.on_applied(topic, log.last)
 
     def _on_head(self, head: Head, now: int) -> None:
+        """Note the last committed entry of a topic, and schedule repair if entries are missing."""
         log = self.topic_store.log(head.topic)
         if log is not None and (log.learn_head(head.number) or head.topic not in self._repairs):
             self._on_log_changed(head.topic, 0, now)
@@ -249,7 +252,8 @@
 
     # Gaps
 
-    def _fetch(self, topic: int, repair: GapRepair, now: int) -> None:
+    def _send_fetches(self, topic: int, repair: GapRepair, now: int) -> None:
+        """Send the fetches that are due for a topic's missing entries."""
         log = self.topic_store.logs[topic]
         if log.head <= log.last and not log.diverged:
             repair.due = None
@@ -268,6 +272,7 @@
         return Level.REGION if self.node in self.placement.site_relays(site, rotation) else Level.SITE
 
     def _target(self, rotation: int, level: Level, tries: int) -> int:
+        """Return the node of a level to ask in the given try; a voter if the level has no other router."""
         site = self.placement.site(self.node)
         order: tuple[int, ...] = ()
         if site is not None and level is Level.SITE:
@@ -281,6 +286,7 @@
         return voters[(voters.index(self._coordinator) + tries) % len(voters)]
 
     def _on_fetch(self, source: int, fetch: Fetch, now: int) -> None:
+        """Send the requested entries, and schedule a fetch of those that this router lacks too."""
         answer = self.topic_store.answer(fetch)
         for message in answer.messages:
             self._queue.enqueue(WorkKind.REPAIR, (source,), message, now)
@@ -324,6 +330,7 @@
 
 
 def _work_kind(message: Message) -> WorkKind:
+    """Kind of work that processing a received message counts as."""
     if isinstance(message, Acknowledgement):
         return WorkKind.ACKNOWLEDGE
     if isinstance(message, Fetch | FetchSnapshotParts | Poll):
--- a/saltport/dissemination/settings.py
+++ b/saltport/dissemination/settings.py
@@ -27,20 +27,27 @@
     silence_timeout: int = 350 * NS_PER_MS
     """Time without a newer push after which a router polls others, at growing intervals."""
     poll_retry: int = 40 * NS_PER_MS
+    """Interval between the first two polls; later intervals grow."""
     max_poll_retry: int = 1_000 * NS_PER_MS
+    """Upper limit of the interval between polls."""
     gap_grace: int = 10 * NS_PER_MS
     """Delay of the first fetch after a gap is found: the missing entry may be in flight."""
     site_retry: int = 15 * NS_PER_MS
     """Interval between the first two fetches within a site; later intervals grow."""
     region_retry: int = 50 * NS_PER_MS
+    """As `site_retry`, for fetches from the region's relays and for parts of snapshots."""
     voter_retry: int = 200 * NS_PER_MS
+    """As `site_retry`, for fetches from voters."""
     max_retry: int = 250 * NS_PER_MS
+    """Upper limit of the interval between fetches."""
     tries_per_level: int = 5
     """Fetches without progress before the next level is asked."""
     fetch_entries: int = 16
     """Maximum of entries, or of snapshot parts, in one fetch."""
     submit_retry: int = 150 * NS_PER_MS
+    """Interval after which undecided submissions are sent again."""
     submit_copies: int = 2
+    """Datagrams sent of each message with submissions, because datagrams get lost."""
     submit_timeout: int = 10 * NS_PER_S
     """Time after which the outcome of an undecided submission is reported as unknown."""
     max_submissions: int = 256
@@ -57,20 +64,26 @@
     site_collect_delay: int = 500 * NS_PER_MS
     """Delay from the first acknowledgement of a round until a site's collector sends its sum."""
     region_collect_delay: int = 1_000 * NS_PER_MS
+    """As `site_collect_delay`, for a region's collector."""
     retained_entries: int = 4_096
     """Entries retained of each topic's log; a router that needs older ones loads a snapshot."""
     pending_entries: int = 256
     """Maximum of entries of each topic stored beyond a gap."""
     max_topics: int = 16
+    """Maximum of topics; entries of further topics are dropped."""
     fresh_for: int = 2_500 * NS_PER_MS
     """Maximum time since a router was provably caught up with a topic for which it may serve the topic."""
     clock_poll_interval: int = 60 * NS_PER_S
     """Interval between polls of a coordinator's clock; the first is spread over `clock_spread`."""
     clock_spread: int = 300 * NS_PER_MS
+    """Time over which routers spread their first poll of a new coordinator."""
     clock_retry: int = 300 * NS_PER_MS
+    """Interval after the first unanswered poll of a coordinator's clock; later intervals grow."""
     bytes_per_s: int = 16_000
     """Maximum rate at which a router sends."""
     burst_bytes: int = 48_000
+    """Bytes that a router may send at once beyond that rate."""
     messages_per_s: int = 400
     """Maximum rate of messages that a router processes."""
     burst_messages: int = 1_600
+    """Messages that a router may process at once beyond that rate."""
--- a/saltport/dissemination/snapshot.py
+++ b/saltport/dissemination/snapshot.py
@@ -55,7 +55,7 @@
     def next_fetch(self, now: int) -> FetchSnapshotParts:
         """Return a request for the next missing parts, and schedule the next one."""
         missing = (part for part in range(self._total) if part not in self._parts)
-        asked = tuple(part for part, _ in zip(missing, range(self._settings.fetch_entries), strict=False))
+        requested = tuple(part for part, _ in zip(missing, range(self._settings.fetch_entries), strict=False))
         self._tries += 1
         self.due = now + self._settings.region_retry * min(self._tries, 6)
-        return FetchSnapshotParts(self.topic, self.number, asked)
+        return FetchSnapshotParts(self.topic, self.number, requested)
--- a/saltport/dissemination/states.py
+++ b/saltport/dissemination/states.py
@@ -62,6 +62,7 @@
         self._max_purges = max_purges
         self._latest: OrderedDict[bytes, int] = OrderedDict()
         self._floor = self._applied = 0
+        """`_floor`: fetches that began before this purge entry all count as overtaken."""
 
     def apply(self, number: int, record: bytes) -> str:
         """Purge the object whose key is `record`."""
--- a/saltport/dissemination/submissions.py
+++ b/saltport/dissemination/submissions.py
@@ -43,6 +43,8 @@
 
 @dataclass(slots=True)
 class _Pending:
+    """An undecided submission, with the voters that it was sent to."""
+
     submission: Submission
     submitted_at: int
     voters: set[int] = field(default_factory=set)
@@ -57,8 +59,11 @@
         self._pending: deque[_Pending] = deque()
         self._tries = 0
         self.due: int | None = None
+        """Time of the next call of `tick`, or None if nothing is undecided."""
         self.coordinator: int | None = None
+        """Node number of the coordinator, or None if unknown."""
         self.outcomes: list[SubmissionResult] = []
+        """Results of submissions, in the order in which they became known."""
 
     def submit(self, topic: int, body: bytes, now: int) -> int:
         """Queue a change and return its sequence number; raise SubmissionError if it is not accepted."""
--- a/saltport/dissemination/term.py
+++ b/saltport/dissemination/term.py
@@ -63,6 +63,7 @@
             self._waiting.append((origin, submission))
 
     def _refusal(self, submission: Submission, now: int) -> str:
+        """Return why a submission is refused, or an empty string."""
         if not self.has_lease(now):
             return NO_MAJORITY
         if len(submission.body) > MAX_RECORD_BYTES:
@@ -85,6 +86,7 @@
         return proposals
 
     def _entries(self, topic: int, submissions: list[tuple[Origin, Submission]]) -> list[Proposal]:
+        """Split a topic's submissions into entries of at most `MAX_ENTRY_BYTES`."""
         proposals: list[Proposal] = []
         chosen: list[tuple[Origin, Submission]] = []
         room = MAX_ENTRY_BYTES - ENTRY_OVERHEAD_BYTES
--- a/saltport/dissemination/topic_store.py
+++ b/saltport/dissemination/topic_store.py
@@ -50,6 +50,8 @@
 
 @dataclass(frozen=True, slots=True)
 class _Snapshot:
+    """An encoded topic state after entry `number`, split into parts."""
+
     number: int
     epoch: int
     data: bytes
@@ -116,6 +118,7 @@
         )
 
     def _first_part(self, topic: int, log: TopicLog) -> SnapshotPart | None:
+        """Return part 0 of a recent snapshot, made anew if needed; None if the topic has no snapshots."""
         snapshot = self._snapshots.get(topic)
         age = SNAPSHOT_REUSE_ENTRIES if snapshot is not None and snapshot.parts > 1 else 0
         if snapshot is None or snapshot.number + age < log.last:
@@ -133,8 +136,8 @@
         snapshot = self._snapshots.get(fetch.topic)
         if snapshot is None or snapshot.number != fetch.number:
             return []
-        asked = fetch.parts[: self._settings.fetch_entries]
-        return [snapshot.part(fetch.topic, part) for part in asked if 0 <= part < snapshot.parts]
+        requested = fetch.parts[: self._settings.fetch_entries]
+        return [snapshot.part(fetch.topic, part) for part in requested if 0 <= part < snapshot.parts]
 
     def load(self, topic: int, number: int, epoch: int, data: bytes) -> list[AppliedRecord]:
         """Load a topic's snapshot, and apply pending entries after it; raise ValueError if unreadable."""
--- a/saltport/dissemination/voter.py
+++ b/saltport/dissemination/voter.py
@@ -58,6 +58,7 @@
         self._outcomes = OutcomeLedger()
         self._term: Term | None = None
         self._origins: OrderedDict[tuple[int, int], tuple[Origin, ...]] = OrderedDict()
+        """Origins of the records of recent entries, by topic and number."""
         self._proposals: list[Proposal] = []
 
     # Coordination
@@ -77,7 +78,7 @@
             self._term.lease_confirmed_at = max(sent_at, self._term.lease_confirmed_at)
 
     def step_down(self) -> None:
-        """End the term as coordinator, and discard proposals that were not taken."""
+        """End the term as coordinator, and discard submissions and proposals that are not committed."""
         self._term = None
         self._proposals.clear()
 
@@ -132,6 +133,7 @@
             self._queue.enqueue(WorkKind.PUSH, (router,), Decision(process_start, tuple(sequences)), now)
 
     def _push(self, term: Term, entry: Entry | None, now: int) -> None:
+        """Send an entry, or a heartbeat if it is None, to the relays of all regions."""
         term.last_push = now
         push = self._heartbeat(term, Level.VOTERS, now, entry)
         rotation = push_rotation(self.placement, push)
@@ -172,6 +174,7 @@
             self._on_acknowledgement(source, message, now)
 
     def _on_submit(self, router: int, submit: Submit, now: int) -> None:
+        """Pass new submissions to the term, and answer those whose outcome is known."""
         term = self._term
         if term is None:
             return
@@ -191,6 +194,7 @@
             self._queue.enqueue(WorkKind.PUSH, (router,), answer, now)
 
     def _on_acknowledgement(self, source: int, acknowledgement: Acknowledgement, now: int) -> None:
+        """Store a region's acknowledgement, and report new rejections to the submitting routers."""
         site = self.placement.site(source)
         if site is None:
             return
@@ -209,6 +213,7 @@
         return self._collector.sum(Level.VOTERS)
 
     def _notify_origin(self, key: RejectionKey, now: int) -> None:
+        """Report a rejection to the router that submitted the record."""
         topic, number, index, reason = key
         origins = self._origins.get((topic, number), ())
         if index < len(origins):
--- a/tests/dissemination/test_relays.py
+++ b/tests/dissemination/test_relays.py
@@ -99,7 +99,7 @@
     assert {target for forward in planned for target in forward.targets} | {other} >= set(range(20))
 
 
-def test_a_push_is_passed_on_once() -> None:
+def test_a_push_is_forwarded_once() -> None:
     relay = router(PLACEMENT.site_relays(SITES[0], PLACEMENT.rotation(1, 1))[0])
     relay.receive(3, push(1, Level.REGION), 0)
     assert len(relay.take_datagrams()) == 1 + 9
@@ -108,7 +108,7 @@
     assert len(relay.applied) == 1
 
 
-def test_a_region_relay_passes_on_what_it_had_as_a_sites_relay() -> None:
+def test_a_region_relay_forwards_what_it_got_as_a_site_relay() -> None:
     """The redundancy of region relays must not depend on which copy of a push arrives first."""
     rotation = PLACEMENT.rotation(1, 1)
     relay = router(PLACEMENT.region_relays("g0", rotation)[1])
@@ -299,11 +299,13 @@
     for now in (0, SETTINGS.submit_retry):
         for target, submit in queue.tick(now):
             assert target == VOTERS[0]
-            assert [record.sequence for record in submit.submissions] == [first, second]
+            assert [submission.sequence for submission in submit.submissions] == [first, second]
     queue.on_decision(Decision(START, (first,)))
     ((_, submit), _) = queue.tick(2 * SETTINGS.submit_retry)
-    assert [record.sequence for record in submit.submissions] == [second]
-    assert [(record.sequence, record.outcome) for record in queue.outcomes] == [(first, Outcome.COMMITTED)]
+    assert [submission.sequence for submission in submit.submissions] == [second]
+    assert [(submission.sequence, submission.outcome) for submission in queue.outcomes] == [
+        (first, Outcome.COMMITTED)
+    ]
 
 
 def test_a_refusal_is_final_only_if_no_other_voter_got_it() -> None:
@@ -311,7 +313,7 @@
     sequence = queue.submit(1, b"a", 0)
     queue.tick(0)
     queue.on_decision(Decision(START, (), (Refusal(sequence, "no majority"),)))
-    assert [record.outcome for record in queue.outcomes] == [Outcome.REFUSED]
+    assert [submission.outcome for submission in queue.outcomes] == [Outcome.REFUSED]
     queue = submissions()
     sequence = queue.submit(1, b"a", 0)
     for retry in range(8):
@@ -319,7 +321,7 @@
     queue.on_decision(Decision(START, (), (Refusal(sequence, "no majority"),)))
     assert queue.outcomes == []
     queue.tick(SETTINGS.submit_timeout)
-    assert [record.outcome for record in queue.outcomes] == [Outcome.UNKNOWN]
+    assert [submission.outcome for submission in queue.outcomes] == [Outcome.UNKNOWN]
 
 
 def test_submissions_are_bounded() -> None:
--- a/tests/dissemination/test_voter.py
+++ b/tests/dissemination/test_voter.py
@@ -1,4 +1,4 @@
-"""The coordinator orders submissions by router and topic, pushes committed entries only, and upholds refusals."""
+"""The coordinator orders submissions by router and topic, and pushes committed entries only."""
 
 from __future__ import annotations
 
@@ -181,11 +181,11 @@
 
 
 def test_each_voter_answers_fetches() -> None:
-    coordinator = voter(92)
+    replica = voter(92)
     entry = Entry(1, 1, 1, 0, (b"x",))
-    coordinator.on_committed(Proposal(entry, ()), 0)
-    coordinator.receive(3, Fetch(1, Level.VOTERS, (1, 2)), 0)
-    assert sent(coordinator, Repair) == [Repair(entry)]
+    replica.on_committed(Proposal(entry, ()), 0)
+    replica.receive(3, Fetch(1, Level.VOTERS, (1, 2)), 0)
+    assert sent(replica, Repair) == [Repair(entry)]
 
 
 def test_reasons_of_rejections_reach_the_submitting_router() -> None:
