--- a/saltport/dissemination/acknowledgements.py
+++ b/saltport/dissemination/acknowledgements.py
@@ -1,8 +1,8 @@
-"""Sums of acknowledgements on their way up: from routers to a site's collector, a region's, the coordinator.
+"""Sums acknowledgements on the way from routers through site and region collectors to the coordinator.
 
-A collector holds the last word of each child for some rounds, so that a lost datagram changes a count by
-nothing or by a round's delay; a child is counted once. Each site and region has one collector at a time, in
-turn. Of rejections the latest few are passed on.
+A collector uses the latest acknowledgement of each child for some rounds, so that a lost datagram at most
+delays a count by a round; each child is counted once. The collector of each site and region rotates. Only the
+latest rejections are passed on.
 """
 
 from __future__ import annotations
@@ -10,104 +10,114 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from saltport.dissemination.messages import VERSION, Acknowledgement, Level, Rejection, Row, encode
-from saltport.dissemination.settings import MESSAGE
+from saltport.dissemination.messages import VERSION, Acknowledgement, Level, Rejection, TopicProgress, encode
+from saltport.dissemination.settings import MAX_MESSAGE_BYTES
 
-MOST_REJECTIONS = 4  # in one acknowledgement
-MOST_CHILDREN = 2_048  # at a collector
-ROUNDS_HELD = 4  # for which a child's last word counts, while nothing newer came
-MOST_REASON = 60  # characters
+MAX_REJECTIONS = 4  # in one acknowledgement
+MAX_CHILDREN = 2_048  # at a collector
+CHILD_EXPIRY_ROUNDS = 4  # rounds after which a child without a newer acknowledgement is no longer counted
+MAX_REASON_CHARS = 60
 
 RejectionKey = tuple[int, int, int, str]
+"""Topic, entry number, index of the record in the entry, and reason."""
 
 
-def merge_rows(rows: Iterable[Row]) -> tuple[Row, ...]:
-    """The lowest of each topic."""
-    lowest: dict[int, Row] = {}
-    for row in rows:
-        held = lowest.get(row.topic)
-        if held is None or row.lowest < held.lowest:
-            lowest[row.topic] = row
+def merge_progress(progress: Iterable[TopicProgress]) -> tuple[TopicProgress, ...]:
+    """The lowest progress of each topic, ordered by topic."""
+    lowest: dict[int, TopicProgress] = {}
+    for reported in progress:
+        current = lowest.get(reported.topic)
+        if current is None or reported.lowest_number < current.lowest_number:
+            lowest[reported.topic] = reported
     return tuple(lowest[topic] for topic in sorted(lowest))
 
 
 def merge_rejections(rejections: Iterable[Rejection]) -> tuple[Rejection, ...]:
-    """Counts of the same rejection added up; the latest ones, if there are too many."""
+    """Sum the counts of equal rejections; return those of the latest entries, at most `MAX_REJECTIONS`."""
     counts: dict[RejectionKey, int] = {}
-    for told in rejections:
-        key = (told.topic, told.number, told.index, told.reason[:MOST_REASON])
-        counts[key] = counts.get(key, 0) + told.count
-    latest = sorted(counts, key=lambda key: key[1], reverse=True)[:MOST_REJECTIONS]
+    for rejection in rejections:
+        key = (rejection.topic, rejection.number, rejection.index, rejection.reason[:MAX_REASON_CHARS])
+        counts[key] = counts.get(key, 0) + rejection.count
+    latest = sorted(counts, key=lambda key: key[1], reverse=True)[:MAX_REJECTIONS]
     return tuple(Rejection(*key, counts[key]) for key in latest)
 
 
-def fitted(message: Acknowledgement) -> Acknowledgement:
-    """Fewer rejections, if it is too long for a datagram."""
-    while message.rejections and len(encode(message)) > MESSAGE:
+def fit_to_datagram(message: Acknowledgement) -> Acknowledgement:
+    """Drop rejections from the end until the acknowledgement fits a datagram."""
+    while message.rejections and len(encode(message)) > MAX_MESSAGE_BYTES:
         message = Acknowledgement(
-            message.round, message.level, message.counted, message.rows,
+            message.round, message.level, message.router_count, message.progress,
             message.rejections[:-1], message.version,
         )  # fmt: skip
     return message
 
 
 @dataclass(slots=True)
-class _Level:
-    """What a collector holds for one level."""
+class _LevelState:
+    """A collector's state for one level."""
 
     latest: dict[str, Acknowledgement] = field(default_factory=dict)
-    """By child: its last word."""
+    """Latest acknowledgement by child."""
     due: int | None = None
-    """When the sum of the round under way goes up."""
+    """Time to send the sum of the current round, or None if it was sent."""
     round: int = 0
+    """Latest round of which an acknowledgement arrived."""
 
 
 class Collector:
-    """What a router collects for others: the last word of each child, for so many rounds."""
+    """Latest acknowledgements of child nodes, summed for the next level."""
 
-    def __init__(self, site_time: int, region_time: int) -> None:
-        self._times = {Level.SITE: site_time, Level.REGION: region_time, Level.VOTERS: 0}
-        self._levels: dict[Level, _Level] = {}
+    def __init__(self, site_delay: int, region_delay: int) -> None:
+        self._collect_delays = {Level.SITE: site_delay, Level.REGION: region_delay, Level.VOTERS: 0}
+        self._levels: dict[Level, _LevelState] = {}
 
     @property
     def due(self) -> int | None:
-        """When the next sum goes up."""
-        return min((held.due for held in self._levels.values() if held.due is not None), default=None)
-
-    def add(self, child: str, told: Acknowledgement, now: int) -> None:
-        """Take the part of a router, a site or a region; an older one than is here is left."""
-        held = self._levels.setdefault(told.level, _Level())
-        before = held.latest.get(child)
-        if before is not None and before.round > told.round:
+        """Time to send the next sum, or None."""
+        return min((state.due for state in self._levels.values() if state.due is not None), default=None)
+
+    def add(self, child: str, acknowledgement: Acknowledgement, now: int) -> None:
+        """Store the acknowledgement of a router, site or region; ignore it if a newer one is stored."""
+        state = self._levels.setdefault(acknowledgement.level, _LevelState())
+        previous = state.latest.get(child)
+        if previous is not None and previous.round > acknowledgement.round:
             return
-        if before is None and len(held.latest) >= MOST_CHILDREN:
+        if previous is None and len(state.latest) >= MAX_CHILDREN:
             return
-        held.latest[child] = told
-        if told.round > held.round:
-            held.round = told.round
-            if held.due is None:
-                held.due = now + self._times[told.level]
-
-    def take(self, now: int) -> list[Acknowledgement]:
-        """Sums whose time has come, for the next level up."""
-        due = [level for level, held in self._levels.items() if held.due is not None and held.due <= now]
+        state.latest[child] = acknowledgement
+        if acknowledgement.round > state.round:
+            state.round = acknowledgement.round
+            if state.due is None:
+                state.due = now + self._collect_delays[acknowledgement.level]
+
+    def take_due(self, now: int) -> list[Acknowledgement]:
+        """Return the sums that are due, addressed to the next level."""
+        due = [level for level, state in self._levels.items() if state.due is not None and state.due <= now]
         for level in due:
             self._levels[level].due = None
         return [self.sum(level) for level in due]
 
     def sum(self, level: Level) -> Acknowledgement:
-        """Of the children heard within the last rounds, as the next level takes it."""
-        held = self._levels.setdefault(level, _Level())
-        for child in [c for c, told in held.latest.items() if told.round <= held.round - ROUNDS_HELD]:
-            del held.latest[child]
-        parts = held.latest.values()
-        return fitted(
+        """Sum of the children that acknowledged in the last rounds, addressed to the next level."""
+        state = self._levels.setdefault(level, _LevelState())
+        for child in [
+            c
+            for c, acknowledgement in state.latest.items()
+            if acknowledgement.round <= state.round - CHILD_EXPIRY_ROUNDS
+        ]:
+            del state.latest[child]
+        parts = state.latest.values()
+        return fit_to_datagram(
             Acknowledgement(
-                held.round,
+                state.round,
                 Level(min(level + 1, Level.VOTERS)),
-                sum(told.counted for told in parts),
-                merge_rows(row for told in parts for row in told.rows),
-                merge_rejections(rejection for told in parts for rejection in told.rejections),
-                min((told.version for told in parts), default=VERSION),
+                sum(acknowledgement.router_count for acknowledgement in parts),
+                merge_progress(
+                    reported for acknowledgement in parts for reported in acknowledgement.progress
+                ),
+                merge_rejections(
+                    rejection for acknowledgement in parts for rejection in acknowledgement.rejections
+                ),
+                min((acknowledgement.version for acknowledgement in parts), default=VERSION),
             )
         )
--- a/saltport/dissemination/config.py
+++ b/saltport/dissemination/config.py
@@ -1,4 +1,4 @@
-"""The `[dissemination]` table of a configuration file: its settings, or one plain line of error. No I/O."""
+"""Reads the `[dissemination]` table of a configuration file. No I/O."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
 
 class DisseminationConfigError(ValueError):
-    """The table can't be used; the text is one plain line."""
+    """The table is invalid; the text is one line that names the fault."""
 
 
 class DisseminationTable(Struct, frozen=True, forbid_unknown_fields=True):
-    """What a file may say; times in milliseconds, rates in bytes a second."""
+    """Keys of the table; times are in milliseconds, and byte rates in bytes per second."""
 
     on: bool = False
-    batch_ms: Milliseconds = DEFAULT.batch // NS_PER_MS
+    batch_ms: Milliseconds = DEFAULT.batch_interval // NS_PER_MS
     fresh_for_ms: Milliseconds = DEFAULT.fresh_for // NS_PER_MS
     lease_ms: Milliseconds = DEFAULT.lease // NS_PER_MS
     region_relays: Relays = DEFAULT.region_relays
@@ -38,10 +38,10 @@
     messages_per_s: Count = DEFAULT.messages_per_s
 
     def settings(self) -> DisseminationSettings:
-        """For the routers and voters of a fleet."""
+        """Convert the table to the settings of routers and voters."""
         return DisseminationSettings(
-            batch=self.batch_ms * NS_PER_MS,
-            silence=self.batch_ms * NS_PER_MS * 7 // 5,
+            batch_interval=self.batch_ms * NS_PER_MS,
+            silence_timeout=self.batch_ms * NS_PER_MS * 7 // 5,
             fresh_for=self.fresh_for_ms * NS_PER_MS,
             lease=self.lease_ms * NS_PER_MS,
             region_relays=self.region_relays,
@@ -59,7 +59,7 @@
 
 
 def read_table(text: str) -> DisseminationTable:
-    """Read a file's text; other tables in it are left; raises DisseminationConfigError."""
+    """Parse a configuration file's text, ignoring other tables; raise DisseminationConfigError."""
     try:
         table = msgspec.convert(tomllib.loads(text), _File).dissemination
     except tomllib.TOMLDecodeError as error:
--- a/saltport/dissemination/voter.py
+++ b/saltport/dissemination/voter.py
@@ -1,8 +1,8 @@
-"""A voter's part: as coordinator it orders submissions and pushes what is committed; all answer fetches.
+"""The voter's side: the coordinator orders submissions and pushes committed entries; all answer fetches.
 
-Whoever replicates (the owners' log) is the caller: `take_proposals` hands out what to commit, and
-`committed` is called at every voter for each committed proposal, in the log's order. Nothing is pushed
-before it is committed, so that no record of a coordinator that lost its majority ever reaches a router.
+Replication (by the log of the owners) is done by the caller: `take_proposals` returns entries to commit, and
+`on_committed` is called at every voter for each committed proposal, in log order. Nothing is pushed before it
+is committed, so that no record of a coordinator that lost its majority ever reaches a router.
 """
 
 from __future__ import annotations
@@ -10,16 +10,15 @@
 from collections import OrderedDict
 
 from saltport.dissemination.acknowledgements import Collector, RejectionKey
-from saltport.dissemination.archive import Archive, States
-from saltport.dissemination.budget import Budget, Work
-from saltport.dissemination.ledger import Ledger
+from saltport.dissemination.budget import Budget, WorkKind
+from saltport.dissemination.ledger import OutcomeLedger
 from saltport.dissemination.messages import (
-    MOST_HEADS,
+    MAX_HEADS,
     Acknowledgement,
     Decision,
     Entry,
     Fetch,
-    FetchParts,
+    FetchSnapshotParts,
     Level,
     Message,
     Origin,
@@ -31,185 +30,193 @@
 )
 from saltport.dissemination.outbox import Outgoing, SendQueue
 from saltport.dissemination.placement import Placement
-from saltport.dissemination.relay import turn_of
+from saltport.dissemination.relay import push_rotation
 from saltport.dissemination.settings import DisseminationSettings
 from saltport.dissemination.term import Term
+from saltport.dissemination.topic_store import StateFactory, TopicStore
 
-HEADS_STEP = 250  # milliseconds after which the next topics are told of
-MOST_REJECTIONS = 256
-BYTES_PER_S = 4_000_000  # a voter isn't a router: its sending is bounded against storms of fetches only
+HEADS_ROTATION_MS = 250  # interval after which pushes carry the heads of other topics, if there are too many
+MAX_REJECTIONS = 256
+BYTES_PER_S = 4_000_000  # bounds answers in a storm of fetches only, so far above a router's rate
 BURST_BYTES = 8_000_000
 MESSAGES_PER_S = 50_000
 
 
 class Voter:
-    """One of those that hold the committed logs; one of them coordinates at a time."""
+    """A node that stores the committed logs; one voter at a time is the coordinator."""
 
     def __init__(
-        self, node: int, placement: Placement, settings: DisseminationSettings, states: States, now: int
+        self, node: int, placement: Placement, settings: DisseminationSettings, states: StateFactory, now: int
     ) -> None:
         self.node, self.placement, self.settings = node, placement, settings
-        self.archive = Archive(settings, states)
+        self.topic_store = TopicStore(settings, states)
         self.rejections: OrderedDict[RejectionKey, int] = OrderedDict()
-        """How many routers refused a record, at the most told at a time."""
+        """Highest number of routers reported to have refused a record, by rejection."""
         self._collector = Collector(0, 0)
         self._queue = SendQueue(BYTES_PER_S, BURST_BYTES, now)
-        self._incoming = Budget(MESSAGES_PER_S, MESSAGES_PER_S, now)
-        self._ledger = Ledger()
+        self._incoming_budget = Budget(MESSAGES_PER_S, MESSAGES_PER_S, now)
+        self._outcomes = OutcomeLedger()
         self._term: Term | None = None
         self._origins: OrderedDict[tuple[int, int], tuple[Origin, ...]] = OrderedDict()
+        """Origins of the records of recent entries, by topic and number."""
         self._proposals: list[Proposal] = []
 
-    # Leading
+    # Coordination
 
     @property
     def epoch(self) -> int | None:
-        """Of its own term as coordinator; None: another one leads."""
+        """Epoch of this voter's term as coordinator, or None if it is not the coordinator."""
         return None if self._term is None else self._term.epoch
 
-    def lead(self, epoch: int, now: int) -> None:
-        """It is coordinator from now on, and knows all that was committed before."""
-        self._term = Term(epoch, self.archive, self._ledger, self.settings, now)
+    def become_coordinator(self, epoch: int, now: int) -> None:
+        """Start a term as coordinator; all entries committed in earlier terms must have been passed in."""
+        self._term = Term(epoch, self.topic_store, self._outcomes, self.settings, now)
 
-    def confirmed(self, asked: int) -> None:
-        """A majority of voters answered a question that left at this time: the lease counts from then."""
+    def on_majority_confirmed(self, sent_at: int) -> None:
+        """Renew the lease from `sent_at`, when the request that a majority of voters answered was sent."""
         if self._term is not None:
-            self._term.confirmed = max(asked, self._term.confirmed)
+            self._term.lease_confirmed_at = max(sent_at, self._term.lease_confirmed_at)
 
     def step_down(self) -> None:
-        """It isn't coordinator any more: what wasn't committed is forgotten."""
+        """End the term as coordinator, and discard submissions and proposals that are not committed."""
         self._term = None
         self._proposals.clear()
 
     def take_proposals(self) -> list[Proposal]:
-        """What to commit, in this order."""
+        """Return the proposals to commit, in order, and clear them."""
         proposals, self._proposals = self._proposals, []
         return proposals
 
     @property
     def due(self) -> int | None:
-        """When `turn` has something to do."""
+        """Time of the next call of `tick`, or None if this voter is not the coordinator."""
         return None if self._term is None else self._term.next_batch
 
-    def take(self) -> list[Outgoing]:
-        """Datagrams to be sent."""
-        return self._queue.take()
+    def take_datagrams(self) -> list[Outgoing]:
+        """Return the datagrams to send, and clear the queue."""
+        return self._queue.take_datagrams()
 
-    def turn(self, now: int) -> None:
-        """Propose the batch that is due, or send a heartbeat."""
+    def tick(self, now: int) -> None:
+        """Propose the batch that is due; send a heartbeat if nothing was pushed for a batch interval."""
         term = self._term
         if term is None or now < term.next_batch:
             return
-        self._proposals += term.batch(now)
-        if now - term.last_push >= self.settings.batch and term.leased(now):
+        self._proposals += term.propose_batch(now)
+        if now - term.last_push >= self.settings.batch_interval and term.has_lease(now):
             self._push(term, None, now)
 
-    def committed(self, proposal: Proposal, now: int) -> None:
-        """A majority holds this; called at each voter, in the order of the log.
+    def on_committed(self, proposal: Proposal, now: int) -> None:
+        """Apply a proposal committed by a majority; called at each voter in log order.
 
-        Danger: a deposed coordinator may learn of its successor's entries one by one before it knows that
-        it is deposed. Its pushes would vouch for old heads with the time of now.
+        The coordinator also pushes the entry and reports the decision to the submitting routers.
+
+        Danger: a deposed coordinator may receive its successor's entries one by one before it learns that
+        it is deposed. Its pushes would then present old heads as current.
         """
         entry = proposal.entry
-        self.archive.offer(entry)
+        self.topic_store.offer(entry)
         for origin in proposal.origins:
-            self._ledger.commit(origin, entry.topic)
+            self._outcomes.record_committed(origin, entry.topic)
         self._origins[entry.topic, entry.number] = proposal.origins
         if len(self._origins) > self.settings.retained_entries:
             self._origins.popitem(last=False)
         if self._term is not None and entry.epoch > self._term.epoch:
             self.step_down()
         term = self._term
-        if term is None or not term.leased(now):
+        if term is None or not term.has_lease(now):
             return
         self._push(term, entry, now)
         by_process: dict[tuple[int, int], list[int]] = {}
         for origin in proposal.origins:
-            by_process.setdefault((origin.router, origin.start), []).append(origin.sequence)
-        for (router, start), sequences in by_process.items():
-            self._queue.send(Work.PUSH, (router,), Decision(start, tuple(sequences)), now)
+            by_process.setdefault((origin.router, origin.process_start), []).append(origin.sequence)
+        for (router, process_start), sequences in by_process.items():
+            self._queue.enqueue(WorkKind.PUSH, (router,), Decision(process_start, tuple(sequences)), now)
 
     def _push(self, term: Term, entry: Entry | None, now: int) -> None:
+        """Send an entry, or a heartbeat if it is None, to the relays of all regions."""
         term.last_push = now
         push = self._heartbeat(term, Level.VOTERS, now, entry)
-        turn = turn_of(self.placement, push)
+        rotation = push_rotation(self.placement, push)
         for region in self.placement.regions:
-            relays = self.placement.region_relays(region, turn)
-            self._queue.send(Work.PUSH, relays, push, now)
+            relays = self.placement.region_relays(region, rotation)
+            self._queue.enqueue(WorkKind.PUSH, relays, push, now)
 
     def _heartbeat(
-        self, term: Term, level: Level, now: int, entry: Entry | None = None, answers: int = 0
+        self, term: Term, level: Level, now: int, entry: Entry | None = None, poll_number: int = 0
     ) -> Push:
-        """The heads of topics, of some in turn if there are many."""
-        sent = term.clock(now)
-        heads = self.archive.heads()
-        if len(heads) > MOST_HEADS:
-            first = sent // HEADS_STEP % len(heads)
-            heads = (heads[first:] + heads[:first])[:MOST_HEADS]
-        return Push(term.epoch, self.node, sent, level, heads, entry, answers)
+        """A push with the heads of the topics, rotating over them if there are more than `MAX_HEADS`."""
+        sent_ms = term.elapsed_ms(now)
+        heads = self.topic_store.heads()
+        if len(heads) > MAX_HEADS:
+            first = sent_ms // HEADS_ROTATION_MS % len(heads)
+            heads = (heads[first:] + heads[:first])[:MAX_HEADS]
+        return Push(term.epoch, self.node, sent_ms, level, heads, entry, poll_number)
 
     # Datagrams
 
     def receive(self, source: int, message: Message, now: int) -> None:
-        """Take a datagram."""
-        if not self._incoming.admit(Work.PUSH, 1.0, now):
+        """Process a datagram; drop it if the budget of incoming messages is exhausted."""
+        if not self._incoming_budget.admit(WorkKind.PUSH, 1.0, now):
             return
         if isinstance(message, Fetch):
-            for answer in self.archive.answer(message).messages:
-                self._queue.send(Work.REPAIR, (source,), answer, now)
-        elif isinstance(message, FetchParts):
-            for part in self.archive.parts(message):
-                self._queue.send(Work.REPAIR, (source,), part, now)
+            for answer in self.topic_store.answer(message).messages:
+                self._queue.enqueue(WorkKind.REPAIR, (source,), answer, now)
+        elif isinstance(message, FetchSnapshotParts):
+            for part in self.topic_store.parts(message):
+                self._queue.enqueue(WorkKind.REPAIR, (source,), part, now)
         elif isinstance(message, Poll):
-            if self._term is not None and self._term.leased(now):
-                told = self._heartbeat(self._term, Level.SITE, now, answers=message.number)
-                self._queue.send(Work.REPAIR, (source,), told, now)
+            if self._term is not None and self._term.has_lease(now):
+                heartbeat = self._heartbeat(self._term, Level.SITE, now, poll_number=message.number)
+                self._queue.enqueue(WorkKind.REPAIR, (source,), heartbeat, now)
         elif isinstance(message, Submit):
-            self._submitted(source, message, now)
+            self._on_submit(source, message, now)
         elif isinstance(message, Acknowledgement):
-            self._acknowledged(source, message, now)
+            self._on_acknowledgement(source, message, now)
 
-    def _submitted(self, router: int, submit: Submit, now: int) -> None:
+    def _on_submit(self, router: int, submit: Submit, now: int) -> None:
+        """Pass new submissions to the term, and answer those whose outcome is known."""
         term = self._term
         if term is None:
             return
         committed: list[int] = []
         refusals: list[Refusal] = []
         for submission in submit.submissions:
-            origin = Origin(router, submit.start, submission.sequence)
-            if self._ledger.outcome(origin) is None:
+            origin = Origin(router, submit.process_start, submission.sequence)
+            if self._outcomes.outcome(origin) is None:
                 term.submit(origin, submission, now)
-            outcome = self._ledger.outcome(origin)
+            outcome = self._outcomes.outcome(origin)
             if outcome:
                 refusals.append(Refusal(submission.sequence, outcome))
             elif outcome is not None:
                 committed.append(submission.sequence)
         if committed or refusals:
-            answer = Decision(submit.start, tuple(committed), tuple(refusals))
-            self._queue.send(Work.PUSH, (router,), answer, now)
+            answer = Decision(submit.process_start, tuple(committed), tuple(refusals))
+            self._queue.enqueue(WorkKind.PUSH, (router,), answer, now)
 
-    def _acknowledged(self, source: int, told: Acknowledgement, now: int) -> None:
+    def _on_acknowledgement(self, source: int, acknowledgement: Acknowledgement, now: int) -> None:
+        """Store a region's acknowledgement, and report new rejections to the submitting routers."""
         site = self.placement.site(source)
         if site is None:
             return
-        self._collector.add(site.region, told, now)
-        for rejection in self.progress.rejections:
+        self._collector.add(site.region, acknowledgement, now)
+        for rejection in self.acknowledgement_summary.rejections:
             key = (rejection.topic, rejection.number, rejection.index, rejection.reason)
             if key not in self.rejections:
-                self._tell_origin(key, now)
+                self._notify_origin(key, now)
             self.rejections[key] = max(self.rejections.get(key, 0), rejection.count)
-            if len(self.rejections) > MOST_REJECTIONS:
+            if len(self.rejections) > MAX_REJECTIONS:
                 self.rejections.popitem(last=False)
 
     @property
-    def progress(self) -> Acknowledgement:
-        """How many routers were heard in the last rounds, and how far the last of them is with each topic."""
+    def acknowledgement_summary(self) -> Acknowledgement:
+        """Sum of recent acknowledgements: count of routers, and the lowest entry applied by topic."""
         return self._collector.sum(Level.VOTERS)
 
-    def _tell_origin(self, key: RejectionKey, now: int) -> None:
+    def _notify_origin(self, key: RejectionKey, now: int) -> None:
+        """Report a rejection to the router that submitted the record."""
         topic, number, index, reason = key
         origins = self._origins.get((topic, number), ())
         if index < len(origins):
             origin = origins[index]
-            told = Decision(origin.start, (), (), (Refusal(origin.sequence, reason),))
-            self._queue.send(Work.PUSH, (origin.router,), told, now)
+            decision = Decision(origin.process_start, (), (), (Refusal(origin.sequence, reason),))
+            self._queue.enqueue(WorkKind.PUSH, (origin.router,), decision, now)
