--- a/benchmarks/overrun.py
+++ b/benchmarks/overrun.py
@@ -22,7 +22,7 @@
 from saltport.audit import Limits
 from saltport.harness import Harness, run_load
 from saltport.load.plan import LoadPlan, Step
-from saltport.load.report import ENDS
+from saltport.load.report import OUTCOMES
 from saltport.standins.profile import Profile
 
 NODES, ROUTERS, KEYS = 12, 4, 600
@@ -100,7 +100,7 @@
     over = CALM_S + STORM_S
 
     def ends(begin: int, end: int) -> dict[str, int]:
-        return {name: sum(row[name] for row in summary["timeline"][begin:end]) for name in ENDS}
+        return {name: sum(row[name] for row in summary["timeline"][begin:end]) for name in OUTCOMES}
 
     def calm(second: int) -> bool:
         told = ends(second, second + 1)
--- a/saltport/harness.py
+++ b/saltport/harness.py
@@ -23,7 +23,7 @@
 from saltport.address import Address, parse_address
 from saltport.audit import Limits, Verdict, audit, merge
 from saltport.load.driver import LoadDriver, mark_faults, wait_ready
-from saltport.load.plan import LoadPlan, popular
+from saltport.load.plan import LoadPlan, most_popular_keys
 from saltport.standins.control import ControlClient
 from saltport.standins.ledger import Ledger, read_ledger
 from saltport.standins.profile import Profile, profile_json
@@ -305,7 +305,7 @@
     Once `stop` is set nothing more is asked, and what is out is waited for.
     """
     ledger = Ledger("clients")
-    await harness.control.call("warm", keys=popular(plan, WARM_KEYS))
+    await harness.control.call("warm", keys=most_popular_keys(plan, WARM_KEYS))
     driver = LoadDriver(
         plan, harness.profile, {router.name: router.address for router in harness.held}, ledger, closed
     )
--- a/saltport/load/__init__.py
+++ b/saltport/load/__init__.py
@@ -1,1 +1,1 @@
-"""The load driver: planned arrivals, clients that retry, and a report of what they met."""
+"""The load generator: planned arrivals, retrying clients and a report of the results."""
--- a/saltport/load/driver.py
+++ b/saltport/load/driver.py
@@ -1,4 +1,4 @@
-"""The clients on sockets: they speak RESP to routers, keep connections, give tries up and retry."""
+"""The load generator: RESP clients with connection reuse, time-outs and retries."""
 
 from __future__ import annotations
 
@@ -11,22 +11,23 @@
 import hiredis
 
 from saltport.address import Address
-from saltport.load.plan import Arrival, LoadPlan, arrivals, pause_ms
+from saltport.load.plan import Arrival, LoadPlan, arrivals, retry_delay_ms
 from saltport.load.report import Report
 from saltport.standins.ledger import Ledger
 from saltport.standins.profile import ClassProfile, Profile
 from saltport.wire.resp import command
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 LINGER_MS = 1_000
-"""How long a client that has given up listens on, so that the audit sees late answers."""
-DEAD_S = 1.0
-CONNECT_S = 1.0
-LAG_STEP_S, LAG_NOTED_S = 0.05, 0.02
+"""How long a connection stays open after a time-out, so that the audit sees late replies."""
+ROUTER_DEAD_S = 1.0
+"""How long a router gets no requests after a failed connection, unless all are unreachable."""
+CONNECT_TIMEOUT_S = 1.0
+LAG_INTERVAL_S, LAG_THRESHOLD_S = 0.05, 0.02
 
 
 class _Connection(asyncio.Protocol):
-    """One client's connection, with a request at a time."""
+    """A client connection to a router, with one request at a time."""
 
     def __init__(self, router: _Router) -> None:
         self.router = router
@@ -41,17 +42,17 @@
     def data_received(self, data: bytes) -> None:
         current = self.current
         if current is None:
-            # More than was asked for: the last try here had two answers.
+            # Data without a request: the previous try got a second reply.
             self.router.driver.ledger.write("extra", router=self.router.name, data=repr(data[:80]))
             self.drop()
             return
         try:
-            current.first_byte()
+            current.note_first_byte()
             self._reader.feed(data)
             answer = self._reader.gets()
         except hiredis.ProtocolError:
             self.drop()
-            current.ended("unreadable")
+            current.finish("unreadable")
             return
         if answer is False:
             return
@@ -61,13 +62,13 @@
             self.drop()
         else:
             self.router.idle.append(self)
-        current.answered(answer)
+        current.on_answer(answer)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.drop()
         current, self.current = self.current, None
         if current is not None:
-            current.lost(self.used)
+            current.on_connection_lost(self.used)
 
     def drop(self) -> None:
         if self in self.router.idle:
@@ -77,7 +78,7 @@
 
 
 class _Router:
-    """One router as the front sees it."""
+    """A router as the clients see it: its idle connections, and whether it was unreachable lately."""
 
     def __init__(self, driver: LoadDriver, name: str, address: Address) -> None:
         self.driver, self.name, self.address = driver, name, address
@@ -86,13 +87,13 @@
 
 
 class _Try:
-    """One try of a request, at one router."""
+    """A single try of a request at one router."""
 
-    def __init__(self, work: _Work, router: _Router) -> None:
-        self.work, self.router, self.driver = work, router, work.driver
+    def __init__(self, request: _ClientRequest, router: _Router) -> None:
+        self.request, self.router, self.driver = request, router, request.driver
         self.id = f"{self.driver.rng.getrandbits(64):016x}"
-        self.sent = self.begun_at = 0
-        self.begun = self.resent = self.over = self.given_up = False
+        self.sent = self.first_byte_at = 0
+        self.begun = self.resent = self.ended = self.given_up = False
         self.connection: _Connection | None = None
         self._timer: asyncio.TimerHandle | None = None
 
@@ -102,143 +103,145 @@
             if connection.transport is not None and not connection.transport.is_closing():
                 self._send(connection)
                 return
-        self._dial()
+        self._open_connection()
 
-    def _dial(self) -> None:
+    def _open_connection(self) -> None:
         task = self.driver.loop.create_task(self._connect())
         self.driver.tasks.add(task)
         task.add_done_callback(self.driver.tasks.discard)
 
     async def _connect(self) -> None:
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.driver.loop.create_connection(
                     lambda: _Connection(self.router), *self.router.address
                 )
         except (OSError, TimeoutError):
-            self.router.dead_until = self.driver.loop.time() + DEAD_S
-            self.ended("unsent")
+            self.router.dead_until = self.driver.loop.time() + ROUTER_DEAD_S
+            self.finish("unsent")
             return
-        if not self.over:
+        if not self.ended:
             self._send(connection)
 
     def _send(self, connection: _Connection) -> None:
         assert connection.transport is not None
-        work, known = self.work, self.work.known
+        request, request_class = self.request, self.request.request_class
         self.connection, connection.current = connection, self
-        info = f"c={known.name},t={work.arrival.tenant},d={work.wait_ms}"
-        words = [b"KV.GET", work.arrival.key.encode(), self.id.encode()]
-        if known.write:
+        info = f"c={request_class.name},t={request.arrival.tenant},d={request.wait_ms}"
+        words = [b"KV.GET", request.arrival.key.encode(), self.id.encode()]
+        if request_class.write:
             words[0] = b"KV.SET"
-            info += f",k={work.arrival.token}"
-        if work.tried > 1:
+            info += f",k={request.arrival.token}"
+        if request.tries_made > 1:
             info += ",r=1"
         words.append(info.encode())
-        if known.write:
-            words.append(b"manifest of " + work.arrival.key.encode())
+        if request_class.write:
+            words.append(b"manifest of " + request.arrival.key.encode())
         self.sent = time.monotonic_ns()
         connection.transport.write(command(*words))
         if self._timer is None:
-            self._timer = self.driver.loop.call_later(work.wait_ms / 1000, self._give_up)
+            self._timer = self.driver.loop.call_later(request.wait_ms / 1000, self._give_up)
 
     def _give_up(self) -> None:
-        """The client's time for this try is up; it listens a little longer for the ledger's sake."""
+        """Time out the try, but listen on for `linger_ms` so that a late reply is recorded."""
         self.given_up = True
-        self._timer = self.driver.loop.call_later(self.driver.linger_ms / 1000, self._silent)
-        self.work.try_ended("none", 0)
+        self._timer = self.driver.loop.call_later(self.driver.linger_ms / 1000, self._stop_listening)
+        self.request.try_ended("none", 0)
 
-    def _silent(self) -> None:
+    def _stop_listening(self) -> None:
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.current = None
             connection.drop()
-        self.ended("none")
+        self.finish("none")
 
-    def answered(self, answer: Any) -> None:
+    def on_answer(self, answer: Any) -> None:
         if isinstance(answer, hiredis.ReplyError):
             text = str(answer)
             if text.startswith("BUSY"):
                 after = text[5:].strip()
-                self.ended("refused", int(after) if after.isdecimal() else 0)
+                self.finish("refused", int(after) if after.isdecimal() else 0)
             else:
-                self.ended("failed", reason=text[:80])
+                self.finish("failed", reason=text[:80])
             return
         if isinstance(answer, list) and answer:
             answer = answer[0]
         if isinstance(answer, bytes):
-            ours = answer.startswith(f"{self.id} {self.work.arrival.key} ".encode())
-            told = answer[:400].split(b" ", 3)
-            is_value = not self.work.known.write and len(told) > 2 and told[2][1:].isdigit()
-            self.ended("served" if ours else "wrong", version=int(told[2][1:]) if is_value else None)
+            is_own_value = answer.startswith(f"{self.id} {self.request.arrival.key} ".encode())
+            parts = answer[:400].split(b" ", 3)
+            is_value = not self.request.request_class.write and len(parts) > 2 and parts[2][1:].isdigit()
+            self.finish(
+                "served" if is_own_value else "wrong", version=int(parts[2][1:]) if is_value else None
+            )
         else:
-            self.ended("failed", reason=repr(answer)[:80])
+            self.finish("failed", reason=repr(answer)[:80])
 
-    def first_byte(self) -> None:
-        """Something of the answer has come."""
+    def note_first_byte(self) -> None:
+        """Record when the first byte of the reply arrived."""
         if not self.begun:
-            self.begun, self.begun_at = True, time.monotonic_ns()
+            self.begun, self.first_byte_at = True, time.monotonic_ns()
 
-    def lost(self, reused: bool) -> None:
-        """The connection ended without a whole answer."""
+    def on_connection_lost(self, reused: bool) -> None:
+        """Handle a connection that closed before the complete reply."""
         if reused and not self.begun and not self.resent:
-            # A kept connection that closes as the request crosses: it is sent once more on a new one.
+            # A reused connection that the router closed while the request was sent: resend once on a new one.
             self.resent = True
-            self._dial()
+            self._open_connection()
             return
-        self.ended("cut" if self.begun else "gone")
+        self.finish("cut" if self.begun else "gone")
 
-    def ended(self, answer: str, retry_after_ms: int = 0, **more: Any) -> None:
-        if self.over:
+    def finish(self, answer: str, retry_after_ms: int = 0, **more: Any) -> None:
+        if self.ended:
             return
-        self.over = True
+        self.ended = True
         if self._timer is not None:
             self._timer.cancel()
-        work = self.work
+        request = self.request
         self.driver.ledger.write(
-            "try", id=self.id, cls=work.known.name, tenant=work.arrival.tenant, key=work.arrival.key,
-            k=work.arrival.token if work.known.write else None, router=self.router.name, number=work.tried,
-            sent=self.sent, wait_ms=work.wait_ms, answer=answer, retry_after_ms=retry_after_ms,
-            resent=self.resent, begun=self.begun_at,
+            "try", id=self.id, cls=request.request_class.name, tenant=request.arrival.tenant,
+            key=request.arrival.key, k=request.arrival.token if request.request_class.write else None,
+            router=self.router.name, number=request.tries_made, sent=self.sent, wait_ms=request.wait_ms,
+            answer=answer, retry_after_ms=retry_after_ms, resent=self.resent, begun=self.first_byte_at,
             **{name: value for name, value in more.items() if value is not None},
         )  # fmt: skip
-        self.driver.tries_out -= 1
+        self.driver.tries_in_flight -= 1
         if not self.given_up:
-            work.try_ended(answer, retry_after_ms)
-        self.driver.settle()
+            request.try_ended(answer, retry_after_ms)
+        self.driver.check_finished()
 
 
-class _Work:
-    """One request of a client, over all its tries."""
+class _ClientRequest:
+    """A client request with all its tries."""
 
     def __init__(self, driver: LoadDriver, arrival: Arrival, intended: int, done: Callable[[], None]) -> None:
         self.driver, self.arrival, self.intended, self._done = driver, arrival, intended, done
-        self.known: ClassProfile = driver.profile.request_class(arrival.request_class)
-        self.wait_ms = max(int(self.known.deadline_ms * driver.plan.try_share), 1)
-        self.tried = 0
+        self.request_class: ClassProfile = driver.profile.request_class(arrival.request_class)
+        self.wait_ms = max(int(self.request_class.deadline_ms * driver.plan.try_share), 1)
+        self.tries_made = 0
 
-    def try_once(self) -> None:
-        self.tried += 1
+    def start_try(self) -> None:
+        self.tries_made += 1
         self.driver.report.tries += 1
-        self.driver.tries_out += 1
-        _Try(self, self.driver.front()).start()
+        self.driver.tries_in_flight += 1
+        _Try(self, self.driver.pick_router()).start()
 
     def try_ended(self, answer: str, retry_after_ms: int) -> None:
         now = time.monotonic_ns()
         if answer != "served":
-            pause = pause_ms(self.driver.plan, self.tried, retry_after_ms, self.driver.rng)
-            left = self.intended + self.known.deadline_ms * MS - now
-            if pause is not None and pause * MS < left and answer != "wrong":
-                self.driver.loop.call_later(pause / 1000, self.try_once)
+            delay_ms = retry_delay_ms(self.driver.plan, self.tries_made, retry_after_ms, self.driver.rng)
+            remaining_ns = self.intended + self.request_class.deadline_ms * NS_PER_MS - now
+            if delay_ms is not None and delay_ms * NS_PER_MS < remaining_ns and answer != "wrong":
+                self.driver.loop.call_later(delay_ms / 1000, self.start_try)
                 return
-        end = answer if answer in ("served", "refused") else "failed"
-        self.driver.report.end(
-            self.known.name, self.arrival.tenant, end, self.arrival.at, now - self.intended
+        outcome = answer if answer in ("served", "refused") else "failed"
+        self.driver.report.record_outcome(
+            self.request_class.name, self.arrival.tenant, outcome, self.arrival.at, now - self.intended
         )
         self._done()
 
 
 class LoadDriver:
-    """Plays a plan against routers; `closed` so many clients ask one after another instead of on time."""
+    """Runs a load plan against routers: open-loop, or with `closed` clients that await each reply."""
 
     def __init__(
         self, plan: LoadPlan, profile: Profile, routers: dict[str, Address], ledger: Ledger, closed: int = 0,
@@ -251,38 +254,40 @@
         self.report = Report(profile)
         self.routers = [_Router(self, name, address) for name, address in routers.items()]
         self.tasks: set[asyncio.Task[None]] = set()
-        self.tries_out = self.open = 0
+        self.tries_in_flight = self.open_requests = 0
         self.begun = time.monotonic_ns()
         self._closed = closed
-        self._settled = asyncio.Event()
+        self._finished = asyncio.Event()
         self._all_sent = False
         self._stopping = False
 
-    def front(self) -> _Router:
-        """A router that is not known to be dead; any if all are."""
+    def pick_router(self) -> _Router:
+        """Return a random router that was not unreachable lately; any router if all were."""
         now = self.loop.time()
         alive = [router for router in self.routers if router.dead_until <= now]
         return self.rng.choice(alive or self.routers)
 
     def stop(self) -> None:
-        """Send no more; what is out is waited for."""
+        """Start no further requests; `run` returns when the open ones have ended."""
         self._stopping = True
 
     async def run(self, progress: Callable[[str], None] | None = None) -> dict[str, Any]:
-        """Play the whole plan; returns the report's summary."""
+        """Run the plan and return the summary of the report."""
         self.begun = time.monotonic_ns()
         self.ledger.write("load", seed=self.plan.seed, seconds=self.plan.seconds)
-        teller = self.loop.create_task(self._tell(progress)) if progress is not None else None
-        beat = self.loop.create_task(self._beat())
+        progress_task = (
+            self.loop.create_task(self._report_progress(progress)) if progress is not None else None
+        )
+        lag_task = self.loop.create_task(self._measure_lag())
         try:
             await (self._run_closed() if self._closed else self._run_open())
             self._all_sent = True
-            self.settle()
-            await self._settled.wait()
+            self.check_finished()
+            await self._finished.wait()
         finally:
-            beat.cancel()
-            if teller is not None:
-                teller.cancel()
+            lag_task.cancel()
+            if progress_task is not None:
+                progress_task.cancel()
             for router in self.routers:
                 for connection in list(router.idle):
                     connection.drop()
@@ -292,11 +297,11 @@
     async def _run_open(self) -> None:
         for arrival in arrivals(self.plan, self.profile):
             wait = self.begun + arrival.at - time.monotonic_ns()
-            if wait > MS:
+            if wait > NS_PER_MS:
                 await asyncio.sleep(wait / 1e9)
             if self._stopping:
                 return
-            self._begin(arrival, self.begun + arrival.at, self._one_done)
+            self._start_request(arrival, self.begun + arrival.at, self._request_done)
 
     async def _run_closed(self) -> None:
         planned = arrivals(self.plan, self.profile)
@@ -309,35 +314,35 @@
                 done = asyncio.Event()
 
                 def finish(done: asyncio.Event = done) -> None:
-                    self._one_done()
+                    self._request_done()
                     done.set()
 
-                self._begin(arrival, time.monotonic_ns(), finish)
+                self._start_request(arrival, time.monotonic_ns(), finish)
                 await done.wait()
 
         await asyncio.gather(*(client() for _ in range(self._closed)))
 
-    def _begin(self, arrival: Arrival, intended: int, done: Callable[[], None]) -> None:
-        self.open += 1
-        _Work(self, arrival, intended, done).try_once()
+    def _start_request(self, arrival: Arrival, intended: int, done: Callable[[], None]) -> None:
+        self.open_requests += 1
+        _ClientRequest(self, arrival, intended, done).start_try()
 
-    def _one_done(self) -> None:
-        self.open -= 1
+    def _request_done(self) -> None:
+        self.open_requests -= 1
 
-    def settle(self) -> None:
-        """Whether all that was begun has ended."""
-        if self._all_sent and not self.open and not self.tries_out:
-            self._settled.set()
+    def check_finished(self) -> None:
+        """Let `run` return if all requests have been sent and have ended."""
+        if self._all_sent and not self.open_requests and not self.tries_in_flight:
+            self._finished.set()
 
-    async def _beat(self) -> None:
+    async def _measure_lag(self) -> None:
         while True:
-            due = time.monotonic() + LAG_STEP_S
-            await asyncio.sleep(LAG_STEP_S)
+            due = time.monotonic() + LAG_INTERVAL_S
+            await asyncio.sleep(LAG_INTERVAL_S)
             lag = time.monotonic() - due
-            if lag > LAG_NOTED_S:
+            if lag > LAG_THRESHOLD_S:
                 self.ledger.write("lag", ns=int(lag * 1e9))
 
-    async def _tell(self, progress: Callable[[str], None]) -> None:
+    async def _report_progress(self, progress: Callable[[str], None]) -> None:
         while True:
             await asyncio.sleep(1.0)
             seconds = (time.monotonic_ns() - self.begun) / 1e9
@@ -347,7 +352,7 @@
 async def wait_ready(
     address: Address, seconds: float, alive: Callable[[], bool] = lambda: True, every_s: float = 0.02
 ) -> bool:
-    """Wait until a router answers PING with +PONG, looking every so many seconds."""
+    """Poll a router until it answers PING; return whether it did so in time and while `alive()` was true."""
     loop = asyncio.get_running_loop()
     end = loop.time() + seconds
     while loop.time() < end and alive():
@@ -366,7 +371,7 @@
 
 
 def mark_faults(report: Report, begun: int, faults: Sequence[dict[str, Any]]) -> None:
-    """Note a ledger's faults on the run's time line; `begun` is on the same clock."""
+    """Add a ledger's faults to the report's marks; `begun` is the run's start on the same clock."""
     for record in faults:
         if record["kind"] == "fault":
             what = f"{record['fault']} {record['target']}"
--- a/saltport/load/plan.py
+++ b/saltport/load/plan.py
@@ -1,6 +1,7 @@
-"""What the clients will ask, drawn ahead from a seed: arrivals, classes, tenants, keys. No I/O.
+"""Load plans: a reproducible random sequence of arrivals with classes, tenants and keys, without I/O.
 
-Open loop: arrivals do not wait for answers, so a stall of the router meets the load that it would in service.
+The load is open-loop: arrivals do not wait for replies, so a stalled router gets the load that it would in
+service.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 
 class PlanError(ValueError):
-    """A load that can't be planned; the text is one plain line."""
+    """An invalid load plan; the message is a single line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A rate in requests a second, from so many seconds on."""
+    """A rate in requests per second that applies from `at` seconds into the run."""
 
     at: float
     rate: float
@@ -30,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request of a client, before any try of it."""
+    """A client request at its planned start."""
 
     at: int
     """Nanoseconds from the start of the run."""
@@ -38,12 +39,12 @@
     tenant: str
     key: str
     token: str
-    """The idempotency key, which all tries share."""
+    """The idempotency key, the same for all tries."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoadPlan:
-    """The figures of a load; `zipf`: the exponent of the keys' popularity, `scan`: once-only keys' share."""
+    """Parameters of a load; `zipf`: exponent of key popularity, `scan`: share of reads for keys used once."""
 
     steps: tuple[Step, ...]
     seconds: float
@@ -51,23 +52,23 @@
     zipf: float = 1.0
     scan: float = 0.0
     hot: float = 0.0
-    """The share of all requests that ask for one key, from `hot_from` to `hot_until`, seconds."""
+    """Share of all requests that ask for the hot key, from second `hot_from` to `hot_until`."""
     hot_from: float = 0.0
     hot_until: float = 1e9
     hot_every: float = 0.0
-    """Seconds that it is hot, and then as many that it is not, and so on; 0: all the while."""
+    """Length in seconds of alternating phases with and without the hot key; 0: no alternation."""
     retries: int = 2
     try_share: float = 0.65
-    """The share of its class's deadline that a client waits for one try."""
+    """Share of the class's deadline after which a client times out a try."""
     backoff_ms: float = 40.0
     seed: int = 1
 
     def hot_at(self, second: float) -> float:
-        """The hot key's share at this second."""
+        """Return the hot key's share of requests at this second of the run."""
         if not self.hot or not self.hot_from <= second < self.hot_until:
             return 0.0
-        off = bool(self.hot_every) and (second - self.hot_from) % (2 * self.hot_every) >= self.hot_every
-        return 0.0 if off else self.hot
+        off_phase = bool(self.hot_every) and (second - self.hot_from) % (2 * self.hot_every) >= self.hot_every
+        return 0.0 if off_phase else self.hot
 
     def __post_init__(self) -> None:
         if self.seconds <= 0 or not self.steps or any(step.rate <= 0 or step.at < 0 for step in self.steps):
@@ -79,11 +80,13 @@
             or self.retries < 0
             or not 0 < self.try_share <= 1
         ):
-            raise PlanError("keys must be at least 1, scan, hot and try_share shares, retries not negative")
+            raise PlanError(
+                "keys must be at least 1, scan, hot and try_share between 0 and 1, retries not negative"
+            )
 
 
 def parse_steps(text: str) -> tuple[Step, ...]:
-    """Read `RATE` or `RATE,SECONDS:RATE,...`; raises PlanError."""
+    """Parse `RATE` or `RATE,SECONDS:RATE,...`; raises PlanError."""
     steps: list[Step] = []
     for number, part in enumerate(text.split(",")):
         at, sign, rate = part.partition(":")
@@ -92,36 +95,36 @@
         except ValueError:
             raise PlanError(f"expected RATE or SECONDS:RATE, got {part!r}") from None
         if (number > 0) != bool(sign) or (steps and step.at <= steps[-1].at) or step.rate <= 0 or step.at < 0:
-            raise PlanError(f"{part!r}: the first is a rate above 0, later ones SECONDS:RATE, in order")
+            raise PlanError(f"{part!r}: expected a first rate above 0, then SECONDS:RATE in ascending order")
         steps.append(step)
     return tuple(steps)
 
 
 def zipf_weights(keys: int, exponent: float) -> list[float]:
-    """Cumulative weights of keys by rank."""
+    """Return the cumulative Zipf weights of keys by rank."""
     return list(accumulate(1 / (rank + 1) ** exponent for rank in range(keys)))
 
 
 def key_name(rank: int) -> str:
-    """The key of this rank: a package and a version."""
+    """Return the key of this popularity rank, a package and a version."""
     return f"pkg-{rank:05d}/1.{rank % 10}.0"
 
 
 HOT_KEY = "pkg-hot/9.9.9"
 
 
-def popular(plan: LoadPlan, most: int) -> list[str]:
-    """The keys asked for most often."""
-    return [key_name(rank) for rank in range(min(plan.keys, most))]
+def most_popular_keys(plan: LoadPlan, limit: int) -> list[str]:
+    """Return up to `limit` keys in descending order of popularity."""
+    return [key_name(rank) for rank in range(min(plan.keys, limit))]
 
 
 def rate_at(steps: Sequence[Step], second: float) -> float:
-    """The rate in force."""
+    """Return the rate that applies at this second."""
     return [step.rate for step in steps if step.at <= second or step is steps[0]][-1]
 
 
 def arrivals(plan: LoadPlan, profile: Profile) -> Iterator[Arrival]:
-    """All arrivals in order: exponential gaps at the rate in force."""
+    """Yield all arrivals of the plan in order of time, with exponential gaps at the current rate."""
     rng = random.Random(plan.seed)
     weights = zipf_weights(plan.keys, plan.zipf)
     classes, class_weights = (
@@ -135,7 +138,7 @@
         return min(bisect(cumulative, rng.random() * cumulative[-1]), len(cumulative) - 1)
 
     second = 0.0
-    once = 0
+    scan_keys = 0
     while True:
         second += rng.expovariate(rate_at(plan.steps, second))
         if second >= plan.seconds:
@@ -145,14 +148,14 @@
         if plan.hot and rng.random() < plan.hot_at(second):
             key = HOT_KEY
         elif rng.random() < plan.scan and not profile.request_class(name).write:
-            once += 1
-            key = f"once-{plan.seed}-{once}"
+            scan_keys += 1
+            key = f"once-{plan.seed}-{scan_keys}"
         yield Arrival(int(second * NS_PER_S), name, tenant, key, f"{rng.getrandbits(64):016x}")
 
 
-def pause_ms(plan: LoadPlan, tried: int, retry_after_ms: int, rng: random.Random) -> float | None:
-    """How long a client waits before another try; None: it gives up. A refusal's pause is honoured."""
-    if tried > plan.retries:
+def retry_delay_ms(plan: LoadPlan, tries_made: int, retry_after_ms: int, rng: random.Random) -> float | None:
+    """Return the delay before the next try, with backoff, retry-after and jitter; None: no retry left."""
+    if tries_made > plan.retries:
         return None
-    backoff: float = plan.backoff_ms * 2.0 ** (tried - 1)
+    backoff: float = plan.backoff_ms * 2.0 ** (tries_made - 1)
     return max(float(retry_after_ms), backoff) * rng.uniform(0.7, 1.3)
--- a/saltport/load/report.py
+++ b/saltport/load/report.py
@@ -1,4 +1,4 @@
-"""What the clients met: counts by class and tenant, latencies by HDR histogram, and the run over time."""
+"""The load report: outcomes by class and tenant, latency percentiles and a timeline."""
 
 from __future__ import annotations
 
@@ -10,82 +10,82 @@
 
 from saltport.standins.profile import Profile
 
-US = 1_000
-MOST_US = 120_000_000
-DIGITS = 3
+NS_PER_US = 1_000
+MAX_LATENCY_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
-ENDS = ("served", "refused", "failed")
+OUTCOMES = ("served", "refused", "failed")
 
 
 class Latencies:
-    """An HDR histogram of microseconds, 1 us to 2 minutes at three digits."""
+    """A latency histogram (HDR), 1 us to 2 minutes with three significant digits."""
 
     def __init__(self) -> None:
-        self._histogram = HdrHistogram(1, MOST_US, DIGITS)
+        self._histogram = HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
     def add(self, ns: int) -> None:
-        """Count one latency."""
-        self._histogram.record_value(min(max(ns // US, 1), MOST_US))
+        """Record one latency in nanoseconds."""
+        self._histogram.record_value(min(max(ns // NS_PER_US, 1), MAX_LATENCY_US))
 
     def summary(self) -> dict[str, float]:
-        """Count, percentiles, mean and maximum, in milliseconds."""
-        held = self._histogram
-        count = held.get_total_count()
+        """Return count, percentiles, mean and maximum; times in milliseconds."""
+        histogram = self._histogram
+        count = histogram.get_total_count()
         if not count:
             return {"count": 0}
-        told = {f"p{p:g}_ms": held.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
+        percentiles = {f"p{p:g}_ms": histogram.get_value_at_percentile(p) / 1000 for p in PERCENTILES}
         return {
             "count": count,
-            **told,
-            "mean_ms": held.get_mean_value() / 1000,
-            "max_ms": held.get_max_value() / 1000,
+            **percentiles,
+            "mean_ms": histogram.get_mean_value() / 1000,
+            "max_ms": histogram.get_max_value() / 1000,
         }
 
 
 class Report:
-    """Collects the ends of requests, each told once; a latency counts from the intended start."""
+    """Collects the outcome of each request; latencies count from the planned start."""
 
     def __init__(self, profile: Profile) -> None:
         self._profile = profile
         self._all, self._fetches = Latencies(), Latencies()
         self._classes: dict[str, Latencies] = defaultdict(Latencies)
-        self._ends: Counter[tuple[str, str, str]] = Counter()
+        self._outcomes: Counter[tuple[str, str, str]] = Counter()
         self._in_aim = 0
         self._seconds: dict[int, Counter[str]] = defaultdict(Counter)
         self._by_second: dict[int, Latencies] = defaultdict(Latencies)
         self.tries = 0
         self.marks: list[tuple[float, str]] = []
-        """Faults: seconds from the start, and what happened."""
+        """Faults: seconds from the start of the run, and a description."""
 
     @property
     def ended(self) -> int:
-        """Requests that have ended."""
-        return sum(self._ends.values())
+        """Number of requests that have ended."""
+        return sum(self._outcomes.values())
 
-    def end(self, name: str, tenant: str, end: str, at: int, latency: int) -> None:
-        """One request has ended: served, refused or failed; `at` is its intended start in the run."""
-        self._ends[name, tenant, end] += 1
+    def record_outcome(self, request_class: str, tenant: str, outcome: str, at: int, latency_ns: int) -> None:
+        """Record a request's outcome; `at` is its planned start within the run; times in nanoseconds."""
+        self._outcomes[request_class, tenant, outcome] += 1
         second = at // 1_000_000_000
-        self._seconds[second][end] += 1
-        if end == "served":
-            self._all.add(latency)
-            self._classes[name].add(latency)
-            self._by_second[second].add(latency)
-            self._in_aim += latency <= self._profile.request_class(name).aim_ms * 1_000_000
+        self._seconds[second][outcome] += 1
+        if outcome == "served":
+            self._all.add(latency_ns)
+            self._classes[request_class].add(latency_ns)
+            self._by_second[second].add(latency_ns)
+            self._in_aim += latency_ns <= self._profile.request_class(request_class).aim_ms * 1_000_000
 
     def _count(self, **wanted: str) -> dict[str, int]:
-        told = {"name": 0, "tenant": 1, "end": 2}
+        positions = {"name": 0, "tenant": 1, "end": 2}
         return {
-            end: sum(
+            outcome: sum(
                 count
-                for key, count in self._ends.items()
-                if key[2] == end and all(key[told[name]] == value for name, value in wanted.items())
+                for key, count in self._outcomes.items()
+                if key[2] == outcome and all(key[positions[name]] == value for name, value in wanted.items())
             )
-            for end in ENDS
+            for outcome in OUTCOMES
         }
 
     def summary(self) -> dict[str, Any]:
-        """The whole report, for JSON."""
+        """Return the full report as a JSON object."""
         return {
             "requests": self.ended,
             "tries": self.tries,
@@ -93,23 +93,30 @@
             "in_aim": self._in_aim,
             "latency": self._all.summary(),
             "classes": {
-                known.name: {**self._count(name=known.name), "latency": self._classes[known.name].summary()}
-                for known in self._profile.classes
+                request_class.name: {
+                    **self._count(name=request_class.name),
+                    "latency": self._classes[request_class.name].summary(),
+                }
+                for request_class in self._profile.classes
             },
             "tenants": {name: self._count(tenant=name) for name, _ in self._profile.tenants},
             "timeline": [
-                {"second": second, **{end: self._seconds[second][end] for end in ENDS}, **self._tail(second)}
+                {
+                    "second": second,
+                    **{outcome: self._seconds[second][outcome] for outcome in OUTCOMES},
+                    **self._tail(second),
+                }
                 for second in range(max(self._seconds, default=-1) + 1)
             ],
             "marks": [{"second": round(second, 3), "what": what} for second, what in self.marks],
         }
 
     def _tail(self, second: int) -> dict[str, float]:
-        held = self._by_second[second].summary()
-        return {"p50_ms": held.get("p50_ms", 0.0), "p99_ms": held.get("p99_ms", 0.0)}
+        histogram = self._by_second[second].summary()
+        return {"p50_ms": histogram.get("p50_ms", 0.0), "p99_ms": histogram.get("p99_ms", 0.0)}
 
     def progress(self) -> str:
-        """One line on how it goes."""
+        """Return a one-line progress summary."""
         ends = self._count()
         tail = self._all.summary()
         return (
@@ -119,11 +126,11 @@
 
 
 def table(summary: dict[str, Any]) -> str:
-    """The report as text."""
+    """Format a report summary as a text table."""
     heads = ("served", "refused", "failed", *(f"p{p:g}" for p in PERCENTILES))
     rows = [" " * 12 + "".join(f" {head:>8}" for head in heads) + "  ms"]
-    told = [("all", summary), *summary["classes"].items(), *summary["tenants"].items()]
-    for name, part in told:
+    parts = [("all", summary), *summary["classes"].items(), *summary["tenants"].items()]
+    for name, part in parts:
         latency = part.get("latency") or {}
         figures = " ".join(
             f"{latency[f'p{p:g}_ms']:8.1f}" if f"p{p:g}_ms" in latency else " " * 8 for p in PERCENTILES
@@ -135,15 +142,15 @@
 
 
 def plot(summary: dict[str, Any], width: int = 100, height: int = 24) -> str:
-    """The run over time for a terminal: answers a second above, latencies below, faults as lines."""
-    import plotext  # only whoever wants a picture pays for it
+    """Return terminal plots of the run: outcomes per second, latencies, and faults as vertical lines."""
+    import plotext  # optional dependency, slow to import
 
     seconds = [row["second"] for row in summary["timeline"]]
     if not seconds:
         return "nothing to plot"
-    pictures = []
+    plots = []
     for title, names in (
-        ("requests a second", ENDS),
+        ("requests a second", OUTCOMES),
         ("latency of served requests, ms", ("p50_ms", "p99_ms")),
     ):
         plotext.clear_figure()
@@ -154,13 +161,13 @@
             plotext.plot(seconds, [row[name] for row in summary["timeline"]], label=name)
         for mark in summary["marks"]:
             plotext.vline(mark["second"])
-        pictures.append(plotext.build())
+        plots.append(plotext.build())
     marks = [f"  {mark['second']:8.2f} s  {mark['what']}" for mark in summary["marks"]]
-    return "\n".join([*pictures, *(["faults:", *marks] if marks else [])])
+    return "\n".join([*plots, *(["faults:", *marks] if marks else [])])
 
 
 def histogram(figures: Sequence[float], title: str, width: int = 80, height: int = 14) -> str:
-    """A picture of how figures are spread; there must be at least one."""
+    """Return a terminal histogram of at least one value."""
     import plotext
 
     plotext.clear_figure()
--- a/tests/load/test_driver.py
+++ b/tests/load/test_driver.py
@@ -1,4 +1,4 @@
-"""The load driver against scripted routers: what it counts, and what it notes for the audit."""
+"""The load driver against scripted routers: its counts and the records that it writes for the audit."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from saltport.standins.profile import Profile
 from saltport.wire.resp import CommandReader, bulk
 
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 Script = Callable[[list[bytes], int, asyncio.Transport], bytes]
 
 
 class Scripted(asyncio.Protocol):
-    """A router that answers each command as the script says; it counts the commands of all connections."""
+    """A router that answers each command by the script, and counts the commands of all connections."""
 
     seen = 0
 
@@ -50,7 +50,7 @@
         plan = LoadPlan((Step(0, rate),), seconds, **changes)
         address = server.sockets[0].getsockname()
         driver = LoadDriver(plan, Profile(), {"r1": address}, ledger, closed, linger_ms=100)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             summary = await driver.run()
         server.close()
         return summary, ledger
@@ -84,7 +84,7 @@
     assert {record["retry_after_ms"] for record in tries} == {3}
 
 
-def test_another_requests_value_is_told_as_wrong() -> None:
+def test_another_requests_value_is_recorded_as_wrong() -> None:
     summary, tries, _ = drive(lambda words, _, __: bulk(b"0000 " + words[1] + b" v1"), retries=0)
     assert {record["answer"] for record in tries} == {"wrong"}
     assert summary["failed"] == summary["requests"]
@@ -102,7 +102,7 @@
     assert all(record["t"] - record["sent"] > record["wait_ms"] * 10**6 for record in tries)
 
 
-def test_a_kept_connection_that_closes_as_a_request_crosses_is_no_loss() -> None:
+def test_a_request_is_resent_when_a_reused_connection_closes() -> None:
     def close_every_third(words: list[bytes], seen: int, transport: asyncio.Transport) -> bytes:
         if seen % 3 == 0:
             transport.abort()
@@ -112,11 +112,11 @@
     _, tries, _ = drive(close_every_third, closed=1, rate=1000, retries=0)
     answers = Counter(record["answer"] for record in tries)
     assert answers["served"] > 0
-    assert set(answers) <= {"served", "gone"}  # gone: the one that was sent again met a close as well
+    assert set(answers) <= {"served", "gone"}  # gone: the connection of the resent request closed as well
     assert any(record["resent"] for record in tries if record["answer"] == "served")
 
 
-def test_a_value_that_is_cut_off_is_told() -> None:
+def test_a_truncated_value_is_recorded_as_cut() -> None:
     def cut(words: list[bytes], _: int, transport: asyncio.Transport) -> bytes:
         transport.write(value_for(words)[:-6])
         transport.close()
@@ -127,7 +127,7 @@
 
 
 def test_latency_counts_from_the_intended_start() -> None:
-    """A stall of the router in the middle of the run shows in the tail, though few requests were out."""
+    """Guards against coordinated omission: a stall shows in the tail although few requests were open."""
     stalled: list[float] = []
 
     def stall(words: list[bytes], seen: int, _: asyncio.Transport) -> bytes:
@@ -135,13 +135,13 @@
             import time
 
             stalled.append(seen)
-            time.sleep(0.25)  # stops the driver as well: it is the same loop
+            time.sleep(0.25)  # blocks the driver too, which shares the event loop
         return value_for(words)
 
     summary, _, _ = drive(stall, rate=200, seconds=1.0)
     late = summary["latency"]
     assert late["max_ms"] >= 240
-    assert late["p99_ms"] >= 150  # some fifty arrivals were due meanwhile, and all of them waited
+    assert late["p99_ms"] >= 150  # about 50 arrivals were due during the stall, and all waited
 
 
 def test_closed_loop_keeps_its_number_of_clients() -> None:
@@ -149,14 +149,14 @@
     assert summary["served"] == summary["requests"] > 100
 
 
-def test_router_that_is_not_there_is_told_as_unsent() -> None:
+def test_an_unreachable_router_is_recorded_as_unsent() -> None:
     async def run() -> tuple[dict[str, Any], Ledger]:
         ledger = Ledger("clients")
         plan = LoadPlan((Step(0, 50),), 0.2, retries=0)
-        with_nobody = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
-        address = with_nobody.sockets[0].getsockname()
-        with_nobody.close()
-        await with_nobody.wait_closed()
+        listener = await asyncio.get_running_loop().create_server(asyncio.Protocol, "127.0.0.1", 0)
+        address = listener.sockets[0].getsockname()
+        listener.close()
+        await listener.wait_closed()
         assert not await wait_ready(address, 0.1)
         return await LoadDriver(plan, Profile(), {"r1": address}, ledger).run(), ledger
 
--- a/tests/load/test_plan.py
+++ b/tests/load/test_plan.py
@@ -1,4 +1,4 @@
-"""Planned load: the same seed asks the same, rates and shares are as told, bad figures are turned down."""
+"""Load plans: reproducible by seed, with the configured rates and shares; invalid parameters are rejected."""
 
 from __future__ import annotations
 
@@ -7,7 +7,16 @@
 
 import pytest
 
-from saltport.load.plan import LoadPlan, PlanError, Step, arrivals, parse_steps, pause_ms, popular, rate_at
+from saltport.load.plan import (
+    LoadPlan,
+    PlanError,
+    Step,
+    arrivals,
+    most_popular_keys,
+    parse_steps,
+    rate_at,
+    retry_delay_ms,
+)
 from saltport.standins.profile import Profile
 
 PROFILE = Profile()
@@ -23,7 +32,7 @@
     assert list(arrivals(plan(), PROFILE)) != list(arrivals(plan(seed=2), PROFILE))
 
 
-def test_shares_and_rate_are_as_told() -> None:
+def test_shares_and_rate_match_the_plan() -> None:
     drawn = list(arrivals(plan(), PROFILE))
     assert 9_500 < len(drawn) < 10_500
     assert all(0 <= arrival.at < 20 * 10**9 for arrival in drawn)
@@ -36,7 +45,7 @@
 
 def test_popular_keys_are_asked_for_most() -> None:
     keys = Counter(arrival.key for arrival in arrivals(plan(keys=1000, zipf=1.0), PROFILE))
-    first, second = popular(plan(keys=1000), 2)
+    first, second = most_popular_keys(plan(keys=1000), 2)
     assert keys.most_common(1)[0][0] == first
     assert 1.5 < keys[first] / keys[second] < 2.6
 
@@ -76,10 +85,10 @@
 
 def test_clients_wait_longer_each_time_and_honour_a_refusal() -> None:
     rng = random.Random(1)
-    first, second = (pause_ms(plan(), tried, 0, rng) for tried in (1, 2))
+    first, second = (retry_delay_ms(plan(), tried, 0, rng) for tried in (1, 2))
     assert first is not None
     assert second is not None
     assert 28 <= first <= 52
     assert 56 <= second <= 104
-    assert (pause_ms(plan(), 1, 800, rng) or 0) >= 560
-    assert pause_ms(plan(), 3, 0, rng) is None
+    assert (retry_delay_ms(plan(), 1, 800, rng) or 0) >= 560
+    assert retry_delay_ms(plan(), 3, 0, rng) is None
