--- a/benchmarks/hot_keys.py
+++ b/benchmarks/hot_keys.py
@@ -38,7 +38,7 @@
 from saltport.decisions.table import SlotTable
 from saltport.harness import Harness, run_load
 from saltport.load.plan import HOT_KEY, LoadPlan, Step
-from saltport.standins.profile import ClassProfile, Profile, quick
+from saltport.standins.profile import ClassProfile, Profile, with_faster_work
 
 OTHERS = 20_000
 CALM_S, HOT_S, COOL_S = 2, 15, 60
@@ -196,7 +196,7 @@
     nodes: int, rate: float, routers: int, seconds: float, yank: float, kill_every: float, say: Any
 ) -> Any:
     """A router and stand-ins; the key is hot from second 3 on."""
-    base = quick(Profile(), 20)
+    base = with_faster_work(Profile(), 20)
     classes = (
         ClassProfile("fetch", 1 - yank, (1.7, 3.2), 300, 1200),
         ClassProfile("yank", yank, (2.0, 4.0), 500, 1000, "dedup", 5000),
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -28,7 +28,7 @@
 from saltport.load.driver import wait_ready
 from saltport.standins.ledger import Ledger
 from saltport.standins.profile import Profile
-from saltport.standins.registry import Registry, entry_of
+from saltport.standins.registry import Registry, instance_entry
 from saltport.standins.spoil import resp_answer
 from saltport.wire.resp import command
 
@@ -167,7 +167,7 @@
     for number in range(NODES):
         server = await loop.create_server(_Node, "127.0.0.1", 0)
         addresses.append(server.sockets[0].getsockname())
-        registry.change(entry_of(f"n{number}", addresses[-1], "std-1c", "up", "a", 0, 0))
+        registry.change(instance_entry(f"n{number}", addresses[-1], "std-1c", "up", "a", 0, 0))
     told = {"nodes": addresses, "registry": "{}:{}".format(*registry.listen("r1"))}
     print(orjson.dumps(told).decode(), flush=True)
     await asyncio.Event().wait()
--- a/benchmarks/scale/stand_ins.py
+++ b/benchmarks/scale/stand_ins.py
@@ -27,7 +27,7 @@
 from saltport.load.driver import wait_ready
 from saltport.standins.ledger import Ledger
 from saltport.standins.profile import Profile
-from saltport.standins.registry import Registry, entry_of
+from saltport.standins.registry import Registry, instance_entry
 from saltport.standins.spoil import resp_answer
 from saltport.wire.resp import command
 
@@ -92,7 +92,7 @@
                 "127.0.0.1", 0, backlog=BACKLOG,
             )  # fmt: skip
             address = server.sockets[0].getsockname()
-            self._registry.change(entry_of(f"n{number}", address, "std-1c", "up", "a", 0, 0))
+            self._registry.change(instance_entry(f"n{number}", address, "std-1c", "up", "a", 0, 0))
         return "{}:{}".format(*self._registry.listen("r1"))
 
 
--- a/saltport/audit.py
+++ b/saltport/audit.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from saltport.standins.ledger import Record
-from saltport.standins.model import ColdBudget, Warmth
+from saltport.standins.model import ColdStartBudget, WarmUp
 from saltport.standins.profile import Profile
 
 MS = 1_000_000
@@ -330,23 +330,23 @@
 
     def cold(self) -> None:
         starts: dict[str, Record] = {}
-        budgets: dict[str, tuple[Warmth, ColdBudget]] = {}
+        budgets: dict[str, tuple[WarmUp, ColdStartBudget]] = {}
         reported: set[str] = set()
         self.verdict.checked["cold"] = len(self.by_kind["cold"])
         for record in sorted([*self.by_kind["cold"], *self.by_kind["attempt"]], key=lambda r: int(r["t"])):
             node = record["node"]
             if record["kind"] == "cold":
                 starts[node] = record
-                warmth = Warmth(record["t"], record["cold_from"], record["cold_ms"] * MS)
+                warmth = WarmUp(record["t"], record["cold_from"], record["cold_ms"] * MS)
                 budgets[node] = (
-                    warmth, ColdBudget(record["cores"], record["multiple"], record["fall_ms"] * MS)
+                    warmth, ColdStartBudget(record["cores"], record["multiple"], record["fall_ms"] * MS)
                 )  # fmt: skip
             elif node in budgets and "work" in record:
                 warmth, budget = budgets[node]
                 now = record["t"]
                 if (
-                    warmth.at(now) < 1
-                    and budget.over(now, record["work"], warmth.at(now))
+                    warmth.capacity_share(now) < 1
+                    and budget.record_and_check(now, record["work"], warmth.capacity_share(now))
                     and node not in reported
                 ):
                     reported.add(node)
--- a/saltport/cli/standins.py
+++ b/saltport/cli/standins.py
@@ -28,12 +28,12 @@
 
     from saltport.demo import DemoOptions, run_demo
     from saltport.harness import HarnessError
-    from saltport.standins.faults import FaultError, checked
+    from saltport.standins.faults import FaultError, validated_figures
 
     options = DemoOptions(**told)
     try:
         if options.fault is not None:
-            checked(options.fault, {})
+            validated_figures(options.fault, {})
         status = uvloop.run(run_demo(options, lambda line: click.echo(line, err=True)))
     except FaultError as error:
         fail(str(error), EXIT_USAGE)
--- a/saltport/demo.py
+++ b/saltport/demo.py
@@ -19,7 +19,7 @@
 from saltport.load.report import table
 from saltport.standins.faults import KINDS
 from saltport.standins.ledger import Ledger
-from saltport.standins.profile import Profile, quick
+from saltport.standins.profile import Profile, with_faster_work
 
 FOR_GOOD_S = 365 * 86_400.0
 SLACK_MS = 1_000
@@ -60,7 +60,7 @@
 
 async def run_demo(options: DemoOptions, progress: Callable[[str], None] | None = None) -> int:
     """Run a demo; returns 0 if the audit is clean, else 1. Raises HarnessError, with nothing left running."""
-    profile = quick(Profile(), options.divide)
+    profile = with_faster_work(Profile(), options.divide)
     plan = LoadPlan((Step(0.0, options.rate),), options.seconds or FOR_GOOD_S, seed=options.seed, keys=500)
     with tempfile.TemporaryDirectory(prefix="saltport-demo-") as folder:
         harness = Harness(Path(folder), profile, options.nodes, options.routers, options.seed)
--- a/saltport/nemesis/runner.py
+++ b/saltport/nemesis/runner.py
@@ -23,7 +23,7 @@
 from saltport.nemesis.schedule import Act
 from saltport.standins.fleet import ZONES, zone_of
 from saltport.standins.links import DatagramRelay, Fault, Links
-from saltport.standins.profile import Profile, quick
+from saltport.standins.profile import Profile, with_faster_work
 
 FEATURES = '[peers]\non = true\nkey_file = "{folder}/peers.keys"\nzone = "{zone}"\n'
 OWNERS = '[owners]\non = true\nbegin = true\nfolder = "{folder}"\ntrials = true\n'
@@ -38,7 +38,7 @@
 FOR_GOOD_S = 86_400.0
 STRAINS: dict[str, Callable[[float], Fault]] = {
     "loss": lambda share: Fault(loss=share),
-    "double": lambda share: Fault(doubles=share),
+    "double": lambda share: Fault(duplicates=share),
     "delay": lambda share: Fault(delay_s=(0.0, share)),
 }
 """What befalls all links, by kind of act."""
@@ -85,7 +85,7 @@
         self._relay = DatagramRelay(self.links, {name: _own_address(n) for n, name in enumerate(names)})
         await self._relay.open()
         (self.folder / "peers.keys").write_text(secrets.token_hex(32))
-        profile, features = quick(Profile(), 20), self._features()
+        profile, features = with_faster_work(Profile(), 20), self._features()
         if self.failover:
             profile = replace(profile, origins=2, origins_apart=1)
         self.harness = Harness(
@@ -126,9 +126,11 @@
     def _dress(self, name: str, told: dict[str, Any]) -> dict[str, str]:
         """Add what a router needs to know the others by; returns words for its features."""
         told["settings"]["ceilings"]["peers"] = True
-        told["peer_listen"] = "{}:{}".format(*self._relay.ends[name])
-        told["peers"] = ["{}:{}".format(*self._relay.seen(other, name)) for other in self._relay.ends]
-        return {"zone": ZONES[list(self._relay.ends).index(name) % len(ZONES)]}
+        told["peer_listen"] = "{}:{}".format(*self._relay.endpoints[name])
+        told["peers"] = [
+            "{}:{}".format(*self._relay.address_of(other, name)) for other in self._relay.endpoints
+        ]
+        return {"zone": ZONES[list(self._relay.endpoints).index(name) % len(ZONES)]}
 
     # Watching
 
@@ -267,7 +269,7 @@
 
     def cut(self, who: Sequence[str], whom: Sequence[str], both: bool = False) -> Broken:
         """Nothing gets from these to those (`both`: nor back) while the context lasts."""
-        whole = both and {*who, *whom} == set(self._relay.ends)
+        whole = both and {*who, *whom} == set(self._relay.endpoints)
         pairs = [(who, whom), (whom, who)] if both else [(who, whom)]
         return self._broken("cut", Fault(cut=True), pairs, frozenset(who if whole else ()))
 
@@ -277,12 +279,12 @@
     ) -> Iterator[None]:
         """Danger: faults overlap; were one's beginning kept by name, the next would take it away."""
         begun, touched = self.now(), sorted({name for pair in pairs for side in pair for name in side})
-        numbers = [self.links.fault(here, there, fault) for here, there in pairs]
+        numbers = [self.links.add_fault(here, there, fault) for here, there in pairs]
         try:
             yield
         finally:
             for number in numbers:
-                self.links.mend(number)
+                self.links.remove_fault(number)
             self.history.spans += [Span(kind, name, begun, self.now(), group) for name in touched]
 
     @contextlib.asynccontextmanager
@@ -300,7 +302,7 @@
 
     def others(self, who: Sequence[str]) -> list[str]:
         """All but these."""
-        return [name for name in self._relay.ends if name not in who]
+        return [name for name in self._relay.endpoints if name not in who]
 
     async def strike(self, act: Act) -> None:
         """Carry one act out, whole; whoever is down or stopped already is left alone."""
--- a/saltport/soak.py
+++ b/saltport/soak.py
@@ -16,7 +16,7 @@
 from saltport.harness import Harness, run_load
 from saltport.load.plan import LoadPlan, Step
 from saltport.standins.faults import KINDS
-from saltport.standins.profile import Profile, hurried, quick
+from saltport.standins.profile import Profile, with_faster_work, with_shorter_deadlines
 
 IDLE_AGAIN_S = 0.05  # before a client of the crowd comes back
 
@@ -73,7 +73,7 @@
     soak: Soak, folder: Path, limits: Limits, progress: Callable[[str], None] | None = None
 ) -> SoakResult:
     """Run a soak in an empty folder, which keeps its ledgers and logs; raises HarnessError."""
-    profile = hurried(quick(Profile(), soak.divide), soak.hurry)
+    profile = with_shorter_deadlines(with_faster_work(Profile(), soak.divide), soak.hurry)
 
     def dress(_: str, told: dict[str, Any]) -> dict[str, str]:
         told["limits"]["sockets"] = soak.sockets
--- a/saltport/standins/__init__.py
+++ b/saltport/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the router's peers (cache nodes, origin, registry), with faults on command and a ledger."""
+"""Simulated cache servers, origin and registry for tests, with fault injection and an event ledger."""
--- a/saltport/standins/control.py
+++ b/saltport/standins/control.py
@@ -1,4 +1,4 @@
-"""The control socket of a fleet: a JSON object a line, one answer a line; errors are plain words."""
+"""The control socket of a fleet: one JSON object per line as a command, one per line as its reply."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from saltport.standins.fleet import Fleet
 from saltport.standins.peer import Address
 
-MAX_LINE = 64 << 10
+MAX_LINE_BYTES = 64 << 10
 
 
 class ControlServer:
-    """Listens on loopback for commands to a fleet."""
+    """Accepts control connections on loopback and executes their commands on a fleet."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -25,49 +25,49 @@
         self._server: asyncio.Server | None = None
 
     async def listen(self, host: str = "127.0.0.1", port: int = 0) -> Address:
-        """Listen; returns the address."""
-        self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_LINE)
+        """Start listening and return the bound address."""
+        self._server = await asyncio.start_server(self._serve, host, port, limit=MAX_LINE_BYTES)
         address: Address = self._server.sockets[0].getsockname()
         return address
 
     def close(self) -> None:
-        """Listen no more."""
+        """Stop listening; open connections stay."""
         if self._server is not None:
             self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while line := await reader.readline():
-                writer.write(orjson.dumps(self.carry_out(line)) + b"\n")
+                writer.write(orjson.dumps(self.execute(line)) + b"\n")
                 await writer.drain()
-        except (ValueError, ConnectionError):  # a line over the limit, or a caller that left
+        except (ValueError, ConnectionError):  # line over the size limit, or connection lost
             pass
-        except asyncio.CancelledError:  # the fleet ends; swallowed, as this is the connection's own task
+        except asyncio.CancelledError:  # shutdown; not re-raised, as nothing awaits this task
             pass
         finally:
             writer.close()
             with contextlib.suppress(ConnectionError):
                 await writer.wait_closed()
 
-    def carry_out(self, line: bytes) -> dict[str, Any]:
-        """Carry out one command; returns what it says, or `error`."""
+    def execute(self, line: bytes) -> dict[str, Any]:
+        """Execute one JSON command and return its reply: `ok` true with the result, or false with `error`."""
         try:
-            told = orjson.loads(line)
-            if not isinstance(told, dict):
+            message = orjson.loads(line)
+            if not isinstance(message, dict):
                 raise FaultError("expected a JSON object")
-            return {"ok": True, **self._command(told)}
+            return {"ok": True, **self._command(message)}
         except (FaultError, orjson.JSONDecodeError, TypeError, ValueError) as error:
             return {"ok": False, "error": str(error)}
 
-    def _command(self, told: dict[str, Any]) -> dict[str, Any]:
-        match told.get("do"):
+    def _command(self, message: dict[str, Any]) -> dict[str, Any]:
+        match message.get("do"):
             case "strike":
-                fault = self._fleet.strike(
-                    str(told.get("kind")), str(told.get("target") or ""), told.get("figures") or {}
+                fault = self._fleet.start_fault(
+                    str(message.get("kind")), str(message.get("target") or ""), message.get("figures") or {}
                 )
                 return {"fault": fault.as_json()}
             case "mend":
-                self._fleet.mend(str(told.get("target")))
+                self._fleet.end_fault(str(message.get("target")))
                 return {}
             case "state":
                 return self._fleet.state()
@@ -80,11 +80,11 @@
             case "clock":
                 return {"monotonic": time.monotonic_ns(), "unix": time.time_ns()}
             case "play":
-                faults = self._schedule(told)
-                self._fleet.play(faults)
+                faults = self._schedule(message)
+                self._fleet.schedule_faults(faults)
                 return {"schedule": [fault.as_json() for fault in faults]}
             case "warm":
-                keys = told.get("keys")
+                keys = message.get("keys")
                 if not isinstance(keys, list):
                     raise FaultError("warm: keys must be a list")
                 self._fleet.warm(map(str, keys))
@@ -101,33 +101,33 @@
                     "flush_ledger, stop"
                 )
 
-    def _schedule(self, told: dict[str, Any]) -> list[Fault]:
+    def _schedule(self, message: dict[str, Any]) -> list[Fault]:
         nodes = list(self._fleet.state()["nodes"])
-        kinds = told.get("kinds") or list(KINDS)
+        kinds = message.get("kinds") or list(KINDS)
         return schedule(
-            int(told.get("seed", 1)),
-            float(told.get("seconds", 10)),
+            int(message.get("seed", 1)),
+            float(message.get("seconds", 10)),
             nodes,
             kinds,
-            float(told.get("every_s", 1.0)),
+            float(message.get("every_s", 1.0)),
         )
 
 
 class ControlClient:
-    """The other side of a control socket."""
+    """The client side of a control socket."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
-        self._turn = asyncio.Lock()  # answers come in the order of commands, and each caller wants its own
+        self._call_lock = asyncio.Lock()  # replies come in the order of commands: one call at a time
 
     @classmethod
     async def connect(cls, address: Address) -> ControlClient:
-        """Connect; raises OSError."""
+        """Connect to a fleet's control socket; raises OSError."""
         return cls(*await asyncio.open_connection(*address, limit=8 << 20))
 
     async def call(self, do: str, **fields: Any) -> dict[str, Any]:
-        """Give one command; raises FaultError with the fleet's words, ConnectionError if it is gone."""
-        async with self._turn:
+        """Send one command and return its reply; raises FaultError if it failed, or ConnectionError."""
+        async with self._call_lock:
             self._writer.write(orjson.dumps({"do": do, **fields}) + b"\n")
             line = await self._reader.readline()
         if not line:
@@ -138,18 +138,18 @@
         return answer
 
     async def clock_offset(self) -> tuple[int, int]:
-        """The fleet's monotonic clock less one's own, and how far off that may be; nanoseconds."""
+        """Return the fleet's monotonic clock minus the local one, and the maximum error, in nanoseconds."""
         best = (0, 1 << 62)
         for _ in range(5):
             before = time.monotonic_ns()
-            there = (await self.call("clock"))["monotonic"]
+            fleet_clock = (await self.call("clock"))["monotonic"]
             after = time.monotonic_ns()
             if after - before < best[1] * 2:
-                best = there - (before + after) // 2, (after - before) // 2 + 1
+                best = fleet_clock - (before + after) // 2, (after - before) // 2 + 1
         return best
 
     async def close(self) -> None:
-        """Hang up."""
+        """Close the connection."""
         self._writer.close()
         with contextlib.suppress(ConnectionError):
             await self._writer.wait_closed()
--- a/saltport/standins/ledger.py
+++ b/saltport/standins/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger: every stand-in, client and harness writes down what it received and did, one JSON a line.
+"""The ledger: an event log of what each simulated server, client and harness received and did.
 
-Each ledger begins with a `clock` record. Times are the writer's monotonic clock in nanoseconds; `unix` and
-`boot` in that record let the audit bring ledgers of several processes on one clock.
+A ledger file has one JSON object per line, the first of kind `clock`. Times are readings of the writer's
+monotonic clock in nanoseconds; `unix` and `boot` of the `clock` record let the audit align the clocks of
+several processes.
 """
 
 from __future__ import annotations
@@ -18,14 +19,14 @@
 
 
 def boot_id() -> str:
-    """What names this boot of the machine: processes with the same one share the monotonic clock."""
+    """Return the kernel's boot id, or "" if unknown; processes with the same id share the monotonic clock."""
     with contextlib.suppress(OSError):
         return Path("/proc/sys/kernel/random/boot_id").read_text().strip()
     return ""
 
 
 class Ledger:
-    """Records in memory, and in a file where one is named."""
+    """Writes records to a file if a path is given, else to the list `records`."""
 
     def __init__(self, writer: str, path: Path | None = None) -> None:
         self.records: list[Record] = []
@@ -35,7 +36,7 @@
         self.write("clock", writer=writer, unix=time.time_ns(), boot=boot_id())
 
     def write(self, kind: str, t: int | None = None, **fields: Any) -> None:
-        """Add a record of this kind, as of now or of the time `t`."""
+        """Add a record of this kind with the time `t` on the monotonic clock in nanoseconds; None: now."""
         record = {"t": time.monotonic_ns() if t is None else t, "kind": kind, **fields}
         if self._file is None:
             self.records.append(record)
@@ -43,18 +44,18 @@
             self._file.write(orjson.dumps(record, option=orjson.OPT_APPEND_NEWLINE))
 
     def flush(self) -> None:
-        """Have the file hold all that was written."""
+        """Write buffered records to the file."""
         if self._file is not None:
             self._file.flush()
 
     def close(self) -> None:
-        """Write no more."""
+        """Close the file."""
         if self._file is not None:
             self._file.close()
 
 
 def read_ledger(path: Path) -> Iterator[Record]:
-    """The records of a file; a last line that a killed writer left half is passed over."""
+    """Yield the records of a ledger file; an incomplete last line, left by a killed writer, is skipped."""
     with path.open("rb") as lines:
         for line in lines:
             if not line.endswith(b"\n"):
--- a/saltport/standins/peer.py
+++ b/saltport/standins/peer.py
@@ -1,4 +1,4 @@
-"""The listener of one stand-in, which can be killed, frozen, cut off and told to refuse, and be mended."""
+"""The listener of a simulated server, which can crash, hang, become unreachable or refuse connections."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 
 Address = tuple[str, int]
 BACKLOG = 512
-WOKEN_NS = 200_000_000  # in which a process that goes on has read what lay waiting
+RESUME_READ_NS = 200_000_000  # time in which a resumed process reads data buffered in the kernel
 _RESET = struct.pack("ii", 1, 0)
 
 
 class PeerConnection(asyncio.Protocol):
-    """One connection to a stand-in. While it is silent, what comes stays in the kernel."""
+    """A connection to a simulated server; during a suspension received data stays in the kernel."""
 
     def __init__(self, peer: Peer) -> None:
         self.peer = peer
@@ -25,50 +25,50 @@
         self.lost = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Register the connection; while the peer is suspended, reading is paused."""
         self.transport = cast(asyncio.Transport, transport)
         self.peer.connections.add(self)
-        if self.peer.silent:
+        if self.peer.suspended:
             self.transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection has ended."""
+        """Deregister the closed connection."""
         self.lost = True
         self.peer.connections.discard(self)
 
     def write(self, data: bytes) -> None:
-        """Send, unless the connection is over."""
+        """Send data, unless the connection is closing."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.write(data)
 
     def reset(self) -> None:
-        """Break the connection as a process that dies does."""
+        """Abort the connection with a TCP reset, as the kernel does for a killed process."""
         if self.transport is None or self.transport.is_closing():
             return
         with contextlib.suppress(OSError):
             self.transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
         self.transport.abort()
 
-    def spoken(self) -> None:
-        """The peer speaks again: answers that were held back may go."""
+    def on_resumed(self) -> None:
+        """Called when the peer resumes after a suspension: pending replies may be sent."""
 
 
 class Peer:
-    """A stand-in's address: accepts by hand, so that each way of not answering can be played."""
+    """A simulated server's listener, which accepts connections itself to simulate ways of not responding."""
 
     def __init__(self, connect: Callable[[], PeerConnection], host: str = "127.0.0.1") -> None:
         self._connect, self._host = connect, host
         self.connections: set[PeerConnection] = set()
         self.address: Address = (host, 0)
-        self.silent = False
-        self._silence = (0, 0)
+        self.suspended = False
+        self._suspended_span = (0, 0)
         self._listener: socket.socket | None = None
         self._accepting = False
-        self._fillers: list[socket.socket] = []
+        self._backlog_fillers: list[socket.socket] = []
         self._tasks: set[asyncio.Task[object]] = set()
 
     def open(self) -> None:
-        """Listen; at the address of before, once there has been one."""
+        """Start listening, on the same address as before if it was open already."""
         listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.setblocking(False)
@@ -80,103 +80,103 @@
             raise
         self.address = listener.getsockname()
         self._listener = listener
-        self.accept(True)
+        self.set_accepting(True)
 
     @property
     def listening(self) -> bool:
-        """Whether connections come up here."""
+        """Whether the listening socket is open."""
         return self._listener is not None
 
-    def accept(self, wanted: bool) -> None:
-        """Accept, or leave connections to the kernel."""
-        if self._listener is None or wanted == self._accepting:
+    def set_accepting(self, accepting: bool) -> None:
+        """Start or stop accepting; without it, new connections wait in the kernel's backlog."""
+        if self._listener is None or accepting == self._accepting:
             return
         loop = asyncio.get_running_loop()
-        if wanted:
-            loop.add_reader(self._listener.fileno(), self._take_all)
+        if accepting:
+            loop.add_reader(self._listener.fileno(), self._accept_pending)
         else:
             loop.remove_reader(self._listener.fileno())
-        self._accepting = wanted
+        self._accepting = accepting
 
-    def _take_all(self) -> None:
+    def _accept_pending(self) -> None:
         loop = asyncio.get_running_loop()
         while self._listener is not None:
             try:
-                taken, _ = self._listener.accept()
+                accepted, _ = self._listener.accept()
             except OSError:
                 return
-            taken.setblocking(False)
-            taken.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            task: asyncio.Task[object] = loop.create_task(self._made(taken))
+            accepted.setblocking(False)
+            accepted.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+            task: asyncio.Task[object] = loop.create_task(self._set_up(accepted))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _made(self, taken: socket.socket) -> None:
+    async def _set_up(self, accepted: socket.socket) -> None:
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(self._connect, taken)
+            await asyncio.get_running_loop().connect_accepted_socket(self._connect, accepted)
         except OSError:
-            taken.close()
+            accepted.close()
 
     @property
-    def name(self) -> str:
-        """The address as the registry tells it."""
+    def host_port(self) -> str:
+        """The address as `host:port`, the form that the registry lists."""
         return f"{self.address[0]}:{self.address[1]}"
 
-    def came_since(self, now: int) -> int:
-        """The earliest time at which bytes read now can have come: they may have lain in the kernel."""
-        begun, ended = self._silence
-        return begun if now - ended < WOKEN_NS else now
+    def earliest_arrival(self, now: int) -> int:
+        """Return the earliest time at which data read now may have arrived, given the last suspension."""
+        begun, ended = self._suspended_span
+        return begun if now - ended < RESUME_READ_NS else now
 
-    def refuse(self) -> None:
-        """Take no new connection; those that are open go on."""
-        self.accept(False)
+    def refuse_connections(self) -> None:
+        """Refuse new connections; open ones continue."""
+        self.set_accepting(False)
         if self._listener is not None:
             self._listener.close()
             self._listener = None
 
-    def die(self) -> None:
-        """End as a killed process does: connections are reset, new ones refused."""
-        self.refuse()
+    def crash(self) -> None:
+        """Simulate a killed process: reset all connections and refuse new ones."""
+        self.refuse_connections()
         for connection in list(self.connections):
             connection.reset()
 
-    def fall_silent(self, cut_off: bool) -> None:
-        """Read and write nothing; the kernel of a frozen process takes connections, a cut-off machine not."""
-        self.silent = True
-        self._silence = time.monotonic_ns(), 1 << 62
-        self.accept(False)
+    def stop_responding(self, cut_off: bool) -> None:
+        """Stop reading and writing; with `cut_off` new connections time out, as on an unreachable machine."""
+        self.suspended = True
+        self._suspended_span = time.monotonic_ns(), 1 << 62
+        self.set_accepting(False)
         for connection in self.connections:
             if connection.transport is not None and not connection.transport.is_closing():
                 connection.transport.pause_reading()
         if cut_off and self._listener is not None:
-            # A full queue of the kernel drops what asks for a connection, as a machine that is gone does.
+            # With a full backlog the kernel drops connection requests, as if the machine were unreachable.
             self._listener.listen(0)
             for _ in range(4):
                 filler = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
                 filler.setblocking(False)
                 filler.connect_ex(self.address)
-                self._fillers.append(filler)
+                self._backlog_fillers.append(filler)
 
-    def speak(self) -> None:
-        """Be back; a machine that was cut off resets the connections of before."""
-        self.silent = False
-        self._silence = self._silence[0], time.monotonic_ns()
-        fillers, self._fillers = self._fillers, []
+    def resume(self) -> None:
+        """Resume reading and writing; after a cut-off, reset the old connections."""
+        self.suspended = False
+        self._suspended_span = self._suspended_span[0], time.monotonic_ns()
+        fillers, self._backlog_fillers = self._backlog_fillers, []
         for filler in fillers:
             filler.close()
         if self._listener is not None:
             self._listener.listen(BACKLOG)
-        self.accept(True)
+        self.set_accepting(True)
         for connection in list(self.connections):
             if fillers:
                 connection.reset()
             elif connection.transport is not None and not connection.transport.is_closing():
                 connection.transport.resume_reading()
-                connection.spoken()
+                connection.on_resumed()
 
     def close(self) -> None:
-        """End everything."""
-        for filler in self._fillers:
+        """Close the listener and reset all connections."""
+        for filler in self._backlog_fillers:
             filler.close()
-        self._fillers.clear()
-        self.die()
+        self._backlog_fillers.clear()
+        self.crash()
--- a/saltport/standins/profile.py
+++ b/saltport/standins/profile.py
@@ -1,6 +1,6 @@
-"""A deployment for stand-ins: classes, tenants, what nodes and the origin can do, and the router's settings.
+"""The profile of a simulated deployment: classes, tenants, server capacities, and the router settings.
 
-The defaults follow the size that the project is made for; a file or a test may change any of them.
+The defaults are those of the deployment size that the project targets; a file or a test may override them.
 """
 
 from __future__ import annotations
@@ -8,12 +8,12 @@
 from dataclasses import asdict, dataclass, fields, replace
 from typing import Any
 
-MS = 1_000_000
+NS_PER_MS = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class ClassProfile:
-    """A class of requests as clients send it; times are milliseconds."""
+    """A request class with its share of the load; times are in milliseconds."""
 
     name: str
     share: float
@@ -25,13 +25,13 @@
 
     @property
     def write(self) -> bool:
-        """Whether it is a write: here every class that is not safe to repeat."""
+        """Whether requests of this class are writes: all classes except those safe to repeat."""
         return self.semantics != "retryable"
 
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """What stand-ins, load and audit agree on; times are milliseconds, sizes bytes."""
+    """Parameters shared by simulated servers, load and audit; times in milliseconds, sizes in bytes."""
 
     classes: tuple[ClassProfile, ...] = (
         ClassProfile("fetch", 0.97, (35.0, 64.0), 300, 1200),
@@ -42,11 +42,11 @@
     cores: int = 1
     queue: int = 24
     crowding: float = 0.0
-    """The part by which work takes longer with a full queue: past its knee a node does less, not more."""
+    """Share by which a full queue lengthens work, so that throughput falls under overload."""
     store_bytes: int = 8 << 20
     small_bytes: tuple[int, int] = (200, 3200)
     large_bytes: tuple[int, int] = (70_000, 200_000)
-    """Beyond 64 KiB a router passes a value on while it comes: faults strike in the middle of it."""
+    """Over 64 KiB a router streams a value, so faults can occur in the middle of it."""
     large_share: float = 0.02
     report_ms: int = 250
     idle_close_ms: int = 10_000
@@ -59,49 +59,49 @@
     drain_grace_ms: int = 500
     probe_work_ms: float = 1.5
     plain_writes: int = 0
-    """1: nodes take SET and DEL, as on installations where a router sets copies itself."""
+    """1: nodes accept SET and DEL, as in deployments where the router writes cached copies itself."""
     origin_drops: int = 1
-    """0: the origin tells no node of a write, so that only routers void what is kept."""
+    """0: the origin does not invalidate cached copies after a write, so that only routers do."""
     origins: int = 1
-    """Doors of the one store, the first in zone a, a second one in zone c."""
+    """Number of origin servers over one store: the first in zone a, the second in zone c."""
     origins_apart: int = 0
-    """1: each of them remembers repeats for itself, so that repeats are dropped within a zone only."""
+    """1: each origin server detects duplicates on its own, so that they are dropped only within a zone."""
     origin_width: int = 16
     origin_queue: int = 64
     origin_work_ms: tuple[float, float] = (30.0, 80.0)
     quota_per_s: float = 0.0
-    """Requests a second of all tenants together; 0: none stated."""
+    """Requests per second of all tenants together; 0: no quota."""
 
     def request_class(self, name: str) -> ClassProfile:
-        """The class of this name; raises KeyError."""
-        for known in self.classes:
-            if known.name == name:
-                return known
+        """Return the class of this name; raises KeyError."""
+        for request_class in self.classes:
+            if request_class.name == name:
+                return request_class
         raise KeyError(name)
 
     def settings(self, routers: int) -> dict[str, Any]:
-        """The object `settings` of a router's configuration."""
+        """Return the `settings` object of a router's configuration."""
         return {
             "balancers": routers,
             "ceilings": {
                 "mostTries": 4,
                 "retryAfter": True,
-                "maxRetryAfterNs": 1200 * MS,
+                "maxRetryAfterNs": 1200 * NS_PER_MS,
                 "mayProbe": True,
-                "dialTimeoutNs": 250 * MS,
-                "idleCloseNs": self.idle_close_ms * MS,
+                "dialTimeoutNs": 250 * NS_PER_MS,
+                "idleCloseNs": self.idle_close_ms * NS_PER_MS,
                 "maxOpen": 20_000,
             },
             "classes": [
                 {
-                    "name": known.name,
-                    "aimNs": known.aim_ms * MS,
-                    "giveUpNs": known.deadline_ms * MS,
-                    "semantics": known.semantics,
+                    "name": request_class.name,
+                    "aimNs": request_class.aim_ms * NS_PER_MS,
+                    "giveUpNs": request_class.deadline_ms * NS_PER_MS,
+                    "semantics": request_class.semantics,
                     "group": "zone" if self.origins_apart else "all",
-                    "dedupWindowNs": known.window_ms * MS,
+                    "dedupWindowNs": request_class.window_ms * NS_PER_MS,
                 }
-                for known in self.classes
+                for request_class in self.classes
             ],
             "familyInfo": {"mode": "aside", "originKind": 1},
             "feedback": {"fields": ["latency_ms", "queue"], "how": "answers"},
@@ -109,10 +109,10 @@
             "membershipMode": "automatic",
             "rules": {
                 "coldShare": self.cold_from,
-                "coldNs": self.cold_ms * MS,
-                "drainGraceNs": self.drain_grace_ms * MS,
+                "coldNs": self.cold_ms * NS_PER_MS,
+                "drainGraceNs": self.drain_grace_ms * NS_PER_MS,
                 "fallMultiple": self.fall_multiple,
-                "fallNs": self.fall_ms * MS,
+                "fallNs": self.fall_ms * NS_PER_MS,
             },
             "tenants": [
                 {"name": name, "portion": share, "quotaPerS": self.quota_per_s * share}
@@ -122,7 +122,7 @@
         }
 
     def config(self, name: str, listen: str, discovery: str, routers: int, seed: int = 0) -> dict[str, Any]:
-        """A router's whole configuration, in the platform's form."""
+        """Return a router's complete configuration in the platform's format."""
         return {
             "name": name,
             "listen": listen,
@@ -134,17 +134,17 @@
 
 
 def profile_json(profile: Profile) -> dict[str, Any]:
-    """The profile for a file."""
+    """Return the profile as a JSON object."""
     return asdict(profile)
 
 
-def read_profile(told: Any) -> Profile:
-    """A profile from a file's JSON; what is left out has its default. Raises ValueError in one plain line."""
-    if not isinstance(told, dict):
+def read_profile(document: Any) -> Profile:
+    """Return the profile in a JSON object; missing fields have their defaults. Raises ValueError."""
+    if not isinstance(document, dict):
         raise ValueError("profile: expected an object")
     known: dict[str, Any] = {known.name: known.default for known in fields(Profile)}
-    full: dict[str, Any] = {}
-    for name, value in told.items():
+    values: dict[str, Any] = {}
+    for name, value in document.items():
         if name not in known:
             raise ValueError(f"profile: unknown name {name!r}")
         if name == "classes":
@@ -156,8 +156,8 @@
             value = (type(known[name][0])(low), type(known[name][1])(high))
         elif isinstance(value, bool) or not isinstance(value, int | float) or value < 0:
             raise ValueError(f"profile: {name} must be a number that is not negative, got {value!r}")
-        full[name] = value
-    return Profile(**full)
+        values[name] = value
+    return Profile(**values)
 
 
 def _read_class(entry: dict[str, Any]) -> ClassProfile:
@@ -168,20 +168,26 @@
         raise ValueError(f"profile: classes: {error}") from None
 
 
-def quick(profile: Profile, divisor: float) -> Profile:
-    """The same deployment with all work done in a part of the time, for light demos and short tests."""
+def with_faster_work(profile: Profile, divisor: float) -> Profile:
+    """Return the profile with all work times divided by `divisor`, for demos and short tests."""
     classes = tuple(
-        replace(known, work_ms=(known.work_ms[0] / divisor, known.work_ms[1] / divisor))
-        for known in profile.classes
+        replace(
+            request_class, work_ms=(request_class.work_ms[0] / divisor, request_class.work_ms[1] / divisor)
+        )
+        for request_class in profile.classes
     )
     low, high = profile.origin_work_ms
     return replace(profile, classes=classes, origin_work_ms=(low / divisor, high / divisor))
 
 
-def hurried(profile: Profile, divisor: float) -> Profile:
-    """The same deployment with clients that wait for a part of the time."""
+def with_shorter_deadlines(profile: Profile, divisor: float) -> Profile:
+    """Return the profile with all latency aims and deadlines divided by `divisor`."""
     classes = tuple(
-        replace(known, aim_ms=int(known.aim_ms / divisor), deadline_ms=int(known.deadline_ms / divisor))
-        for known in profile.classes
+        replace(
+            request_class,
+            aim_ms=int(request_class.aim_ms / divisor),
+            deadline_ms=int(request_class.deadline_ms / divisor),
+        )
+        for request_class in profile.classes
     )
     return replace(profile, classes=classes)
--- a/saltport/standins/registry.py
+++ b/saltport/standins/registry.py
@@ -1,7 +1,7 @@
-"""The registry: the list of servers over HTTP, whole or as a watch, with a listener for each router.
+"""A simulated service registry over HTTP: returns the list of servers, or waits for changes to it.
 
-A listener of its own stands for the agent on a router's machine, and tells the ledger which router was told
-what, and when.
+Each router has a listener of its own, in place of the registry agent on its machine, so that the ledger shows
+which router received which entries at what time.
 """
 
 from __future__ import annotations
@@ -19,76 +19,76 @@
 from saltport.standins.peer import Address, Peer
 from saltport.standins.spoil import http_answer
 
-PATH = "/registry/instances"
+INSTANCES_PATH = "/registry/instances"
 MAX_WAIT_MS = 60_000
 
 Entry = dict[str, Any]
 
 
 class _Watch(HttpPeerConnection):
-    """One connection of a router to the registry."""
+    """A connection from a router to the registry."""
 
     def __init__(self, registry: Registry, router: str) -> None:
         super().__init__(registry.peers[router])
         self.registry, self.router = registry, router
-        self.waiting: tuple[list[Any], int, asyncio.TimerHandle] | None = None
+        self.pending: tuple[list[Any], int, asyncio.TimerHandle] | None = None
 
-    def request_came(
+    def handle_request(
         self,
-        place: list[Any],
+        reply_slot: list[Any],
         method: bytes,
         target: str,
         headers: dict[bytes, bytes],
         body: bytes,
-        first: int,
+        first_byte_at: int,
     ) -> None:
-        """Answer a call, or let a watch wait."""
+        """Answer a request at once, or hold a watch until the list changes or its wait ends."""
         parts = urlsplit(target)
         try:
-            if method != b"GET" or parts.path != PATH:
+            if method != b"GET" or parts.path != INSTANCES_PATH:
                 raise ValueError(target)
             query = {name: int(values[0]) for name, values in parse_qs(parts.query).items()}
         except ValueError:
-            self.answer(place, http_answer(404, b""))
+            self.answer(reply_slot, http_answer(404, b""))
             return
         index = query.get("index")
         if index is None or index < self.registry.oldest or index > self.registry.version:
-            self.tell(place, None)
-        elif self.registry.news(index):
-            self.tell(place, index)
+            self.send_list(reply_slot, None)
+        elif self.registry.changes_since(index):
+            self.send_list(reply_slot, index)
         else:
             wait = min(query.get("wait", 0), MAX_WAIT_MS) / 1000
-            timer = asyncio.get_running_loop().call_later(wait, self.wake)
-            self.waiting = place, index, timer
+            timer = asyncio.get_running_loop().call_later(wait, self.complete)
+            self.pending = reply_slot, index, timer
 
-    def wake(self) -> None:
-        """There is news, or the wait is over."""
-        if self.waiting is not None and not self.lost:
-            (place, index, timer), self.waiting = self.waiting, None
+    def complete(self) -> None:
+        """Answer the pending watch, if any, with the changes since its index."""
+        if self.pending is not None and not self.lost:
+            (reply_slot, index, timer), self.pending = self.pending, None
             timer.cancel()
-            self.tell(place, index)
+            self.send_list(reply_slot, index)
 
-    def tell(self, place: list[Any], index: int | None) -> None:
-        """Write the list, or what has changed since `index`, and note who was told what."""
+    def send_list(self, reply_slot: list[Any], index: int | None) -> None:
+        """Send the changes since `index` (None: the full list) and record them in the ledger."""
         registry = self.registry
-        entries = list(registry.published.values()) if index is None else registry.news(index)
+        entries = list(registry.published.values()) if index is None else registry.changes_since(index)
         body = {"generation": registry.version, "reset": index is None, "instances": entries}
-        self.answer(place, http_answer(200, orjson.dumps(body)))
+        self.answer(reply_slot, http_answer(200, orjson.dumps(body)))
         registry.ledger.write(
             "told", router=self.router, whole=index is None,
             states={entry["instanceId"]: [entry["lifecycle"], entry["hostPort"]] for entry in entries},
         )  # fmt: skip
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The watch has ended."""
+        """Cancel the pending watch."""
         super().connection_lost(exc)
-        if self.waiting is not None:
-            self.waiting[2].cancel()
-            self.waiting = None
+        if self.pending is not None:
+            self.pending[2].cancel()
+            self.pending = None
 
 
 class Registry:
-    """The list as the registry holds it, and as it has published it."""
+    """The published list of servers with its version, and the changes not yet published."""
 
     def __init__(self, ledger: Ledger) -> None:
         self.ledger = ledger
@@ -96,45 +96,47 @@
         self.published: dict[str, Entry] = {}
         self._changes: list[tuple[int, Entry]] = []
         self.peers: dict[str, Peer] = {}
-        self.late = 0.0
-        self.stale = False
-        self._queue: deque[tuple[float, Entry]] = deque()
-        self._unpublished: list[Entry] = []
+        self.publish_delay_s = 0.0
+        self.publishing_paused = False
+        self._delayed_changes: deque[tuple[float, Entry]] = deque()
+        self._withheld: list[Entry] = []
 
     def listen(self, router: str) -> Address:
-        """An address for one router."""
+        """Open a listener for one router and return its address."""
         self.peers[router] = peer = Peer(lambda: _Watch(self, router))
         peer.open()
         return peer.address
 
-    def news(self, index: int) -> list[Entry]:
-        """The entries that changed after version `index`, each once, as they are now."""
+    def changes_since(self, index: int) -> list[Entry]:
+        """Return the entries that changed after version `index`, each once in its latest state."""
         latest = {entry["instanceId"]: entry for version, entry in self._changes if version > index}
         return list(latest.values())
 
     def change(self, entry: Entry, delay: float = 0.0) -> None:
-        """Take news of one server, to publish after the delay, and later still while news come late."""
+        """Publish a changed entry after `delay` seconds plus the delay of an active fault."""
         now = time.monotonic()
-        due = now + delay + self.late
-        if self._queue:
-            # Danger: news that overtook older ones would leave a server listed, or not, for good.
-            due = max(due, self._queue[-1][0])
+        due = now + delay + self.publish_delay_s
+        if self._delayed_changes:
+            # Danger: a change that overtakes an older one would leave a server wrongly listed for good.
+            due = max(due, self._delayed_changes[-1][0])
         if due <= now:
             self._publish(entry)
             return
-        self._queue.append((due, entry))
+        self._delayed_changes.append((due, entry))
         asyncio.get_running_loop().call_later(due - now, self._publish_due)
 
     def _publish_due(self) -> None:
         now = time.monotonic()
-        while self._queue and self._queue[0][0] <= now:
-            self._publish(self._queue.popleft()[1])
-        if self._queue:
-            asyncio.get_running_loop().call_later(self._queue[0][0] - now + 0.001, self._publish_due)
+        while self._delayed_changes and self._delayed_changes[0][0] <= now:
+            self._publish(self._delayed_changes.popleft()[1])
+        if self._delayed_changes:
+            asyncio.get_running_loop().call_later(
+                self._delayed_changes[0][0] - now + 0.001, self._publish_due
+            )
 
     def _publish(self, entry: Entry) -> None:
-        if self.stale:
-            self._unpublished.append(entry)
+        if self.publishing_paused:
+            self._withheld.append(entry)
             return
         self.version += 1
         if entry["lifecycle"] == "removed":
@@ -146,35 +148,35 @@
         for peer in self.peers.values():
             for connection in list(peer.connections):
                 if isinstance(connection, _Watch):
-                    connection.wake()
+                    connection.complete()
 
-    def freshen(self) -> None:
-        """Publish what was held back."""
-        self.stale = False
-        held, self._unpublished = self._unpublished, []
-        for entry in held:
+    def resume_publishing(self) -> None:
+        """Publish the withheld changes, and from now on all changes again."""
+        self.publishing_paused = False
+        withheld, self._withheld = self._withheld, []
+        for entry in withheld:
             self._publish(entry)
 
-    def down(self) -> None:
-        """Reset all watches and refuse new ones."""
+    def stop(self) -> None:
+        """Reset all connections and refuse new ones."""
         for peer in self.peers.values():
-            peer.die()
+            peer.crash()
 
-    def up(self) -> None:
-        """Answer again."""
+    def start(self) -> None:
+        """Accept connections again after `stop`."""
         for peer in self.peers.values():
             peer.open()
 
     def close(self) -> None:
-        """End everything."""
+        """Close all listeners and connections."""
         for peer in self.peers.values():
             peer.close()
 
 
-def entry_of(
+def instance_entry(
     server: str, address: Address, kind: str, lifecycle: str, zone: str, cell: int, started_unix_ms: int
 ) -> Entry:
-    """One server in the registry's form."""
+    """Return the registry entry of a server."""
     return {
         "instanceId": server,
         "hostPort": f"{address[0]}:{address[1]}",
@@ -188,5 +190,5 @@
 
 
 def unix_ms(monotonic: int) -> int:
-    """A time of this process's monotonic clock as Unix time in milliseconds."""
+    """Convert a monotonic clock reading of this process in nanoseconds to Unix time in milliseconds."""
     return (monotonic + time.time_ns() - time.monotonic_ns()) // 1_000_000
--- a/saltport/standins/spoil.py
+++ b/saltport/standins/spoil.py
@@ -1,24 +1,24 @@
-"""Good answers of RESP and HTTP made bad, in each of the ways that a fault names."""
+"""RESP and HTTP replies, and corrupted variants of them for fault injection."""
 
 from __future__ import annotations
 
 import random
 from collections.abc import Iterator
 
-HUGE = 3 << 30
-CHUNK = 16 << 10
-MOST_CHUNKS = 64
-"""A huge value stops after so many parts, as the router should have closed long ago."""
+HUGE_VALUE_BYTES = 3 << 30
+CHUNK_BYTES = 16 << 10
+MAX_CHUNKS = 64
+"""Number of chunks sent of a huge value; a router should have closed the connection before."""
 
 
-def resp_answer(value: bytes | None, note: bytes, report: bytes) -> bytes:
-    """A node's whole answer; a null value is a miss."""
+def resp_answer(value: bytes | None, result: bytes, report: bytes) -> bytes:
+    """Return a node's complete reply; a null value is a miss."""
     body = b"$-1\r\n" if value is None else b"$%d\r\n%b\r\n" % (len(value), value)
-    return b"*3\r\n%b$%d\r\n%b\r\n$%d\r\n%b\r\n" % (body, len(note), note, len(report), report)
+    return b"*3\r\n%b$%d\r\n%b\r\n$%d\r\n%b\r\n" % (body, len(result), result, len(report), report)
 
 
 def http_answer(status: int, body: bytes, *headers: bytes) -> bytes:
-    """An answer of the origin or the registry."""
+    """Return a complete HTTP response of the origin or the registry."""
     lines = b"".join(line + b"\r\n" for line in headers)
     return b"HTTP/1.1 %d -\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), lines, body)
 
@@ -27,17 +27,17 @@
     return bytes(rng.getrandbits(8) | 0x80 for _ in range(size))
 
 
-def _forever(head: bytes, rng: random.Random) -> Iterator[bytes]:
+def _endless_value(head: bytes, rng: random.Random) -> Iterator[bytes]:
     yield head
-    part = _noise(rng, 256) * (CHUNK // 256)
-    for _ in range(MOST_CHUNKS):
+    part = _noise(rng, 256) * (CHUNK_BYTES // 256)
+    for _ in range(MAX_CHUNKS):
         yield part
 
 
-def spoil_resp(how: str, value: bytes, rng: random.Random) -> Iterator[bytes] | bytes | None:
-    """A spoilt answer of a node: bytes, parts without an end, or None for `cut`, which ends in a reset."""
+def corrupt_resp_reply(kind: str, value: bytes, rng: random.Random) -> Iterator[bytes] | bytes | None:
+    """Return a corrupted reply of a node: bytes, chunks, or None for `cut`, where the caller resets."""
     good = resp_answer(value, b"hit", b"latency_ms=1.000,queue=0")
-    match how:
+    match kind:
         case "noise":
             return _noise(rng, 64)
         case "bad_line":
@@ -47,7 +47,7 @@
         case "wrong_length":
             return b"*3\r\n$%d\r\n%b\r\n$3\r\nhit\r\n$-1\r\n" % (max(len(value) - 3, 0), value)
         case "huge":
-            return _forever(b"*3\r\n$%d\r\n" % HUGE, rng)
+            return _endless_value(b"*3\r\n$%d\r\n" % HUGE_VALUE_BYTES, rng)
         case "copy":
             return good + good
         case "tail_noise":
@@ -59,10 +59,10 @@
     return good
 
 
-def spoil_http(how: str, body: bytes, rng: random.Random) -> Iterator[bytes] | bytes | None:
-    """A spoilt answer of the origin, in the same forms."""
+def corrupt_http_response(kind: str, body: bytes, rng: random.Random) -> Iterator[bytes] | bytes | None:
+    """Return a corrupted response of the origin, in the forms of `corrupt_resp_reply`."""
     good = http_answer(200, body)
-    match how:
+    match kind:
         case "noise":
             return _noise(rng, 64)
         case "bad_line":
@@ -72,7 +72,7 @@
         case "wrong_length":
             return b"HTTP/1.1 200 -\r\nContent-Length: -7\r\n\r\n" + body
         case "huge":
-            return _forever(b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n" % HUGE, rng)
+            return _endless_value(b"HTTP/1.1 200 -\r\nContent-Length: %d\r\n\r\n" % HUGE_VALUE_BYTES, rng)
         case "copy":
             return good + good
         case "tail_noise":
--- a/tests/nemesis/test_processes.py
+++ b/tests/nemesis/test_processes.py
@@ -84,7 +84,7 @@
 
 def test_a_router_with_another_key_is_nobody_and_the_run_says_so(tmp_path: Path) -> None:
     async def scene(nemesis: Nemesis) -> None:
-        nemesis.links.fault(["r1"], ["r2"], Fault(loss=0.1, doubles=0.5, delay_s=(0.0, 0.05)))
+        nemesis.links.add_fault(["r1"], ["r2"], Fault(loss=0.1, duplicates=0.5, delay_s=(0.0, 0.05)))
         (tmp_path / "peers.keys").write_text("ab" * 32)
         await nemesis.end("r3")
         await nemesis.start("r3")
--- a/tests/nemesis/test_spans.py
+++ b/tests/nemesis/test_spans.py
@@ -25,4 +25,4 @@
     spans = nemesis.history.spans
     assert {span.who for span in spans if span.begun <= between and span.group} == set(names)
     assert sum(span.who == "r1" for span in spans) == 2
-    assert not nemesis.links.on("r2", "r1")
+    assert not nemesis.links.active_faults("r2", "r1")
--- a/tests/router/test_hot_keys.py
+++ b/tests/router/test_hot_keys.py
@@ -21,7 +21,7 @@
 from saltport.load.plan import HOT_KEY, LoadPlan, Step
 from saltport.router.config import ConfigError, load_config
 from saltport.router.features import FeatureError, read_features
-from saltport.standins.profile import ClassProfile, Profile, quick
+from saltport.standins.profile import ClassProfile, Profile, with_faster_work
 from tests.sockets import ROOT, Peer, bulk, eventually, get, hit, http_answer, run_router
 
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
@@ -60,8 +60,10 @@
 
 def test_plain_writes_spread_a_key_and_voids_keep_every_read_fresh(tmp_path: Path) -> None:
     """The origin tells no node of a write here: what is not void by the router's doing would be read."""
-    profile = replace(quick(Profile(), 20), plain_writes=1, origin_drops=0, classes=quick(
-        replace(Profile(), classes=YANKED), 20).classes)  # fmt: skip
+    profile = replace(
+        with_faster_work(Profile(), 20), plain_writes=1, origin_drops=0,
+        classes=with_faster_work(replace(Profile(), classes=YANKED), 20).classes,
+    )  # fmt: skip
     verdict, fleet, told, tries = play(tmp_path, "writes", profile, kills=True)
     assert verdict.violations == []
     assert verdict.checked["stale"] > 100
@@ -78,7 +80,7 @@
 
 
 def test_reads_fill_further_nodes_by_the_platforms_own_rule(tmp_path: Path) -> None:
-    verdict, fleet, told, _ = play(tmp_path, "reads", quick(Profile(), 20))
+    verdict, fleet, told, _ = play(tmp_path, "reads", with_faster_work(Profile(), 20))
     assert verdict.violations == []
     assert not [record for record in fleet if record["kind"] in ("copied", "voided", "syntax")]
     (top,) = [entry for entry in told["hot_keys"]["top"] if entry["key"] == HOT_KEY]
--- a/tests/standins/test_many_routers.py
+++ b/tests/standins/test_many_routers.py
@@ -1,4 +1,4 @@
-"""`benchmarks.many_routers`, small: routers beside a list as long as that of a large fleet."""
+"""The benchmark `many_routers` at a small scale: several routers with the server list of a large fleet."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def test_six_routers_beside_600_servers_get_ready_and_each_serves(tmp_path: Path) -> None:
-    told = uvloop.run(measure(tmp_path, routers=6, servers=SERVERS, reads=20))
-    assert len(told.found) == told.routers == 6
-    assert all(one.served for one in told.found)
-    assert all(one.descriptors > 5 for one in told.found)
-    assert all(0 < one.pss_mb <= one.rss_mb for one in told.found)
+    summary = uvloop.run(measure(tmp_path, routers=6, servers=SERVERS, reads=20))
+    assert len(summary.found) == summary.routers == 6
+    assert all(router.served for router in summary.found)
+    assert all(router.descriptors > 5 for router in summary.found)
+    assert all(0 < router.pss_mb <= router.rss_mb for router in summary.found)
 
 
 def test_more_routers_than_one_machine_should_hold_are_refused_before_any_starts(tmp_path: Path) -> None:
@@ -28,8 +28,8 @@
 
 
 @pytest.mark.parametrize(("ready_s", "served", "good"), [(9.9, 1, True), (10.1, 1, False), (0.1, 0, False)])
-def test_one_that_is_late_or_serves_nothing_fails_the_run(ready_s: float, served: int, good: bool) -> None:
+def test_a_late_or_idle_router_fails_the_run(ready_s: float, served: int, good: bool) -> None:
     found = [Found("r1", 0.3, 18.0, 30.0, 60, 5, 5), Found("r2", ready_s, 18.0, 30.0, 60, served, 5)]
-    told = Summary(2, SERVERS, 1.0, 0.0, found)
-    assert told.good is good
-    assert ("r2" in told.lines()[-1]) is (served == 0)
+    summary = Summary(2, SERVERS, 1.0, 0.0, found)
+    assert summary.good is good
+    assert ("r2" in summary.lines()[-1]) is (served == 0)
--- a/tests/standins/test_profile.py
+++ b/tests/standins/test_profile.py
@@ -1,4 +1,4 @@
-"""Profiles go through a file unchanged, and bad ones are turned down in plain words."""
+"""Profiles survive a round trip through JSON, and invalid ones are rejected."""
 
 from __future__ import annotations
 
@@ -8,12 +8,14 @@
 import orjson
 import pytest
 
-from saltport.standins.profile import ClassProfile, Profile, profile_json, quick, read_profile
+from saltport.standins.profile import ClassProfile, Profile, profile_json, read_profile, with_faster_work
 
 
 def test_profiles_survive_a_file() -> None:
     odd = replace(
-        quick(Profile(), 3), cores=4, classes=(ClassProfile("once", 1.0, (1.5, 2.0), 3, 4, "fragile"),)
+        with_faster_work(Profile(), 3),
+        cores=4,
+        classes=(ClassProfile("once", 1.0, (1.5, 2.0), 3, 4, "fragile"),),
     )
     for profile in (Profile(), odd):
         assert read_profile(orjson.loads(orjson.dumps(profile_json(profile)))) == profile
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -16,11 +16,11 @@
 from saltport.harness import Harness, HarnessError, reserve_port, run_load
 from saltport.load.plan import LoadPlan, Step
 from saltport.standins.ledger import Ledger, read_ledger
-from saltport.standins.profile import Profile, quick
+from saltport.standins.profile import Profile, with_faster_work
 
 PATIENCE_S = 60.0
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
-QUICK = quick(Profile(), 20)
+QUICK = with_faster_work(Profile(), 20)
 
 
 def play(
@@ -113,7 +113,7 @@
 
 def test_ports_stay_reserved_while_their_router_is_down(tmp_path: Path) -> None:
     async def run() -> None:
-        async with Harness(tmp_path, quick(Profile(), 20), 2, 1) as harness:
+        async with Harness(tmp_path, with_faster_work(Profile(), 20), 2, 1) as harness:
             (router,) = harness.held
             await harness.kill_router(router)
             for address in (router.address, router.admin):
