--- a/tests/router/test_hot_keys.py
+++ b/tests/router/test_hot_keys.py
@@ -22,7 +22,7 @@
 from saltport.load.plan import HOT_KEY, LoadPlan, Step
 from saltport.router.config import ConfigError, load_config
 from saltport.router.features import FeatureError, read_features
-from saltport.standins.profile import ClassProfile, Profile, quick
+from saltport.standins.profile import ClassProfile, Profile, with_faster_work
 from tests.sockets import ROOT, Peer, bulk, eventually, get, hit, http_answer, run_router
 
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
@@ -64,8 +64,10 @@
 
 def test_plain_writes_spread_a_key_and_invalidations_keep_every_read_fresh(tmp_path: Path) -> None:
     """The origin does not invalidate copies here, so reads are stale unless the router invalidates them."""
-    profile = replace(quick(Profile(), 20), plain_writes=1, origin_drops=0, classes=quick(
-        replace(Profile(), classes=YANK_CLASSES), 20).classes)  # fmt: skip
+    profile = replace(
+        with_faster_work(Profile(), 20), plain_writes=1, origin_drops=0,
+        classes=with_faster_work(replace(Profile(), classes=YANK_CLASSES), 20).classes,
+    )  # fmt: skip
     verdict, fleet, state, tries = play(tmp_path, "writes", profile, kills=True)
     assert verdict.violations == []
     assert verdict.checked["stale"] > 100
@@ -82,7 +84,7 @@
 
 
 def test_reads_fill_further_nodes_by_the_platforms_own_rule(tmp_path: Path) -> None:
-    verdict, fleet, state, _ = play(tmp_path, "reads", quick(Profile(), 20))
+    verdict, fleet, state, _ = play(tmp_path, "reads", with_faster_work(Profile(), 20))
     assert verdict.violations == []
     assert not [record for record in fleet if record["kind"] in ("copied", "voided", "syntax")]
     (top,) = [entry for entry in state["hot_keys"]["top"] if entry["key"] == HOT_KEY]
