--- a/saltport/owners/link.py
+++ b/saltport/owners/link.py
@@ -12,7 +12,7 @@
 from typing import Any, Protocol
 
 from saltport.owners import trials
-from saltport.owners.log import Log, Snapshot, Vote, Voting
+from saltport.owners.log import Configuration, Log, Snapshot, Vote
 from saltport.owners.member import Member
 from saltport.owners.messages import Message, decode, encode
 from saltport.owners.raft import NS_PER_S
@@ -108,14 +108,16 @@
 
     def _begin(self, now: int) -> Member:
         """Once this process is a member among its peers: its start number is settled then."""
-        kept, boots = None, 0
+        kept, boot_count = None, 0
         if self.name in self._plan.voters and not self.trouble:
             if self._storage is not None:
-                kept, boots = self._kept(self._storage), self._storage.boots
+                kept, boot_count = self._kept(self._storage), self._storage.boot_count
             else:
-                kept = (Log(Snapshot(0, 0, Voting(self._plan.voters))), Vote(0), not self._plan.begin)
+                kept = (Log(Snapshot(0, 0, Configuration(self._plan.voters))), Vote(0), not self._plan.begin)
         start = self._peers.agent.me.start
-        member = Member(self.name, start, self._plan.voters, self._plan.settings, self._rng, now, kept, boots)
+        member = Member(
+            self.name, start, self._plan.voters, self._plan.settings, self._rng, now, kept, boot_count
+        )
         member.tenure.want([*self._plan.pieces, *self.wanted])
         self._trials = Trials(member.tenure, member.fence, self._rng) if self._plan.trials else None
         return member
@@ -142,7 +144,7 @@
                 self._say(member, now)
             self._turned = now
         finally:
-            due = self.member.due if self.member is not None else 0
+            due = self.member.wake_at if self.member is not None else 0
             wait = min(max(due - boot_clock(), 5_000_000), 100_000_000) / NS_PER_S
             self._timer = self._loop.call_later(wait, self._turn)
 
@@ -151,7 +153,7 @@
         self._open()
         if self._storage is not None:
             self._storage_failed = False
-            member.begin_voting(self._kept(self._storage), self._storage.boots, now)
+            member.begin_voting(self._kept(self._storage), self._storage.boot_count, now)
             log.info("owners: this voter votes again")
 
     def _say(self, member: Member, now: int) -> None:
@@ -243,10 +245,10 @@
                 "role": str(raft.role),
                 "term": raft.term,
                 "leader": raft.leader,
-                "commit": raft.commit,
-                "last": raft.log.last,
-                "voters": list(raft.voting.voters),
-                "learners": list(raft.voting.learners),
+                "commit": raft.commit_index,
+                "last": raft.log.last_index,
+                "voters": list(raft.configuration.voters),
+                "learners": list(raft.configuration.learners),
                 "lease_left_ms": max(min(raft.lease_until(), now + 10**12) - now, 0) // 1_000_000,
                 "writes": self._storage.writes if self._storage is not None else None,
             }
@@ -266,9 +268,9 @@
         raft = member.raft if member is not None else None
         if member is None or raft is None or not raft.leads(now):
             return "this router does not lead"
-        heirs = [name for name in raft.voting.voters if name != self.name]
-        heir = to or max(heirs, key=lambda name: raft.progress[name].match, default="")
-        if not raft.hand_over(heir, now):
+        heirs = [name for name in raft.configuration.voters if name != self.name]
+        heir = to or max(heirs, key=lambda name: raft.progress[name].match_index, default="")
+        if not raft.transfer_leadership(heir, now):
             return f"{heir!r} is no other voter"
         self._carry(member)
         return ""
--- a/saltport/owners/log.py
+++ b/saltport/owners/log.py
@@ -1,4 +1,4 @@
-"""A replicated log: entries after a snapshot. No I/O."""
+"""The replicated Raft log: a snapshot and the entries after it. No I/O."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 import msgspec
 from msgspec import Struct
 
-ENTRY_HEAD = 12  # bytes of an entry beside its data
+ENTRY_OVERHEAD_BYTES = 12  # encoded size of an entry without its data
 
 
-class Kind(IntEnum):
-    """Of an entry."""
+class EntryKind(IntEnum):
+    """Kind of a log entry."""
 
-    EMPTY = 0
-    """A new leader's first: what is before it is committed with it."""
+    NO_OP = 0
+    """First entry of a new leader; committing it commits the entries before it."""
     COMMAND = 1
-    CONFIG = 2
+    CONFIGURATION = 2
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """One entry."""
+    """An entry of the replicated log."""
 
     index: int
     term: int
@@ -30,111 +30,111 @@
     data: bytes = b""
 
 
-class Voting(Struct, frozen=True, array_like=True):
-    """Who votes, and who only learns."""
+class Configuration(Struct, frozen=True, array_like=True):
+    """Cluster configuration: the voters, and the learners, which replicate without voting."""
 
     voters: tuple[str, ...]
     learners: tuple[str, ...] = ()
 
     @property
     def quorum(self) -> int:
-        """So many voters are a majority."""
+        """Number of voters that form a majority."""
         return len(self.voters) // 2 + 1
 
     @property
-    def everyone(self) -> tuple[str, ...]:
-        """Voters and learners."""
+    def members(self) -> tuple[str, ...]:
+        """All voters and learners."""
         return (*self.voters, *self.learners)
 
 
 class Snapshot(Struct, frozen=True, array_like=True):
-    """All that the entries up to an index made."""
+    """State of the state machine after the entries up to `index`."""
 
     index: int
     term: int
-    voting: Voting
+    configuration: Configuration
     data: bytes = b""
 
 
 class Vote(Struct, frozen=True, array_like=True):
-    """What a voter must never forget beside its log."""
+    """Raft's persistent state beside the log: the current term and the vote in it."""
 
     term: int
     voted_for: str = ""
 
 
-def pack(value: Voting) -> bytes:
-    """For the data of an entry."""
+def encode_configuration(value: Configuration) -> bytes:
+    """Return the data of a configuration entry."""
     return msgspec.msgpack.encode(value)
 
 
-def unpack(data: bytes) -> Voting:
-    """The voting of an entry; raises ValueError."""
-    return msgspec.msgpack.decode(data, type=Voting)
+def decode_configuration(data: bytes) -> Configuration:
+    """Return the configuration in the data of an entry; raises ValueError."""
+    return msgspec.msgpack.decode(data, type=Configuration)
 
 
 @dataclass(slots=True)
 class Log:
-    """The entries that are kept, and the snapshot before them."""
+    """A snapshot and the entries after it."""
 
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
 
     @property
-    def last(self) -> int:
-        """Index of the last entry."""
+    def last_index(self) -> int:
+        """Index of the last entry, or of the snapshot if there is none."""
         return self.entries[-1].index if self.entries else self.snapshot.index
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the last entry, or of the snapshot if there is none."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     def term_at(self, index: int) -> int | None:
-        """The term of an entry; None: it is not kept, or not there."""
+        """Return the term of an entry; None if the log does not contain it."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        place = index - self.snapshot.index - 1
-        return self.entries[place].term if 0 <= place < len(self.entries) else None
+        offset = index - self.snapshot.index - 1
+        return self.entries[offset].term if 0 <= offset < len(self.entries) else None
 
-    def after(self, index: int, most: int) -> list[Entry]:
-        """Entries behind an index that is kept, up to so many bytes, but at least one if there is one."""
-        found: list[Entry] = []
+    def entries_after(self, index: int, max_bytes: int) -> list[Entry]:
+        """Return the entries after `index`, up to `max_bytes` but at least one if there is any."""
+        selected: list[Entry] = []
         for entry in self.entries[index - self.snapshot.index :]:
-            most -= len(entry.data) + ENTRY_HEAD
-            if found and most < 0:
+            max_bytes -= len(entry.data) + ENTRY_OVERHEAD_BYTES
+            if selected and max_bytes < 0:
                 break
-            found.append(entry)
-        return found
+            selected.append(entry)
+        return selected
 
-    def first_of_term(self, index: int) -> int:
-        """The first kept index of the term that the entry at this index has."""
+    def first_index_of_term(self, index: int) -> int:
+        """Return the first index in the log with the same term as the entry at `index`."""
         term = self.term_at(index)
         while index > self.snapshot.index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def append(self, entries: Sequence[Entry]) -> list[Entry]:
-        """Take a leader's entries; what contradicts them goes. Returns those that are new."""
-        for number, entry in enumerate(entries):
-            held = self.term_at(entry.index)
-            if entry.index <= self.snapshot.index or held == entry.term:
+        """Store a leader's entries and drop conflicting ones; return the entries that are new."""
+        for position, entry in enumerate(entries):
+            known_term = self.term_at(entry.index)
+            if entry.index <= self.snapshot.index or known_term == entry.term:
                 continue
-            if held is not None:
+            if known_term is not None:
                 del self.entries[entry.index - self.snapshot.index - 1 :]
-            self.entries.extend(entries[number:])
-            return list(entries[number:])
+            self.entries.extend(entries[position:])
+            return list(entries[position:])
         return []
 
-    def voting(self) -> tuple[int, Voting]:
-        """The latest voting, committed or not, and the index of its entry (thesis, 4.1)."""
+    def configuration(self) -> tuple[int, Configuration]:
+        """Return the latest configuration, committed or not, after its entry's index (thesis, 4.1)."""
         for entry in reversed(self.entries):
-            if entry.kind == Kind.CONFIG:
-                return entry.index, unpack(entry.data)
-        return self.snapshot.index, self.snapshot.voting
+            if entry.kind == EntryKind.CONFIGURATION:
+                return entry.index, decode_configuration(entry.data)
+        return self.snapshot.index, self.snapshot.configuration
 
-    def cut(self, snapshot: Snapshot) -> None:
-        """Put a snapshot in the place of what it covers."""
+    def install_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the entries that a snapshot covers by the snapshot."""
         if self.term_at(snapshot.index) == snapshot.term:
             self.entries = self.entries[snapshot.index - self.snapshot.index :]
         else:
--- a/saltport/owners/member.py
+++ b/saltport/owners/member.py
@@ -42,9 +42,9 @@
         rng: random.Random,
         now: int,
         kept: tuple[Log, Vote, bool] | None = None,
-        boots: int = 0,
+        boot_count: int = 0,
     ) -> None:
-        """`kept`: what a voter's storage has, and whether it forgot what it promised; None: no voter."""
+        """`kept`: what a voter's storage has, and whether it lost_state what it promised; None: no voter."""
         self.name, self.settings, self._rng = name, settings, rng
         self.voters = voters
         self.record = Record.empty()
@@ -55,15 +55,15 @@
         self._messages: list[tuple[str, Message]] = []
         self._target = ""
         self._asked = self._answered_at = now
-        self.due = now
+        self.wake_at = now
         if kept is not None:
-            self.begin_voting(kept, boots, now)
+            self.begin_voting(kept, boot_count, now)
 
-    def begin_voting(self, kept: tuple[Log, Vote, bool], boots: int, now: int) -> None:
+    def begin_voting(self, kept: tuple[Log, Vote, bool], boot_count: int, now: int) -> None:
         """Vote from what a storage has, at the start or after it failed; see `__init__`."""
-        log, vote, forgot = kept
+        log, vote, lost_state = kept
         self.record = Record.load(log.snapshot.data)
-        self.raft = Raft(self.name, log, vote, self.settings.raft, self._rng, now, forgot, boots)
+        self.raft = Raft(self.name, log, vote, self.settings.raft, self._rng, now, lost_state, boot_count)
 
     def stop_voting(self) -> None:
         """Promise nothing more: what was promised last could not be kept."""
@@ -88,7 +88,7 @@
         renew = self.tenure.tick(now)
         if renew is not None:
             self._ask(renew, now)
-        self.due = min(now + TICK, raft.due if raft is not None else now + TICK)
+        self.wake_at = min(now + TICK, raft.wake_at if raft is not None else now + TICK)
 
     def _steer(self, raft: Raft, now: int) -> bool:
         """Be the steward for as long as the lead is certain; whether it is."""
@@ -124,9 +124,9 @@
             if self._steward is not None:
                 self._steward.resign(Resign(session))
                 self._decide(raft, self._steward, now)
-            heirs = [name for name in raft.voting.voters if name != self.name]
+            heirs = [name for name in raft.configuration.voters if name != self.name]
             if heirs:
-                raft.hand_over(max(heirs, key=lambda name: raft.progress[name].match), now)
+                raft.transfer_leadership(max(heirs, key=lambda name: raft.progress[name].match_index), now)
 
     def receive(self, sender: str, message: Message, now: int) -> None:
         """Take a message."""
@@ -165,7 +165,7 @@
         """What is to be stored and sent now; what was committed is applied to the record."""
         work = Work()
         if self.raft is not None:
-            ready = self.raft.take()
+            ready = self.raft.take_ready()
             work.vote, work.snapshot, work.entries = ready.vote, ready.snapshot, ready.entries
             work.messages += ready.messages
             if ready.restore is not None:
@@ -181,7 +181,7 @@
                     self._steward.applied([piece for piece, _ in changed])
             if len(self.raft.log.entries) > self.settings.keep and ready.snapshot is None:
                 self.raft.compact(self.record.save())
-                more = self.raft.take()
+                more = self.raft.take_ready()
                 work.snapshot, work.entries = more.snapshot, more.entries
         work.messages += self._messages
         self._messages = []
--- a/saltport/owners/raft.py
+++ b/saltport/owners/raft.py
@@ -1,8 +1,9 @@
-"""The agreed record: Raft, as Ongaro's thesis has it (sections are named beside the rules). No I/O.
+"""Raft consensus without I/O, after Ongaro's thesis (section numbers stand beside the rules).
 
-It takes messages, proposals and the time, and gives what to store, what to send and what to apply: `take`
-returns them, and whoever drives it stores first, sends then, applies last. Times are nanoseconds on a clock
-that never goes back, and that may run faster or slower than another's by `drift`.
+The caller passes in messages, proposals and the time. `take_ready` returns the resulting output: the caller
+must first store the vote, snapshot and entries, then send the messages, and apply the committed entries last.
+Times are nanoseconds on a monotonic clock whose rate may differ from another member's by
+`RaftSettings.clock_drift`.
 """
 
 from __future__ import annotations
@@ -13,18 +14,27 @@
 
 from msgspec import Struct
 
-from saltport.owners.log import Entry, Kind, Log, Snapshot, Vote, Voting, pack, unpack
+from saltport.owners.log import (
+    Configuration,
+    Entry,
+    EntryKind,
+    Log,
+    Snapshot,
+    Vote,
+    decode_configuration,
+    encode_configuration,
+)
 
 NS_PER_MS = 1_000_000
 NS_PER_S = 1_000 * NS_PER_MS
 
 
 class Role(StrEnum):
-    """What a member does."""
+    """The Raft state of a member."""
 
     FOLLOWER = "follower"
     RECOVERING = "recovering"
-    """Without a disk and just started: it neither votes nor answers for entries."""
+    """Restarted without its stored state: it neither votes nor acknowledges entries."""
     PRECANDIDATE = "precandidate"
     CANDIDATE = "candidate"
     LEADER = "leader"
@@ -32,142 +42,164 @@
 
 @dataclass(frozen=True, slots=True)
 class RaftSettings:
-    """Times are nanoseconds; the same at every voter."""
-
-    election: int = 1_500 * NS_PER_MS
-    """So long after a leader was heard no other gets a vote; elections begin then, and up to twice it."""
-    heartbeat: int = 250 * NS_PER_MS
-    drift: float = 0.02
-    """By so much of it a clock may run faster or slower."""
-    batch: int = 150
-    """Bytes of entries in a message, with twelve for each; one goes however long it is."""
-    chunk: int = 160
-    """Bytes of a snapshot in a message."""
-    prevote: bool = True
-    """Off only to show in tests what it is for."""
-    lease_from_answer: bool = False
-    """On only as a planted defect: the lease would count from when answers come."""
+    """Raft timing and message sizes, equal at every voter; times are nanoseconds."""
+
+    election_timeout: int = 1_500 * NS_PER_MS
+    """Minimum time since the last leader contact before a voter grants a vote to another candidate.
+
+    An election starts after a random time between once and twice this."""
+    heartbeat_interval: int = 250 * NS_PER_MS
+    clock_drift: float = 0.02
+    """Largest relative error of a clock's rate."""
+    max_append_bytes: int = 150
+    """Size limit of the entries in a message, each with its overhead; the first entry is always sent."""
+    snapshot_chunk_bytes: int = 160
+    """Largest part of a snapshot in a message."""
+    pre_vote: bool = True
+    """Whether elections begin with a pre-vote; off only in tests that show its effect."""
+    lease_from_reply: bool = False
+    """Test-only defect: the lease counts from the arrival of replies instead of the sending of requests."""
 
     @property
     def lease(self) -> int:
-        """How long a leader may count on no other, from when its question left."""
-        return int(self.election * (1 - self.drift) / (1 + self.drift))
+        """Duration of the leader lease, counted from when a quorum's requests were sent."""
+        return int(self.election_timeout * (1 - self.clock_drift) / (1 + self.clock_drift))
 
 
-class AskVote(Struct, frozen=True, array_like=True, tag=0):
-    """A candidate's question; `pre`: whether it would get the vote; `handed`: the leader told it to."""
+class RequestVote(Struct, frozen=True, array_like=True, tag=0):
+    """RequestVote call of a candidate.
+
+    `pre_vote`: only asks whether the vote would be granted; `leadership_transfer`: the current leader asked
+    the candidate to start this election.
+    """
 
     term: int
-    last: int
-    last_term: int
-    pre: bool
-    handed: bool = False
+    last_log_index: int
+    last_log_term: int
+    pre_vote: bool
+    leadership_transfer: bool = False
 
 
-class GiveVote(Struct, frozen=True, array_like=True, tag=1):
-    """The answer; `term` is the one asked for if it is granted, else the voter's own."""
+class RequestVoteReply(Struct, frozen=True, array_like=True, tag=1):
+    """Reply to RequestVote; `term` is the requested term if the vote is granted, else the voter's own."""
 
     term: int
-    granted: bool
-    pre: bool
+    vote_granted: bool
+    pre_vote: bool
+
 
+class AppendEntries(Struct, frozen=True, array_like=True, tag=2):
+    """AppendEntries call: the entries that follow `prev_log_index`; without entries a heartbeat.
 
-class Append(Struct, frozen=True, array_like=True, tag=2):
-    """Entries behind a known one, or none: a heartbeat. `sent`: by the leader's clock, to be given back."""
+    `sent_at` is by the leader's clock and is echoed in the reply.
+    """
 
     term: int
-    before: int
-    before_term: int
-    commit: int
-    sent: int
+    prev_log_index: int
+    prev_log_term: int
+    leader_commit: int
+    sent_at: int
     entries: tuple[Entry, ...] = ()
 
 
-class Appended(Struct, frozen=True, array_like=True, tag=3):
-    """How far the log agrees; `match` -1: not at `before`, and `hint` is where to try."""
+class AppendEntriesReply(Struct, frozen=True, array_like=True, tag=3):
+    """Reply to AppendEntries; `match_index` is the last index at which the logs agree.
+
+    `match_index` is -1 if they differ at `prev_log_index`: the leader then tries from `next_index_hint`.
+    """
 
     term: int
-    match: int
-    hint: int
-    sent: int
+    match_index: int
+    next_index_hint: int
+    sent_at: int
 
 
-class Part(Struct, frozen=True, array_like=True, tag=4):
-    """A part of a snapshot, from `offset` on."""
+class InstallSnapshot(Struct, frozen=True, array_like=True, tag=4):
+    """InstallSnapshot call: the part of a snapshot that starts at `offset`."""
 
     term: int
-    index: int
-    index_term: int
-    voting: Voting
+    last_included_index: int
+    last_included_term: int
+    configuration: Configuration
     offset: int
     data: bytes
-    more: bool
-    sent: int
+    has_more: bool
+    sent_at: int
 
 
-class GotPart(Struct, frozen=True, array_like=True, tag=5):
-    """So many bytes of the snapshot of this index are here."""
+class InstallSnapshotReply(Struct, frozen=True, array_like=True, tag=5):
+    """Reply to InstallSnapshot: how many bytes of the snapshot the follower has."""
 
     term: int
-    index: int
-    size: int
-    sent: int
+    last_included_index: int
+    received_bytes: int
+    sent_at: int
 
 
-class Campaign(Struct, frozen=True, array_like=True, tag=6):
-    """The leader hands its work over: begin an election at once (3.10)."""
+class TimeoutNow(Struct, frozen=True, array_like=True, tag=6):
+    """Request from the leader to start an election at once, for a leadership transfer (3.10)."""
 
     term: int
 
 
-class AskTerm(Struct, frozen=True, array_like=True, tag=7):
-    """A voter that started asks what the others know; `nonce` and `boots` are of this start."""
+class TermQuery(Struct, frozen=True, array_like=True, tag=7):
+    """Question of a restarted voter for the others' terms; `nonce` and `boot_count` identify this start."""
 
     nonce: int
-    boots: int = 0
+    boot_count: int = 0
 
 
-class TellTerm(Struct, frozen=True, array_like=True, tag=8):
-    """The answer of a voter that remembers; `boots`: the latest start of the asker that it knew of before."""
+class TermReply(Struct, frozen=True, array_like=True, tag=8):
+    """Reply to TermQuery; `boot_count` is the asker's latest start that the sender knew before the query."""
 
     term: int
     nonce: int
-    boots: int = 0
+    boot_count: int = 0
 
 
-Message = AskVote | GiveVote | Append | Appended | Part | GotPart | Campaign | AskTerm | TellTerm
+Message = (
+    RequestVote
+    | RequestVoteReply
+    | AppendEntries
+    | AppendEntriesReply
+    | InstallSnapshot
+    | InstallSnapshotReply
+    | TimeoutNow
+    | TermQuery
+    | TermReply
+)
 
 
 @dataclass(slots=True)
 class Ready:
-    """What is to be done, in this order."""
+    """Output of a Raft member; the fields must be processed in their order."""
 
     vote: Vote | None = None
     snapshot: Snapshot | None = None
-    """To be stored in place of the log before it."""
+    """Snapshot to store; it replaces the log up to its index."""
     entries: list[Entry] = field(default_factory=list)
-    """To be stored; what was kept from the first one's index on is void."""
+    """Entries to store; they replace all stored entries from the first one's index on."""
     messages: list[tuple[str, Message]] = field(default_factory=list)
     restore: Snapshot | None = None
-    """To be applied in place of everything."""
+    """Snapshot that replaces the whole state of the state machine."""
     committed: list[Entry] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class _Progress:
-    """What a leader knows of another one."""
+    """Replication state that a leader keeps for another member."""
 
-    next: int
-    match: int = 0
-    answered: int = 0
-    """When the last question left that it answered."""
-    snapshot_at: int = -1
-    """Bytes of the snapshot that it has; -1: it needs none."""
-    waiting: bool = False
+    next_index: int
+    match_index: int = 0
+    acknowledged_sent_at: int = 0
+    """Sending time of the latest request that this member has answered."""
+    snapshot_offset: int = -1
+    """Bytes of the snapshot that this member has; -1 if it needs no snapshot."""
+    awaiting_reply: bool = False
 
 
 class Raft:
-    """One member."""
+    """A member of a Raft group: a voter or a learner."""
 
     def __init__(
         self,
@@ -177,480 +209,531 @@
         settings: RaftSettings,
         rng: random.Random,
         now: int,
-        forgot: bool = False,
-        boots: int = 0,
+        lost_state: bool = False,
+        boot_count: int = 0,
     ) -> None:
-        """`forgot`: this voter once promised things that its storage does not have.
+        """Start a member from its stored log and vote.
 
-        `boots`: the how manyeth start this is by its storage, which must not lie behind what others know; 0:
-        nobody counts.
+        `lost_state`: the storage lacks votes or entries that this voter may have acknowledged earlier.
+        `boot_count`: number of this start as counted by the storage, to detect a restored older copy; 0 if
+        starts are not counted.
         """
         self.name, self.log, self.vote, self.settings, self._rng = name, log, vote, settings, rng
         self.leader = ""
-        self.commit = log.snapshot.index
-        self.applied = log.snapshot.index
+        self.commit_index = log.snapshot.index
+        self.last_applied = log.snapshot.index
         self.progress: dict[str, _Progress] = {}
         self._ready = Ready()
-        self._told_yes: set[str] = set()
-        self._heard_at = now  # Danger: what it promised before it was started again still binds
-        self._quorum_at = now
-        self._incoming: tuple[int, int, bytes] | None = None
-        self._handing_to = ""
-        self._handed_until = 0
+        self._votes_granted: set[str] = set()
+        self._leader_contact_at = now  # Danger: a lease granted before the restart still binds this voter
+        self._leader_since = now
+        self._incoming_snapshot: tuple[int, int, bytes] | None = None
+        self._transfer_target = ""
+        self._transfer_deadline = 0
         self._nonce = rng.getrandbits(48)
         self.stale_disk = False
-        """Whether another voter knew of a later start than this one's disk does."""
-        self._terms: dict[str, int] = {}
-        self._recovered_term = -1
-        self._term_start = 0  # index of the leader's first entry
-        self.role = Role.RECOVERING if forgot else Role.FOLLOWER
-        self._boots = boots
-        self.boots_of: dict[str, int] = {}
-        """The latest start of each other voter that this one heard of."""
-        if boots:
-            for voter in self.voting.voters:
+        """Whether another voter knew a later start of this voter than its own disk does."""
+        self._reported_terms: dict[str, int] = {}
+        self._recovery_term = -1
+        self._term_start_index = 0  # index of the first entry of this leader's term
+        self.role = Role.RECOVERING if lost_state else Role.FOLLOWER
+        self._boot_count = boot_count
+        self.boot_counts: dict[str, int] = {}
+        """Latest known start of each other voter."""
+        if boot_count:
+            for voter in self.configuration.voters:
                 if voter != name:
-                    self._send(voter, AskTerm(self._nonce, boots))
-        self._beat_at = now
-        self._due = now
-        self._wait(now)
+                    self._send(voter, TermQuery(self._nonce, boot_count))
+        self._next_heartbeat_at = now
+        self._wake_at = now
+        self._reset_election_timer(now)
 
-    # What others may ask
+    # State
 
     @property
     def term(self) -> int:
-        """The current term."""
+        """Current term."""
         return self.vote.term
 
     @property
-    def voting(self) -> Voting:
-        """Who votes, by the latest entry, committed or not."""
-        return self.log.voting()[1]
+    def configuration(self) -> Configuration:
+        """Latest cluster configuration in the log, committed or not."""
+        return self.log.configuration()[1]
 
     @property
-    def due(self) -> int:
-        """When `tick` is wanted at the latest."""
-        return self._due
+    def wake_at(self) -> int:
+        """Time by which `tick` must be called."""
+        return self._wake_at
 
     def lease_until(self) -> int:
-        """Until when no other can lead, if this one does; 0: nothing is sure."""
-        if self.role is not Role.LEADER or self._handing_to:
+        """Return until when no other member can become leader; 0 without a leader lease."""
+        if self.role is not Role.LEADER or self._transfer_target:
             return 0
-        return self._quorum_answered() + self.settings.lease
+        return self._quorum_acknowledged_at() + self.settings.lease
 
     def leads(self, now: int) -> bool:
-        """Whether this one leads, by a lease that holds, and knows all that is committed (6.4)."""
-        return now < self.lease_until() and self.commit >= self._term_start
+        """Whether this member is leader with a valid lease and knows all committed entries (6.4)."""
+        return now < self.lease_until() and self.commit_index >= self._term_start_index
 
-    def take(self) -> Ready:
-        """What is to be stored, sent and applied now."""
+    def take_ready(self) -> Ready:
+        """Return and clear the output to store, send and apply."""
         ready, self._ready = self._ready, Ready()
-        while self.applied < self.commit:
-            place = self.applied - self.log.snapshot.index
-            entry = self.log.entries[place]
-            self.applied = entry.index
+        while self.last_applied < self.commit_index:
+            offset = self.last_applied - self.log.snapshot.index
+            entry = self.log.entries[offset]
+            self.last_applied = entry.index
             ready.committed.append(entry)
         return ready
 
-    # What drives it
+    # Inputs
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
-        if now < self._due:
+        """Run the timers that are due at `now`."""
+        if now < self._wake_at:
             return
         match self.role:
             case Role.LEADER:
-                self._lead(now)
+                self._leader_tick(now)
             case Role.RECOVERING:
-                self._ask_terms(now)
+                self._send_term_queries(now)
             case _:
-                if self.name in self.voting.voters:
-                    self._campaign(now, pre=self.settings.prevote)
+                if self.name in self.configuration.voters:
+                    self._start_election(now, pre_vote=self.settings.pre_vote)
                 else:
-                    self._wait(now)
+                    self._reset_election_timer(now)
 
     def propose(self, data: bytes, now: int) -> int | None:
-        """Append a command; returns its index. None: this is not the leader, or it is handing over."""
-        return self._propose(Kind.COMMAND, data, now)
-
-    def change(self, voting: Voting, now: int) -> int | None:
-        """Change who votes, by one voter at the most; returns the entry's index. Raises ValueError."""
-        index, held = self.log.voting()
-        if not voting.voters:
-            raise ValueError("somebody has to vote")
-        if len(set(held.voters) ^ set(voting.voters)) > 1:
-            raise ValueError("one voter at a time")
-        if index > self.commit or self.commit < self._term_start:
-            raise ValueError("the change before is not committed yet")
-        for name in sorted(set(voting.voters) - set(held.voters)):
+        """Append a command and return its index; None if this is not a leader or transfers leadership."""
+        return self._propose(EntryKind.COMMAND, data, now)
+
+    def change_configuration(self, configuration: Configuration, now: int) -> int | None:
+        """Propose a configuration that differs by at most one voter (4.1).
+
+        Return the entry's index, None if `propose` would. Raises ValueError if the change is not allowed.
+        """
+        index, current = self.log.configuration()
+        if not configuration.voters:
+            raise ValueError("a configuration needs at least one voter")
+        if len(set(current.voters) ^ set(configuration.voters)) > 1:
+            raise ValueError("a configuration change may add or remove one voter only")
+        if index > self.commit_index or self.commit_index < self._term_start_index:
+            raise ValueError("the previous configuration change is not committed yet")
+        for name in sorted(set(configuration.voters) - set(current.voters)):
             progress = self.progress.get(name)
-            if self.role is Role.LEADER and (progress is None or progress.match < self.commit):
+            if self.role is Role.LEADER and (progress is None or progress.match_index < self.commit_index):
                 raise ValueError(f"{name} has not caught up")
-        return self._propose(Kind.CONFIG, pack(voting), now)
+        return self._propose(EntryKind.CONFIGURATION, encode_configuration(configuration), now)
+
+    def transfer_leadership(self, to: str, now: int) -> bool:
+        """Start a leadership transfer to a voter, which is first brought up to date (3.10).
 
-    def hand_over(self, to: str, now: int) -> bool:
-        """Give leadership to a voter that is up to date, or bring it up to date first; False: it can't be."""
-        if self.role is not Role.LEADER or to not in self.voting.voters or to == self.name:
+        Return False if this member does not lead or `to` is no other voter.
+        """
+        if self.role is not Role.LEADER or to not in self.configuration.voters or to == self.name:
             return False
-        # Danger: from here on another may lead at any moment: the lease is void before the word is sent.
-        self._handing_to, self._handed_until = to, now + self.settings.election
-        self._send_append(to, now, force=True)
-        self._finish_handing(now)
+        # Danger: from here on another voter may become leader at any moment, so the lease must be void before
+        # TimeoutNow is sent.
+        self._transfer_target, self._transfer_deadline = to, now + self.settings.election_timeout
+        self._send_append_entries(to, now, force=True)
+        self._finish_transfer(now)
         return True
 
     def compact(self, data: bytes) -> None:
-        """What is applied makes this state: the log up to there is not needed any more."""
-        term = self.log.term_at(self.applied)
+        """Replace the applied part of the log by a snapshot; `data` is the state machine's state."""
+        term = self.log.term_at(self.last_applied)
         assert term is not None
-        voting = self.log.snapshot.voting
+        configuration = self.log.snapshot.configuration
         for entry in self.log.entries:
-            if entry.index <= self.applied and entry.kind == Kind.CONFIG:
-                voting = unpack(entry.data)
-        snapshot = Snapshot(self.applied, term, voting, data)
-        self.log.cut(snapshot)
+            if entry.index <= self.last_applied and entry.kind == EntryKind.CONFIGURATION:
+                configuration = decode_configuration(entry.data)
+        snapshot = Snapshot(self.last_applied, term, configuration, data)
+        self.log.install_snapshot(snapshot)
         self._ready.snapshot = snapshot
         self._ready.entries = list(self.log.entries)
 
     # Elections
 
-    def _wait(self, now: int) -> None:
+    def _reset_election_timer(self, now: int) -> None:
         if self.role is Role.RECOVERING:
-            self._due = min(self._due, now + self.settings.heartbeat)  # it goes on asking, whoever leads
+            self._wake_at = min(
+                self._wake_at, now + self.settings.heartbeat_interval
+            )  # a recovering voter keeps querying
             return
-        base = max(self._heard_at, now) if self.role is not Role.LEADER else now
-        self._due = base + self._rng.randint(self.settings.election, 2 * self.settings.election)
+        base = max(self._leader_contact_at, now) if self.role is not Role.LEADER else now
+        self._wake_at = base + self._rng.randint(
+            self.settings.election_timeout, 2 * self.settings.election_timeout
+        )
 
-    def _become(self, role: Role, term: int, now: int, leader: str = "") -> None:
+    def _change_role(self, role: Role, term: int, now: int, leader: str = "") -> None:
         if term > self.vote.term:
             self._store_vote(Vote(term))
         if self.role is not Role.RECOVERING:
             self.role = role
         self.leader = leader
-        self._handing_to = ""
-        self._told_yes.clear()
+        self._transfer_target = ""
+        self._votes_granted.clear()
         self.progress.clear()
-        self._wait(now)
+        self._reset_election_timer(now)
 
     def _store_vote(self, vote: Vote) -> None:
         self.vote = vote
         self._ready.vote = vote
 
-    def _campaign(self, now: int, pre: bool, handed: bool = False) -> None:
-        self.role = Role.PRECANDIDATE if pre else Role.CANDIDATE
+    def _start_election(self, now: int, pre_vote: bool, leadership_transfer: bool = False) -> None:
+        self.role = Role.PRECANDIDATE if pre_vote else Role.CANDIDATE
         self.leader = ""
-        self._told_yes = {self.name}
-        if not pre:
+        self._votes_granted = {self.name}
+        if not pre_vote:
             self._store_vote(Vote(self.vote.term + 1, self.name))
-        self._wait(now)
-        term = self.vote.term + pre
-        question = AskVote(term, self.log.last, self.log.last_term, pre, handed)
-        for name in self.voting.voters:
+        self._reset_election_timer(now)
+        term = self.vote.term + pre_vote
+        request = RequestVote(term, self.log.last_index, self.log.last_term, pre_vote, leadership_transfer)
+        for name in self.configuration.voters:
             if name != self.name:
-                self._send(name, question)
+                self._send(name, request)
         self._count_votes(now)
 
     def _count_votes(self, now: int) -> None:
-        voting = self.voting
-        if len(self._told_yes & set(voting.voters)) < voting.quorum:
+        configuration = self.configuration
+        if len(self._votes_granted & set(configuration.voters)) < configuration.quorum:
             return
         if self.role is Role.PRECANDIDATE:
-            self._campaign(now, pre=False)
+            self._start_election(now, pre_vote=False)
         elif self.role is Role.CANDIDATE:
             self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
         self.role, self.leader = Role.LEADER, self.name
-        self._handing_to = ""
-        self._quorum_at = self._beat_at = now
+        self._transfer_target = ""
+        self._leader_since = self._next_heartbeat_at = now
         self.progress = {
-            name: _Progress(self.log.last + 1) for name in self.voting.everyone if name != self.name
+            name: _Progress(self.log.last_index + 1)
+            for name in self.configuration.members
+            if name != self.name
         }
-        self._term_start = self.log.last + 1
-        self._append_own(Kind.EMPTY, b"")
-        self._lead(now)
+        self._term_start_index = self.log.last_index + 1
+        self._append_local(EntryKind.NO_OP, b"")
+        self._leader_tick(now)
 
-    def _asked_for_vote(self, sender: str, asked: AskVote, now: int) -> None:
+    def _on_request_vote(self, sender: str, request: RequestVote, now: int) -> None:
         if self.role is Role.RECOVERING:
             return
-        quiet = now - self._heard_at >= self.settings.election
-        leads = self.role is Role.LEADER
-        # 4.2.3: while a leader is heard, nobody else gets a vote, unless that leader said so.
-        if not asked.handed and (leads or not quiet):
-            if asked.term > self.vote.term or asked.pre:
-                self._send(sender, GiveVote(self.vote.term, False, asked.pre))
+        leader_timed_out = now - self._leader_contact_at >= self.settings.election_timeout
+        is_leader = self.role is Role.LEADER
+        # 4.2.3: no votes while there is contact with a leader, except in a transfer that this leader started.
+        if not request.leadership_transfer and (is_leader or not leader_timed_out):
+            if request.term > self.vote.term or request.pre_vote:
+                self._send(sender, RequestVoteReply(self.vote.term, False, request.pre_vote))
             return
-        fresh = (asked.last_term, asked.last) >= (self.log.last_term, self.log.last)
-        if asked.pre:
-            granted = fresh and asked.term > self.vote.term
-            self._send(sender, GiveVote(asked.term if granted else self.vote.term, granted, True))
+        is_up_to_date = (request.last_log_term, request.last_log_index) >= (
+            self.log.last_term,
+            self.log.last_index,
+        )
+        if request.pre_vote:
+            granted = is_up_to_date and request.term > self.vote.term
+            self._send(sender, RequestVoteReply(request.term if granted else self.vote.term, granted, True))
             return
-        if asked.term > self.vote.term:
-            self._become(Role.FOLLOWER, asked.term, now)
-        free = asked.term == self.vote.term and self.vote.voted_for in ("", sender)
-        granted = fresh and free and self.role is Role.FOLLOWER
+        if request.term > self.vote.term:
+            self._change_role(Role.FOLLOWER, request.term, now)
+        can_vote = request.term == self.vote.term and self.vote.voted_for in ("", sender)
+        granted = is_up_to_date and can_vote and self.role is Role.FOLLOWER
         if granted:
             self._store_vote(Vote(self.vote.term, sender))
-            self._wait(now)
-        self._send(sender, GiveVote(self.vote.term, granted, False))
+            self._reset_election_timer(now)
+        self._send(sender, RequestVoteReply(self.vote.term, granted, False))
 
-    def _got_vote(self, sender: str, told: GiveVote, now: int) -> None:
-        if not told.granted:
-            if told.term > self.vote.term:
-                self._become(Role.FOLLOWER, told.term, now)
+    def _on_request_vote_reply(self, sender: str, message: RequestVoteReply, now: int) -> None:
+        if not message.vote_granted:
+            if message.term > self.vote.term:
+                self._change_role(Role.FOLLOWER, message.term, now)
             return
-        wanted = Role.PRECANDIDATE if told.pre else Role.CANDIDATE
-        if self.role is wanted and told.term == self.vote.term + told.pre:
-            self._told_yes.add(sender)
+        expected = Role.PRECANDIDATE if message.pre_vote else Role.CANDIDATE
+        if self.role is expected and message.term == self.vote.term + message.pre_vote:
+            self._votes_granted.add(sender)
             self._count_votes(now)
 
     # Leading
 
-    def _lead(self, now: int) -> None:
-        answered = self._quorum_answered()
-        if now - max(answered, self._quorum_at) > self.settings.election:
-            self._become(Role.FOLLOWER, self.vote.term, now)  # 6.2: without a majority for so long
+    def _leader_tick(self, now: int) -> None:
+        acknowledged_at = self._quorum_acknowledged_at()
+        if now - max(acknowledged_at, self._leader_since) > self.settings.election_timeout:
+            self._change_role(Role.FOLLOWER, self.vote.term, now)  # 6.2: no quorum for an election timeout
             return
-        if self._handing_to and now >= self._handed_until:
-            # Danger: the word may still be on its way, and then another leads: in this term this one must not
-            # count on its lease again.
-            self._become(Role.FOLLOWER, self.vote.term, now)
+        if self._transfer_target and now >= self._transfer_deadline:
+            # Danger: TimeoutNow may still be in flight and make another voter leader, so this member must not
+            # use its lease again in this term.
+            self._change_role(Role.FOLLOWER, self.vote.term, now)
             return
-        if now >= self._beat_at or now >= self._due:
-            self._beat_at = now + self.settings.heartbeat
+        if now >= self._next_heartbeat_at or now >= self._wake_at:
+            self._next_heartbeat_at = now + self.settings.heartbeat_interval
             for name in self.progress:
-                self._send_append(name, now, force=True)
-        self._advance(now)
-        self._due = self._beat_at
+                self._send_append_entries(name, now, force=True)
+        self._advance_commit_index(now)
+        self._wake_at = self._next_heartbeat_at
 
-    def _quorum_answered(self) -> int:
-        """The latest time at which a question left that a majority, itself included, has answered."""
-        voting = self.voting
+    def _quorum_acknowledged_at(self) -> int:
+        """Return the latest sending time whose requests a quorum, counting itself, has answered."""
+        configuration = self.configuration
         times = sorted(
-            (held.answered for name, held in self.progress.items() if name in voting.voters), reverse=True
+            (
+                progress.acknowledged_sent_at
+                for name, progress in self.progress.items()
+                if name in configuration.voters
+            ),
+            reverse=True,
         )
-        others = voting.quorum - (self.name in voting.voters)
+        others = configuration.quorum - (self.name in configuration.voters)
         if others <= 0:
             return 1 << 62
         return times[others - 1] if len(times) >= others else 0
 
-    def _propose(self, kind: Kind, data: bytes, now: int) -> int | None:
-        if self.role is not Role.LEADER or self._handing_to:
+    def _propose(self, kind: EntryKind, data: bytes, now: int) -> int | None:
+        if self.role is not Role.LEADER or self._transfer_target:
             return None
-        index = self._append_own(kind, data)
-        if kind is Kind.CONFIG:
-            for name in self.voting.everyone:
+        index = self._append_local(kind, data)
+        if kind is EntryKind.CONFIGURATION:
+            for name in self.configuration.members:
                 if name != self.name:
-                    self.progress.setdefault(name, _Progress(self.log.last))
+                    self.progress.setdefault(name, _Progress(self.log.last_index))
         for name in list(self.progress):
-            self._send_append(name, now)
-        self._advance(now)
+            self._send_append_entries(name, now)
+        self._advance_commit_index(now)
         return index
 
-    def _append_own(self, kind: Kind, data: bytes) -> int:
-        entry = Entry(self.log.last + 1, self.vote.term, kind, data)
+    def _append_local(self, kind: EntryKind, data: bytes) -> int:
+        entry = Entry(self.log.last_index + 1, self.vote.term, kind, data)
         self.log.entries.append(entry)
         self._ready.entries.append(entry)
         return entry.index
 
-    def _send_append(self, name: str, now: int, force: bool = False) -> None:
-        held = self.progress[name]
-        if held.waiting and not force:
+    def _send_append_entries(self, name: str, now: int, force: bool = False) -> None:
+        progress = self.progress[name]
+        if progress.awaiting_reply and not force:
             return
-        held.waiting = True
-        before_term = self.log.term_at(held.next - 1)
-        if before_term is None:
-            self._send_part(name, held, now)
+        progress.awaiting_reply = True
+        prev_log_term = self.log.term_at(progress.next_index - 1)
+        if prev_log_term is None:
+            self._send_install_snapshot(name, progress, now)
             return
-        entries = tuple(self.log.after(held.next - 1, self.settings.batch))
-        self._send(name, Append(self.vote.term, held.next - 1, before_term, self.commit, now, entries))
+        entries = tuple(self.log.entries_after(progress.next_index - 1, self.settings.max_append_bytes))
+        self._send(
+            name,
+            AppendEntries(
+                self.vote.term, progress.next_index - 1, prev_log_term, self.commit_index, now, entries
+            ),
+        )
 
-    def _send_part(self, name: str, held: _Progress, now: int) -> None:
+    def _send_install_snapshot(self, name: str, progress: _Progress, now: int) -> None:
         snapshot = self.log.snapshot
-        held.snapshot_at = max(held.snapshot_at, 0)
-        data = snapshot.data[held.snapshot_at : held.snapshot_at + self.settings.chunk]
-        more = held.snapshot_at + len(data) < len(snapshot.data)
-        part = Part(
-            self.vote.term, snapshot.index, snapshot.term, snapshot.voting, held.snapshot_at, data, more, now
+        progress.snapshot_offset = max(progress.snapshot_offset, 0)
+        data = snapshot.data[
+            progress.snapshot_offset : progress.snapshot_offset + self.settings.snapshot_chunk_bytes
+        ]
+        has_more = progress.snapshot_offset + len(data) < len(snapshot.data)
+        request = InstallSnapshot(
+            self.vote.term, snapshot.index, snapshot.term, snapshot.configuration, progress.snapshot_offset,
+            data, has_more, now,
         )  # fmt: skip
-        self._send(name, part)
+        self._send(name, request)
 
-    def _answer_came(self, sender: str, term: int, sent: int, now: int) -> _Progress | None:
-        """Of this term and from one that is known: its question's time counts for the lease."""
+    def _record_reply(self, sender: str, term: int, sent_at: int, now: int) -> _Progress | None:
+        """Return the sender's progress if the reply counts in this term, with its lease time updated."""
         if term > self.vote.term:
-            self._become(Role.FOLLOWER, term, now)
-        held = self.progress.get(sender)
-        if self.role is not Role.LEADER or term != self.vote.term or held is None:
+            self._change_role(Role.FOLLOWER, term, now)
+        progress = self.progress.get(sender)
+        if self.role is not Role.LEADER or term != self.vote.term or progress is None:
             return None
-        held.waiting = False
-        held.answered = max(held.answered, now if self.settings.lease_from_answer else sent)
-        return held
+        progress.awaiting_reply = False
+        progress.acknowledged_sent_at = max(
+            progress.acknowledged_sent_at, now if self.settings.lease_from_reply else sent_at
+        )
+        return progress
 
-    def _appended(self, sender: str, told: Appended, now: int) -> None:
-        held = self._answer_came(sender, told.term, told.sent, now)
-        if held is None:
+    def _on_append_entries_reply(self, sender: str, message: AppendEntriesReply, now: int) -> None:
+        progress = self._record_reply(sender, message.term, message.sent_at, now)
+        if progress is None:
             return
-        held.snapshot_at = -1
-        if told.match >= 0:
-            held.match = max(held.match, told.match)
-            held.next = max(held.next, held.match + 1)
-        elif told.hint > held.next:
-            held.next = min(
-                told.hint, self.log.last + 1
-            )  # it recovers: it takes entries and answers for none
+        progress.snapshot_offset = -1
+        if message.match_index >= 0:
+            progress.match_index = max(progress.match_index, message.match_index)
+            progress.next_index = max(progress.next_index, progress.match_index + 1)
+        elif message.next_index_hint > progress.next_index:
+            progress.next_index = min(
+                message.next_index_hint, self.log.last_index + 1
+            )  # a recovering follower stores entries without acknowledging them
         else:
-            held.next = max(min(told.hint, held.next - 1), 1)
-        self._advance(now)
-        if self.role is Role.LEADER and held.next <= self.log.last:
-            self._send_append(sender, now)
-        self._finish_handing(now)
-
-    def _got_part(self, sender: str, told: GotPart, now: int) -> None:
-        held = self._answer_came(sender, told.term, told.sent, now)
-        if held is None:
+            progress.next_index = max(min(message.next_index_hint, progress.next_index - 1), 1)
+        self._advance_commit_index(now)
+        if self.role is Role.LEADER and progress.next_index <= self.log.last_index:
+            self._send_append_entries(sender, now)
+        self._finish_transfer(now)
+
+    def _on_install_snapshot_reply(self, sender: str, message: InstallSnapshotReply, now: int) -> None:
+        progress = self._record_reply(sender, message.term, message.sent_at, now)
+        if progress is None:
             return
         snapshot = self.log.snapshot
-        if told.index != snapshot.index:
-            held.snapshot_at = 0  # a newer one was made meanwhile: begin again
-        elif told.size >= len(snapshot.data):
-            held.snapshot_at = -1
-            held.match = max(held.match, snapshot.index)
-            held.next = max(held.next, snapshot.index + 1)
+        if message.last_included_index != snapshot.index:
+            progress.snapshot_offset = 0  # a newer snapshot replaced this one: start over
+        elif message.received_bytes >= len(snapshot.data):
+            progress.snapshot_offset = -1
+            progress.match_index = max(progress.match_index, snapshot.index)
+            progress.next_index = max(progress.next_index, snapshot.index + 1)
         else:
-            held.snapshot_at = told.size
-        self._send_append(sender, now)
-
-    def _advance(self, now: int) -> None:
-        """Commit what a majority has, of this term only (3.6.2)."""
-        voting = self.voting
-        matches = sorted(
-            (self.log.last if name == self.name else self.progress[name].match
-             for name in voting.voters if name == self.name or name in self.progress),
+            progress.snapshot_offset = message.received_bytes
+        self._send_append_entries(sender, now)
+
+    def _advance_commit_index(self, now: int) -> None:
+        """Commit the entries that a quorum stores, counting entries of the current term only (3.6.2)."""
+        configuration = self.configuration
+        match_indexes = sorted(
+            (self.log.last_index if name == self.name else self.progress[name].match_index
+             for name in configuration.voters if name == self.name or name in self.progress),
             reverse=True,
         )  # fmt: skip
-        if len(matches) < voting.quorum:
+        if len(match_indexes) < configuration.quorum:
             return
-        index = matches[voting.quorum - 1]
-        if index > self.commit and self.log.term_at(index) == self.vote.term:
-            self.commit = index
+        index = match_indexes[configuration.quorum - 1]
+        if index > self.commit_index and self.log.term_at(index) == self.vote.term:
+            self.commit_index = index
             for name in self.progress:
-                if self.progress[name].match >= index:
-                    self._send_append(name, now)
-            held_at, voting = self.log.voting()
-            if held_at <= index:
-                for name in sorted(set(self.progress) - set(voting.everyone)):
+                if self.progress[name].match_index >= index:
+                    self._send_append_entries(name, now)
+            configuration_index, configuration = self.log.configuration()
+            if configuration_index <= index:
+                for name in sorted(set(self.progress) - set(configuration.members)):
                     del self.progress[name]
-                if self.name not in voting.voters:
-                    self._become(Role.FOLLOWER, self.vote.term, now)  # 4.2.2: it led its own leaving
+                if self.name not in configuration.voters:
+                    self._change_role(Role.FOLLOWER, self.vote.term, now)  # 4.2.2: this leader removed itself
 
-    def _finish_handing(self, now: int) -> None:
-        held = self.progress.get(self._handing_to)
-        if held is not None and held.match == self.log.last:
-            self._send(self._handing_to, Campaign(self.vote.term))
+    def _finish_transfer(self, now: int) -> None:
+        progress = self.progress.get(self._transfer_target)
+        if progress is not None and progress.match_index == self.log.last_index:
+            self._send(self._transfer_target, TimeoutNow(self.vote.term))
 
     # Following
 
-    def _follow(self, sender: str, term: int, now: int) -> bool:
-        """A leader spoke; whether it is a leader of no older term."""
+    def _accept_leader(self, sender: str, term: int, now: int) -> bool:
+        """Follow the sender as leader; whether its term is not older than the current one."""
         if term < self.vote.term:
             return False
         if term > self.vote.term or self.role not in (Role.FOLLOWER, Role.RECOVERING):
-            self._become(Role.FOLLOWER, term, now, sender)
-        self.leader, self._heard_at = sender, now
-        self._wait(now)
+            self._change_role(Role.FOLLOWER, term, now, sender)
+        self.leader, self._leader_contact_at = sender, now
+        self._reset_election_timer(now)
         return True
 
-    def _append(self, sender: str, told: Append, now: int) -> None:
-        if not self._follow(sender, told.term, now):
-            self._send(sender, Appended(self.vote.term, -1, self.log.last + 1, told.sent))
+    def _on_append_entries(self, sender: str, message: AppendEntries, now: int) -> None:
+        if not self._accept_leader(sender, message.term, now):
+            self._send(
+                sender, AppendEntriesReply(self.vote.term, -1, self.log.last_index + 1, message.sent_at)
+            )
             return
-        if self.log.term_at(told.before) != told.before_term:
-            if told.before < self.log.snapshot.index:
-                self._answer(sender, Appended(told.term, self.log.snapshot.index, 0, told.sent))
+        if self.log.term_at(message.prev_log_index) != message.prev_log_term:
+            if message.prev_log_index < self.log.snapshot.index:
+                self._reply(
+                    sender, AppendEntriesReply(message.term, self.log.snapshot.index, 0, message.sent_at)
+                )
                 return
-            hint = min(told.before, self.log.last + 1)
-            if hint == told.before:
-                hint = self.log.first_of_term(told.before)
-            self._answer(sender, Appended(told.term, -1, hint, told.sent))
+            hint = min(message.prev_log_index, self.log.last_index + 1)
+            if hint == message.prev_log_index:
+                hint = self.log.first_index_of_term(message.prev_log_index)
+            self._reply(sender, AppendEntriesReply(message.term, -1, hint, message.sent_at))
             return
-        new = self.log.append(told.entries)
+        new = self.log.append(message.entries)
         if new:
-            # Danger: entries that were to be stored and are replaced must not be stored after these.
-            kept = [entry for entry in self._ready.entries if entry.index < new[0].index]
-            self._ready.entries = [*kept, *new]
-        match = told.before + len(told.entries)
-        self.commit = max(self.commit, min(told.commit, match))
-        self._maybe_recovered(told.term, told.commit, match)
-        self._answer(sender, Appended(told.term, match, 0, told.sent))
-
-    def _answer(self, sender: str, told: Appended) -> None:
-        """Answer for the log: one that forgot what it promised does not."""
-        if self.role is not Role.RECOVERING or (isinstance(told, Appended) and told.match < 0):
-            self._send(sender, told)
-        elif isinstance(told, Appended):
-            # The leader may go on sending, and must not count this copy: the answer names no agreement.
-            self._send(sender, Appended(told.term, -1, told.match + 1, 0))
-
-    def _part(self, sender: str, told: Part, now: int) -> None:
-        if not self._follow(sender, told.term, now):
-            self._send(sender, GotPart(self.vote.term, told.index, 0, told.sent))
+            # Danger: pending entries that these replace must not be stored any more.
+            earlier = [entry for entry in self._ready.entries if entry.index < new[0].index]
+            self._ready.entries = [*earlier, *new]
+        match_index = message.prev_log_index + len(message.entries)
+        self.commit_index = max(self.commit_index, min(message.leader_commit, match_index))
+        self._try_finish_recovery(message.term, message.leader_commit, match_index)
+        self._reply(sender, AppendEntriesReply(message.term, match_index, 0, message.sent_at))
+
+    def _reply(self, sender: str, message: AppendEntriesReply) -> None:
+        """Send a reply; a recovering voter acknowledges no entries."""
+        if self.role is not Role.RECOVERING or (
+            isinstance(message, AppendEntriesReply) and message.match_index < 0
+        ):
+            self._send(sender, message)
+        elif isinstance(message, AppendEntriesReply):
+            # The leader continues to send entries and must not count this copy: the reply reports no match.
+            self._send(sender, AppendEntriesReply(message.term, -1, message.match_index + 1, 0))
+
+    def _on_install_snapshot(self, sender: str, message: InstallSnapshot, now: int) -> None:
+        if not self._accept_leader(sender, message.term, now):
+            self._send(
+                sender, InstallSnapshotReply(self.vote.term, message.last_included_index, 0, message.sent_at)
+            )
             return
-        if told.index <= self.commit:
-            self._answer(sender, Appended(told.term, self.commit, 0, told.sent))
+        if message.last_included_index <= self.commit_index:
+            self._reply(sender, AppendEntriesReply(message.term, self.commit_index, 0, message.sent_at))
             return
-        index, term, data = self._incoming or (0, 0, b"")
-        if (index, term) != (told.index, told.index_term):
+        index, term, data = self._incoming_snapshot or (0, 0, b"")
+        if (index, term) != (message.last_included_index, message.last_included_term):
             data = b""
-        if told.offset == len(data):
-            data += told.data
-            if not told.more:
-                self._incoming = None
-                self._take_snapshot(Snapshot(told.index, told.index_term, told.voting, data))
-                self._maybe_recovered(told.term, told.index, told.index)
-                self._answer(sender, Appended(told.term, told.index, 0, told.sent))
+        if message.offset == len(data):
+            data += message.data
+            if not message.has_more:
+                self._incoming_snapshot = None
+                self._restore_snapshot(
+                    Snapshot(
+                        message.last_included_index, message.last_included_term, message.configuration, data
+                    )
+                )
+                self._try_finish_recovery(
+                    message.term, message.last_included_index, message.last_included_index
+                )
+                self._reply(
+                    sender, AppendEntriesReply(message.term, message.last_included_index, 0, message.sent_at)
+                )
                 return
-        self._incoming = (told.index, told.index_term, data)
+        self._incoming_snapshot = (message.last_included_index, message.last_included_term, data)
         if self.role is not Role.RECOVERING:
-            self._send(sender, GotPart(told.term, told.index, len(data), told.sent))
+            self._send(
+                sender,
+                InstallSnapshotReply(message.term, message.last_included_index, len(data), message.sent_at),
+            )
         else:
-            self._send(sender, GotPart(told.term, told.index, len(data), 0))
+            self._send(sender, InstallSnapshotReply(message.term, message.last_included_index, len(data), 0))
 
-    def _take_snapshot(self, snapshot: Snapshot) -> None:
-        self.log.cut(snapshot)
-        self.commit = self.applied = snapshot.index
+    def _restore_snapshot(self, snapshot: Snapshot) -> None:
+        self.log.install_snapshot(snapshot)
+        self.commit_index = self.last_applied = snapshot.index
         self._ready.snapshot = self._ready.restore = snapshot
         self._ready.entries = list(self.log.entries)
 
-    # Having forgotten
+    # Recovery of a voter that lost its state
 
-    def _ask_terms(self, now: int) -> None:
-        self._due = now + self.settings.heartbeat
-        for name in self.voting.voters:
+    def _send_term_queries(self, now: int) -> None:
+        self._wake_at = now + self.settings.heartbeat_interval
+        for name in self.configuration.voters:
             if name != self.name:
-                self._send(name, AskTerm(self._nonce, self._boots))
+                self._send(name, TermQuery(self._nonce, self._boot_count))
 
-    def _term_told(self, sender: str, told: TellTerm, now: int) -> None:
-        if told.nonce != self._nonce or sender not in self.voting.voters:
+    def _on_term_reply(self, sender: str, message: TermReply, now: int) -> None:
+        if message.nonce != self._nonce or sender not in self.configuration.voters:
             return
-        if self._boots and told.boots >= self._boots and self.role is not Role.RECOVERING:
-            # Danger: an older copy of the disk was put back: what was promised since is not on it.
+        if self._boot_count and message.boot_count >= self._boot_count and self.role is not Role.RECOVERING:
+            # Danger: an older copy of the disk was restored: it lacks votes and entries acknowledged since.
             self.stale_disk = True
-            self._become(Role.FOLLOWER, self.vote.term, now)
+            self._change_role(Role.FOLLOWER, self.vote.term, now)
             self.role = Role.RECOVERING
-            self._due = now
+            self._wake_at = now
         if self.role is not Role.RECOVERING:
             return
-        self._terms[sender] = told.term
-        if len(self._terms) >= self.voting.quorum:
-            highest = max(self._terms.values())
-            self._recovered_term = max(self._recovered_term, highest)
+        self._reported_terms[sender] = message.term
+        if len(self._reported_terms) >= self.configuration.quorum:
+            highest = max(self._reported_terms.values())
+            self._recovery_term = max(self._recovery_term, highest)
             if highest > self.vote.term:
-                # Danger: in that term and before it this voter may have voted: it is no free vote any more.
+                # Danger: this voter may have voted in that term or earlier, so its vote in it counts as used.
                 self._store_vote(Vote(highest, self.name))
 
-    def _maybe_recovered(self, term: int, commit: int, match: int) -> None:
-        known = 0 <= self._recovered_term <= term
-        of_this_term = self.log.term_at(commit) == term
-        if self.role is Role.RECOVERING and known and of_this_term and match >= commit:
+    def _try_finish_recovery(self, term: int, commit_index: int, match_index: int) -> None:
+        is_term_known = 0 <= self._recovery_term <= term
+        of_this_term = self.log.term_at(commit_index) == term
+        if self.role is Role.RECOVERING and is_term_known and of_this_term and match_index >= commit_index:
             self.role = Role.FOLLOWER
             if self.vote.term < term or not self.vote.voted_for:
                 self._store_vote(Vote(max(term, self.vote.term), self.name))
@@ -661,27 +744,27 @@
         self._ready.messages.append((to, message))
 
     def receive(self, sender: str, message: Message, now: int) -> None:
-        """Take a message."""
+        """Process a message from another member."""
         match message:
-            case AskVote():
-                self._asked_for_vote(sender, message, now)
-            case GiveVote():
-                self._got_vote(sender, message, now)
-            case Append():
-                self._append(sender, message, now)
-            case Appended():
-                self._appended(sender, message, now)
-            case Part():
-                self._part(sender, message, now)
-            case GotPart():
-                self._got_part(sender, message, now)
-            case Campaign(term):
+            case RequestVote():
+                self._on_request_vote(sender, message, now)
+            case RequestVoteReply():
+                self._on_request_vote_reply(sender, message, now)
+            case AppendEntries():
+                self._on_append_entries(sender, message, now)
+            case AppendEntriesReply():
+                self._on_append_entries_reply(sender, message, now)
+            case InstallSnapshot():
+                self._on_install_snapshot(sender, message, now)
+            case InstallSnapshotReply():
+                self._on_install_snapshot_reply(sender, message, now)
+            case TimeoutNow(term):
                 if term == self.vote.term and self.role is Role.FOLLOWER and sender == self.leader:
-                    self._campaign(now, pre=False, handed=True)
-            case AskTerm(nonce, boots):
-                before = self.boots_of.get(sender, 0)
-                self.boots_of[sender] = max(before, boots)
+                    self._start_election(now, pre_vote=False, leadership_transfer=True)
+            case TermQuery(nonce, boot_count):
+                known_boot_count = self.boot_counts.get(sender, 0)
+                self.boot_counts[sender] = max(known_boot_count, boot_count)
                 if self.role is not Role.RECOVERING:
-                    self._send(sender, TellTerm(self.vote.term, nonce, before))
-            case TellTerm():
-                self._term_told(sender, message, now)
+                    self._send(sender, TermReply(self.vote.term, nonce, known_boot_count))
+            case TermReply():
+                self._on_term_reply(sender, message, now)
--- a/saltport/owners/record.py
+++ b/saltport/owners/record.py
@@ -11,7 +11,7 @@
 import msgspec
 from msgspec import Struct
 
-from saltport.owners.log import Entry, Kind
+from saltport.owners.log import Entry, EntryKind
 
 MOST_NAME = 64  # bytes of a piece's name: a row must fit an entry, and an entry a datagram
 MOST_PIECES = 4_096
@@ -76,7 +76,7 @@
 
         A row that names another epoch than the piece has was proposed on old knowledge, and changes nothing.
         """
-        if entry.kind != Kind.COMMAND:
+        if entry.kind != EntryKind.COMMAND:
             return []
         command = _decoder.decode(entry.data)
         changed: list[tuple[str, Holding | None]] = []
--- a/saltport/owners/storage.py
+++ b/saltport/owners/storage.py
@@ -15,7 +15,7 @@
 import msgspec
 from msgspec import Struct
 
-from saltport.owners.log import Entry, Log, Snapshot, Vote, Voting
+from saltport.owners.log import Configuration, Entry, Log, Snapshot, Vote
 
 _HEAD = 8  # four bytes of length, four of CRC-32
 MOST = 16 << 20  # bytes of one record
@@ -34,7 +34,7 @@
 
     name: str
     identity: str
-    boots: int
+    boot_count: int
 
 
 class Whole(Struct, frozen=True, array_like=True, tag=1):
@@ -67,8 +67,8 @@
     def __init__(self, path: Path, name: str, voters: tuple[str, ...]) -> None:
         """Open or begin a file. Raises StorageError."""
         self._path, self._name = path, name
-        self.vote, self.log = Vote(0), Log(Snapshot(0, 0, Voting(voters)))
-        self.identity, self.boots = secrets.token_hex(8), 0
+        self.vote, self.log = Vote(0), Log(Snapshot(0, 0, Configuration(voters)))
+        self.identity, self.boot_count = secrets.token_hex(8), 0
         self.is_new = not path.exists()
         self.cut_off = 0
         """Bytes of a torn last record."""
@@ -79,7 +79,7 @@
             self._take_lock()
             if not self.is_new:
                 self._read(path.read_bytes())
-            self.boots += 1
+            self.boot_count += 1
             self._rewrite()
         except OSError as error:
             self.close()
@@ -114,15 +114,15 @@
             except ValueError as error:
                 raise StorageError(f"{self._path}: unreadable at byte {place}: {error}") from None
             place = end
-        if not self.boots:
+        if not self.boot_count:
             raise StorageError(f"{self._path}: it does not say whose it is")
 
     def _take(self, part: _Part) -> None:
         match part:
-            case Begun(name, identity, boots):
+            case Begun(name, identity, boot_count):
                 if name != self._name:
                     raise StorageError(f"{self._path}: it is {name}'s, and this is {self._name}")
-                self.identity, self.boots = identity, boots
+                self.identity, self.boot_count = identity, boot_count
             case Whole(vote, snapshot, entries):
                 self.vote, self.log = vote, Log(snapshot, list(entries))
             case Added(vote, entries):
@@ -139,7 +139,7 @@
         file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
             whole = Whole(self.vote, self.log.snapshot, tuple(self.log.entries))
-            self._put(file, _record(Begun(self._name, self.identity, self.boots)) + _record(whole))
+            self._put(file, _record(Begun(self._name, self.identity, self.boot_count)) + _record(whole))
             os.rename(beside, self._path)
             folder = os.open(self._path.parent, os.O_RDONLY)
             try:
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -194,7 +194,9 @@
     folder = Path(told.folder) if told.folder else None
     if folder is not None and name in told.voters and not folder.is_dir():
         raise FeatureError(f"owners.folder: {folder} is no folder")
-    raft = RaftSettings(election=told.election_ms * NS_PER_MS, heartbeat=told.election_ms * NS_PER_MS // 6)
+    raft = RaftSettings(
+        election_timeout=told.election_ms * NS_PER_MS, heartbeat_interval=told.election_ms * NS_PER_MS // 6
+    )
     lease = told.lease_ms * NS_PER_MS
     settings = OwnerSettings(lease=lease, renew=lease // 6, raft=raft)
     return OwnersPlan(told.voters, folder, told.begin, told.pieces, told.trials, settings)
--- a/tests/owners/fleet.py
+++ b/tests/owners/fleet.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from saltport.owners.fence import Fence
-from saltport.owners.log import Log, Snapshot, Vote, Voting
+from saltport.owners.log import Configuration, Log, Snapshot, Vote
 from saltport.owners.member import Member
 from saltport.owners.messages import Message, decode, encode
 from saltport.owners.settings import OwnerSettings
@@ -40,7 +40,7 @@
         self.voters = tuple(self.names[:voters])
         self.pieces = [f"p{number}" for number in range(pieces)]
         self.rates = {name: self.rng.uniform(0.98, 1.02) for name in self.names}
-        first = Snapshot(0, 0, Voting(self.voters))
+        first = Snapshot(0, 0, Configuration(self.voters))
         self.disks = {name: Disk(Vote(0), first) for name in self.voters}
         self.members: dict[str, Member] = {}
         self.old: list[tuple[str, Member]] = []
@@ -80,7 +80,7 @@
         now = self.clock(name)
         member = self._member(name, self.starts[name], self.voters, self.settings, rng, now, kept)
         if fresh and member.raft is not None:
-            member.raft._heard_at -= self.settings.raft.election
+            member.raft._leader_contact_at -= self.settings.raft.election_timeout
         member.tenure.want(self.pieces)
         self.members[name] = member
         self.stopped.pop(name, None)
@@ -130,7 +130,7 @@
                 continue
             if data is None:
                 member.tick(self.clock(to))
-                wait = max(member.due - self.clock(to), 1_000_000)
+                wait = max(member.wake_at - self.clock(to), 1_000_000)
                 self._push(self.now + int(wait / self.rates[to]) + 1, to, "", None)
                 self._work(to)
             else:
--- a/tests/owners/test_model.py
+++ b/tests/owners/test_model.py
@@ -55,7 +55,7 @@
     def hand_over(self, name: str, to: str) -> None:
         member = self.fleet.members.get(name)
         if member is not None and member.raft is not None and name not in self.fleet.stopped:
-            member.raft.hand_over(to, self.fleet.clock(name))
+            member.raft.transfer_leadership(to, self.fleet.clock(name))
             self.fleet.carry(name)
 
     @rule(here=names, there=names)
--- a/tests/owners/test_owners.py
+++ b/tests/owners/test_owners.py
@@ -208,7 +208,7 @@
     leader = fleet.leader()
     fleet.cut = lambda here, there: leader in (here, there)
     # It answers itself for as long as its lead is certain, and holds for a lease from then on.
-    fleet.run(LEASE_S + SETTINGS.raft.election / S)
+    fleet.run(LEASE_S + SETTINGS.raft.election_timeout / S)
     assert all(leader not in fleet.owners(piece) for piece in fleet.pieces)
     fleet.run(3 * LEASE_S)
     fleet.until_owned()
--- a/tests/owners/test_plan.py
+++ b/tests/owners/test_plan.py
@@ -39,7 +39,10 @@
     assert plan is not None
     assert (plan.voters, plan.folder, plan.pieces) == (("r1", "r2", "r3"), tmp_path, ("rollout",))
     assert (
-        plan.settings.raft.lease < plan.settings.raft.election < plan.settings.own_lease < plan.settings.lease
+        plan.settings.raft.lease
+        < plan.settings.raft.election_timeout
+        < plan.settings.own_lease
+        < plan.settings.lease
     )
     assert check_file(path, files) == []
 
--- a/tests/owners/test_raft.py
+++ b/tests/owners/test_raft.py
@@ -8,8 +8,16 @@
 
 import pytest
 
-from saltport.owners.log import Voting
-from saltport.owners.raft import Append, AskVote, Campaign, GiveVote, Raft, RaftSettings, Role
+from saltport.owners.log import Configuration
+from saltport.owners.raft import (
+    AppendEntries,
+    Raft,
+    RaftSettings,
+    RequestVote,
+    RequestVoteReply,
+    Role,
+    TimeoutNow,
+)
 from tests.owners.world import SETTINGS, START, BriefRandom, BrokenError, Cluster, with_settings
 
 
@@ -45,7 +53,7 @@
                 cluster.drive(name)
         elif roll < 0.95 and alive:
             name, to = rng.choice(alive), rng.choice(names)
-            cluster.nodes[name].hand_over(to, cluster.clock(name))
+            cluster.nodes[name].transfer_leadership(to, cluster.clock(name))
             cluster.drive(name)
         elif roll < 0.975 and alive:
             cluster.crash(rng.choice(alive))
@@ -114,7 +122,7 @@
 
 FAULTS: dict[str, dict[str, object]] = {
     "a vote is not stored": {"stores_votes": False},
-    "the lease counts from the answer": {"settings": with_settings(lease_from_answer=True)},
+    "the lease counts from the answer": {"settings": with_settings(lease_from_reply=True)},
 }
 
 
@@ -128,9 +136,9 @@
         walks()
 
 
-def flapping(prevote: bool) -> int:
+def flapping(pre_vote: bool) -> int:
     """Terms used up while one voter is cut off every now and then."""
-    cluster = led(settings=with_settings(prevote=prevote))
+    cluster = led(settings=with_settings(pre_vote=pre_vote))
     leader = cluster.leader()
     other = next(name for name in cluster.nodes if name != leader)
     before = cluster.nodes[leader].term
@@ -141,8 +149,8 @@
 
 
 def test_a_voter_that_flaps_raises_no_terms() -> None:
-    assert flapping(prevote=True) == 0
-    assert flapping(prevote=False) >= 10
+    assert flapping(pre_vote=True) == 0
+    assert flapping(pre_vote=False) >= 10
 
 
 def test_a_leader_that_can_send_and_hears_nothing_steps_down() -> None:
@@ -184,14 +192,14 @@
     old = cluster.leader()
     heir = next(name for name in cluster.nodes if name != old)
     begun = cluster.now
-    assert cluster.nodes[old].hand_over(heir, cluster.clock(old))
+    assert cluster.nodes[old].transfer_leadership(heir, cluster.clock(old))
     assert cluster.nodes[old].lease_until() == 0
     assert cluster.nodes[old].propose(b"late", cluster.clock(old)) is None
     cluster.drive(old)
     cluster.run(0.3)
     assert cluster.leader() == heir
-    assert cluster.now - begun < SETTINGS.election
-    assert not cluster.nodes[heir].hand_over("nobody", cluster.clock(heir))
+    assert cluster.now - begun < SETTINGS.election_timeout
+    assert not cluster.nodes[heir].transfer_leadership("nobody", cluster.clock(heir))
 
 
 def test_a_hand_over_that_fails_never_gives_the_lease_back_in_its_term() -> None:
@@ -201,10 +209,10 @@
     heir = next(name for name in cluster.nodes if name != old)
     node = cluster.nodes[old]
     term = node.term
-    node.hand_over(heir, cluster.clock(old))
+    node.transfer_leadership(heir, cluster.clock(old))
     cluster.drive(old)
-    held = [entry for entry in cluster.flying if isinstance(entry[2], Campaign)]
-    cluster.flying = [entry for entry in cluster.flying if not isinstance(entry[2], Campaign)]
+    held = [entry for entry in cluster.flying if isinstance(entry[2], TimeoutNow)]
+    cluster.flying = [entry for entry in cluster.flying if not isinstance(entry[2], TimeoutNow)]
     cluster.run(8)
     assert held
     assert cluster.leader()
@@ -222,41 +230,47 @@
     cluster.run(2)
     leader.compact(b"x" * 1_000)
     cluster.drive(leader.name)
-    leader.change(Voting(leader.voting.voters, ("d",)), cluster.clock(leader.name))
+    leader.change_configuration(
+        Configuration(leader.configuration.voters, ("d",)), cluster.clock(leader.name)
+    )
     cluster.drive(leader.name)
     with pytest.raises(ValueError, match=r"not committed yet|not caught up"):
-        leader.change(Voting((*leader.voting.voters, "d")), cluster.clock(leader.name))
+        leader.change_configuration(
+            Configuration((*leader.configuration.voters, "d")), cluster.clock(leader.name)
+        )
     for _ in range(40):
         cluster.run(0.01)
-        if cluster.nodes["d"]._incoming is not None:
+        if cluster.nodes["d"]._incoming_snapshot is not None:
             break
     cluster.propose(b"more")
     cluster.run(0.02)
     leader.compact(b"y" * 2_000)
     cluster.drive(leader.name)
     cluster.run(5)
-    assert cluster.nodes["d"].applied == leader.applied
+    assert cluster.nodes["d"].last_applied == leader.last_applied
     assert cluster.applied["d"][0] in (b"x" * 1_000, b"y" * 2_000)
-    leader.change(Voting((*leader.voting.voters, "d")), cluster.clock(leader.name))
+    leader.change_configuration(
+        Configuration((*leader.configuration.voters, "d")), cluster.clock(leader.name)
+    )
     cluster.drive(leader.name)
     cluster.run(3)
-    assert cluster.nodes["d"].voting.voters == (*"abc", "d")
+    assert cluster.nodes["d"].configuration.voters == (*"abc", "d")
 
 
 def test_a_voter_is_exchanged_one_step_at_a_time_and_a_leader_may_leave() -> None:
     cluster = led(spare=("d",))
     leader = cluster.nodes[cluster.leader()]
     now = cluster.clock(leader.name)
-    with pytest.raises(ValueError, match="one voter at a time"):
-        leader.change(Voting(("a", "d", "e")), now)
-    with pytest.raises(ValueError, match="somebody has to vote"):
-        leader.change(Voting(()), now)
+    with pytest.raises(ValueError, match="add or remove one voter only"):
+        leader.change_configuration(Configuration(("a", "d", "e")), now)
+    with pytest.raises(ValueError, match="needs at least one voter"):
+        leader.change_configuration(Configuration(()), now)
     with pytest.raises(ValueError, match="has not caught up"):
-        leader.change(Voting(("a", "b", "c", "d")), now)
+        leader.change_configuration(Configuration(("a", "b", "c", "d")), now)
     rest = tuple(name for name in "abc" if name != leader.name)
-    assert leader.change(Voting(rest), now) is not None
+    assert leader.change_configuration(Configuration(rest), now) is not None
     with pytest.raises(ValueError, match="not committed yet"):  # two exchanges at once
-        leader.change(Voting(rest[:1]), now)
+        leader.change_configuration(Configuration(rest[:1]), now)
     cluster.drive(leader.name)
     cluster.run(8)
     assert cluster.leader() in rest
@@ -275,11 +289,11 @@
         cluster.boot(name)
     cluster.flying.clear()
     begun = cluster.now
-    cluster.run(0.9 * SETTINGS.election / 1e9)
+    cluster.run(0.9 * SETTINGS.election_timeout / 1e9)
     assert not cluster.leader()  # whatever they had promised is waited out
     cluster.run(8)
     assert cluster.leader()
-    assert cluster.now - begun < 10 * SETTINGS.election
+    assert cluster.now - begun < 10 * SETTINGS.election_timeout
     assert [data for data in cluster.applied["a"] if data] == [b"%d" % number for number in range(5)]
 
 
@@ -321,13 +335,13 @@
 
 def let_pass(cluster: Cluster) -> None:
     """An election time without anybody's turn: all are stopped together."""
-    cluster.now += SETTINGS.election
+    cluster.now += SETTINGS.election_timeout
     cluster.check_leases()
 
 
 def time_for(cluster: Cluster, name: str) -> None:
     """So much time passes that this one does something: others wake only when it is their turn."""
-    cluster.now = max(cluster.now, int(cluster.nodes[name].due / cluster.rates.get(name, 1.0)) + 1)
+    cluster.now = max(cluster.now, int(cluster.nodes[name].wake_at / cluster.rates.get(name, 1.0)) + 1)
     cluster.check_leases()
     cluster.wake(name)
 
@@ -368,19 +382,21 @@
 
 
 def test_the_search_finds_a_vote_that_is_not_stored() -> None:
-    bounds = Bounds(8, 1, 3, 9_000, sleepers="ab", fragile="c", only=(AskVote, GiveVote), ends="c")
+    bounds = Bounds(
+        8, 1, 3, 9_000, sleepers="ab", fragile="c", only=(RequestVote, RequestVoteReply), ends="c"
+    )
     with pytest.raises(BrokenError, match="two leaders"):
-        search(bounds, stores_votes=False, settings=with_settings(prevote=False))
-    assert search(bounds, settings=with_settings(prevote=False)) > 100
+        search(bounds, stores_votes=False, settings=with_settings(pre_vote=False))
+    assert search(bounds, settings=with_settings(pre_vote=False)) > 100
 
 
 def test_old_messages_and_strangers_change_nothing() -> None:
     cluster = led()
     leader = cluster.nodes[cluster.leader()]
     term = leader.term
-    leader.receive("b", AskVote(term, 0, 0, False), cluster.clock(leader.name))
-    leader.receive("x", Append(term - 1, 0, 0, 0, 0), cluster.clock(leader.name))
+    leader.receive("b", RequestVote(term, 0, 0, False), cluster.clock(leader.name))
+    leader.receive("x", AppendEntries(term - 1, 0, 0, 0, 0), cluster.clock(leader.name))
     assert (leader.role, leader.term) == (Role.LEADER, term)
     assert isinstance(leader, Raft)
-    assert RaftSettings().lease < RaftSettings().election
+    assert RaftSettings().lease < RaftSettings().election_timeout
     assert cluster.now > START
--- a/tests/owners/test_storage.py
+++ b/tests/owners/test_storage.py
@@ -9,8 +9,8 @@
 
 import pytest
 
-from saltport.owners.log import Entry, Kind, Snapshot, Vote, Voting
-from saltport.owners.raft import AskTerm, Role, TellTerm
+from saltport.owners.log import Configuration, Entry, EntryKind, Snapshot, Vote
+from saltport.owners.raft import Role, TermQuery, TermReply
 from saltport.owners.storage import Storage, StorageBusyError, StorageError
 from tests.owners.world import Cluster
 
@@ -18,7 +18,7 @@
 
 
 def entries(first: int, last: int, term: int = 1) -> list[Entry]:
-    return [Entry(index, term, Kind.COMMAND, b"%d" % index) for index in range(first, last + 1)]
+    return [Entry(index, term, EntryKind.COMMAND, b"%d" % index) for index in range(first, last + 1)]
 
 
 def begun(path: Path) -> Storage:
@@ -32,17 +32,17 @@
 def test_what_was_kept_is_there_again_and_each_start_is_counted(tmp_path: Path) -> None:
     path = tmp_path / "voter"
     first = begun(path)
-    assert (first.is_new, first.boots) == (True, 1)
+    assert (first.is_new, first.boot_count) == (True, 1)
     first.close()
     again = Storage(path, "a", VOTERS)
-    assert (again.is_new, again.boots, again.identity) == (False, 2, first.identity)
+    assert (again.is_new, again.boot_count, again.identity) == (False, 2, first.identity)
     assert again.vote == Vote(2, "b")
     assert [(entry.index, entry.term) for entry in again.log.entries] == [(1, 1), (2, 1), (3, 2), (4, 2)]
-    again.keep(None, Snapshot(3, 2, Voting(VOTERS), b"state"), entries(4, 4, term=2))
+    again.keep(None, Snapshot(3, 2, Configuration(VOTERS), b"state"), entries(4, 4, term=2))
     again.close()
     last = Storage(path, "a", VOTERS)
-    assert last.boots == 3
-    assert (last.log.snapshot.data, last.log.last, last.vote) == (b"state", 4, Vote(2, "b"))
+    assert last.boot_count == 3
+    assert (last.log.snapshot.data, last.log.last_index, last.vote) == (b"state", 4, Vote(2, "b"))
 
 
 @pytest.mark.parametrize("torn", [1, 4, 9, 20])
@@ -55,7 +55,7 @@
     os.truncate(path, whole + torn)
     again = Storage(path, "a", VOTERS)
     assert again.cut_off == torn
-    assert (again.vote, again.log.last) == (Vote(2, "b"), 4)
+    assert (again.vote, again.log.last_index) == (Vote(2, "b"), 4)
 
 
 def test_damage_in_the_middle_is_refused_wherever_it_is(tmp_path: Path) -> None:
@@ -121,17 +121,17 @@
     cluster = Cluster()
     cluster.run(6)
     for name in VOTERS:
-        cluster.nodes[name].boots_of = {"a": 7}
+        cluster.nodes[name].boot_counts = {"a": 7}
     cluster.crash("a")
     cluster.boot("a")
     node = cluster.nodes["a"]
-    node._boots = 5  # what the copy says
-    node.receive("b", TellTerm(node.term, node._nonce, 7), cluster.clock("a"))
+    node._boot_count = 5  # what the copy says
+    node.receive("b", TermReply(node.term, node._nonce, 7), cluster.clock("a"))
     assert (node.stale_disk, str(node.role)) == (True, "recovering")
     cluster.drive("a")
     cluster.run(8)
     assert str(node.role) in ("follower", "leader")  # it was told what it had forgotten
     other = cluster.nodes["b"]
-    other.receive("a", AskTerm(1, 8), cluster.clock("b"))
-    assert other.boots_of["a"] == 8
+    other.receive("a", TermQuery(1, 8), cluster.clock("b"))
+    assert other.boot_counts["a"] == 8
     assert other.role is not Role.RECOVERING
--- a/tests/owners/world.py
+++ b/tests/owners/world.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field, replace
 
-from saltport.owners.log import Entry, Log, Snapshot, Vote, Voting
+from saltport.owners.log import Configuration, Entry, Log, Snapshot, Vote
 from saltport.owners.raft import Message, Raft, RaftSettings, Role
 
 SETTINGS = RaftSettings()
-START = 10 * SETTINGS.election
+START = 10 * SETTINGS.election_timeout
 _WORD = (1 << 64) - 1
 
 
@@ -84,7 +84,7 @@
         self.rng = random.Random(seed)
         self.forgets, self.stores_votes = forgets, stores_votes
         self.rates = rates or {}
-        first = Snapshot(0, 0, Voting(voters))
+        first = Snapshot(0, 0, Configuration(voters))
         self.disks = {name: Disk(Vote(0), first) for name in (*voters, *spare)}
         self.nodes: dict[str, Raft] = {}
         self.flying: list[tuple[str, str, Message]] = []
@@ -99,15 +99,17 @@
 
     def boot(self, name: str, fresh: bool = False) -> None:
         disk = self.disks[name]
-        forgot = self.forgets and not fresh
-        if forgot:
-            disk = self.disks[name] = Disk(Vote(0), replace_voting(disk))
+        lost_state = self.forgets and not fresh
+        if lost_state:
+            disk = self.disks[name] = Disk(Vote(0), configured_snapshot(disk))
         log = Log(disk.snapshot, list(disk.entries))
         rng = type(self.rng)(self.rng.getrandbits(32))
-        self.nodes[name] = Raft(name, log, disk.vote, self.settings, rng, self.clock(name), forgot)
+        self.nodes[name] = Raft(name, log, disk.vote, self.settings, rng, self.clock(name), lost_state)
         self.applied[name] = [disk.snapshot.data]
         if fresh:
-            self.nodes[name]._heard_at -= self.settings.election  # it never promised anything
+            self.nodes[
+                name
+            ]._leader_contact_at -= self.settings.election_timeout  # it never promised anything
 
     def crash(self, name: str) -> None:
         self.nodes.pop(name, None)
@@ -115,7 +117,7 @@
     def drive(self, name: str) -> None:
         """Store, send, apply; then look whether all holds."""
         node = self.nodes[name]
-        ready = node.take()
+        ready = node.take_ready()
         vote = self.disks[name].vote
         self.disks[name].keep(ready.vote, ready.snapshot, ready.entries)
         if not self.stores_votes:
@@ -139,7 +141,7 @@
         for name in holders:
             node = self.nodes[name]
             last = max(self.committed, default=0)
-            if node.log.last < last or node.commit < min(last, node._term_start - 1):
+            if node.log.last_index < last or node.commit_index < min(last, node._term_start_index - 1):
                 raise BrokenError(f"{name} leads and lacks what is committed")
 
     # Acts
@@ -168,7 +170,9 @@
                 self.now += 1_000_000
                 self.deliver(0)
                 continue
-            due = {name: int(node.due / self.rates.get(name, 1.0)) + 1 for name, node in self.nodes.items()}
+            due = {
+                name: int(node.wake_at / self.rates.get(name, 1.0)) + 1 for name, node in self.nodes.items()
+            }
             name = min(due, key=lambda held: due[held], default="")
             if not name or max(due[name], self.now) > end:
                 break
@@ -193,19 +197,19 @@
 
     def _node_state(self, name: str, since: Callable[[int, str], int]) -> tuple[object, ...]:
         node = self.nodes[name]
-        log = (node.commit, node.log.snapshot.index, tuple(node.log.entries))
-        times = (since(node._heard_at, name), since(node._due, name))
+        log = (node.commit_index, node.log.snapshot.index, tuple(node.log.entries))
+        times = (since(node._leader_contact_at, name), since(node._wake_at, name))
         others = tuple(
-            (to, held.next, held.match, since(held.answered, name))
+            (to, held.next_index, held.match_index, since(held.acknowledged_sent_at, name))
             for to, held in sorted(node.progress.items())
         )
-        votes = (node.vote, tuple(sorted(node._told_yes)), node._handing_to)
-        recovery = (node._recovered_term, tuple(sorted(node._terms.items())))
+        votes = (node.vote, tuple(sorted(node._votes_granted)), node._transfer_target)
+        recovery = (node._recovery_term, tuple(sorted(node._reported_terms.items())))
         return (name, node.role, node.leader, log, times, others, votes, recovery)
 
     def state(self) -> tuple[object, ...]:
         """What makes two worlds the same, with times counted from now and shortened to tenths."""
-        grain = self.settings.election // 10
+        grain = self.settings.election_timeout // 10
 
         def since(at: int, name: str) -> int:
             return max(min((self.clock(name) - at) // grain, 30), -30)
@@ -214,9 +218,9 @@
         return (nodes, tuple(sorted(map(repr, self.flying))))
 
 
-def replace_voting(disk: Disk) -> Snapshot:
+def configured_snapshot(disk: Disk) -> Snapshot:
     """What a voter without a disk knows: who votes, by its configuration."""
-    return Snapshot(0, 0, disk.snapshot.voting)
+    return Snapshot(0, 0, disk.snapshot.configuration)
 
 
 def with_settings(**more: object) -> RaftSettings:
