--- a/benchmarks/scale/owners.py
+++ b/benchmarks/scale/owners.py
@@ -19,7 +19,7 @@
 from benchmarks.scale import fit
 from benchmarks.scale.hollow import CARRIED, Hollows, slowed
 from saltport.owners.link import OwnersLink, OwnersPlan
-from saltport.owners.member import Member, Work
+from saltport.owners.member import Member, Output
 from saltport.owners.messages import Message, encode
 from saltport.owners.settings import OwnerSettings
 from tests.owners.fleet import Fleet, S
@@ -73,10 +73,10 @@
         super().receive(sender, message, now)
         self.spent += time.thread_time_ns() - begun
 
-    def take(self) -> Work:
+    def take_output(self) -> Output:
         """What is to be stored and sent now."""
         begun = time.thread_time_ns()
-        work = super().take()
+        work = super().take_output()
         self.spent += time.thread_time_ns() - begun
         return work
 
@@ -88,7 +88,7 @@
         self.bytes: Counter[str] = Counter()
         self.datagrams: Counter[str] = Counter()
         self._checked = checked
-        super().__init__(count, VOTERS, pieces=pieces, member=CountedMember)
+        super().__init__(count, VOTERS, tasks=pieces, member=CountedMember)
 
     def _send(self, sender: str, to: str, message: Message) -> None:
         size = fit.udp_bytes(len(encode(message)) + CARRIED, 1)
@@ -149,10 +149,10 @@
     fleet.loss = loss
     fleet.run(2)
     held = Counter(
-        owner for piece in fleet.pieces for owner in fleet.owners(piece) if owner not in fleet.voters
+        owner for piece in fleet.tasks for owner in fleet.owners(piece) if owner not in fleet.voters
     )
     victim = fleet.leader() if what == "the leader" else held.most_common(1)[0][0]
-    pieces = sum(fleet.owners(piece) == [victim] for piece in fleet.pieces)
+    pieces = sum(fleet.owners(piece) == [victim] for piece in fleet.tasks)
     begun = fleet.now
     fleet.crash(victim)
     while not (fleet.all_owned() and fleet.leader()) and fleet.now - begun < 120 * S:
@@ -166,9 +166,9 @@
 
     spent = 0
 
-    def _turn(self) -> None:
+    def _tick(self) -> None:
         begun = time.thread_time_ns()
-        super()._turn()
+        super()._tick()
         self.spent += time.thread_time_ns() - begun
 
 
@@ -205,7 +205,7 @@
         await fleet.run(SETTLE_S)
         if not await fleet.until(fleet.quiet, 120):
             raise RuntimeError("the members have not told all of their join")
-        leader = next(n for n, link in held.items() if link.member is not None and link.member.steward)
+        leader = next(n for n, link in held.items() if link.member is not None and link.member.coordinator)
         before, worked, begun = (
             {name: fleet.links[name].wire() for name in names},
             spent(),
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -59,7 +59,7 @@
 
     def _may(self, now: int) -> int | None:
         member = self._owners.member
-        return member.tenure.may(PIECE, now) if member is not None else None
+        return member.owner_lease.effect_epoch(PIECE, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
         member = self._owners.member
--- a/saltport/owners/fence.py
+++ b/saltport/owners/fence.py
@@ -1,36 +1,36 @@
-"""Who applies an effect refuses older epochs than it has seen (Chubby's sequencers, section 2.4). No I/O."""
+"""Fencing: refuses effects of older epochs than already seen (Chubby's sequencers, section 2.4). No I/O."""
 
 from __future__ import annotations
 
 from collections import OrderedDict
 
-from saltport.owners.record import Record
+from saltport.owners.assignments import Assignments
 
-MOST = 16_384  # pieces remembered; the oldest ones fall under the floor, which only rises
+MAX_REMEMBERED_TASKS = 16_384  # beyond this the least recently used task is forgotten
 
 
 class Fence:
-    """The highest epoch seen for each piece."""
+    """The highest epoch seen for each task."""
 
     def __init__(self) -> None:
-        self._seen: OrderedDict[str, int] = OrderedDict()
+        self._highest_epochs: OrderedDict[str, int] = OrderedDict()
         self._floor = 0
-        """Below this, a piece that is not remembered is refused."""
+        """Lowest epoch accepted for a task that is not remembered; it never falls."""
         self.refused = 0
 
-    def admit(self, piece: str, epoch: int) -> bool:
-        """Whether an effect of this epoch may be applied; if so, no older one will be."""
-        if epoch < self._seen.get(piece, self._floor):
+    def admit(self, task: str, epoch: int) -> bool:
+        """Whether an effect of this epoch may be applied; if so, older epochs are refused from now on."""
+        if epoch < self._highest_epochs.get(task, self._floor):
             self.refused += 1
             return False
-        self._seen[piece] = epoch
-        self._seen.move_to_end(piece)
-        if len(self._seen) > MOST:
-            self._floor = max(self._floor, self._seen.popitem(last=False)[1])
+        self._highest_epochs[task] = epoch
+        self._highest_epochs.move_to_end(task)
+        if len(self._highest_epochs) > MAX_REMEMBERED_TASKS:
+            self._floor = max(self._floor, self._highest_epochs.popitem(last=False)[1])
         return True
 
-    def learn(self, record: Record) -> None:
-        """Take over what the agreed record says: after a restart nothing else is known."""
-        for piece, held in record.pieces.items():
-            if held.epoch > self._seen.get(piece, self._floor):
-                self.admit(piece, held.epoch)
+    def learn(self, assignments: Assignments) -> None:
+        """Take over the epochs of replicated assignments, for example after a restart."""
+        for task, assignment in assignments.tasks.items():
+            if assignment.epoch > self._highest_epochs.get(task, self._floor):
+                self.admit(task, assignment.epoch)
--- a/saltport/owners/member.py
+++ b/saltport/owners/member.py
@@ -1,6 +1,7 @@
-"""One router's part in ownership: a voter or not, an owner always. No I/O.
+"""One router's part in ownership: always an owner, and a voter if it is configured as one. No I/O.
 
-Whoever drives it stores what `take` says, sends then, and calls `tick` by `due` at the latest.
+The caller stores the state in the output of `take_output`, then sends its messages, and calls `tick` by
+`wake_at` at the latest.
 """
 
 from __future__ import annotations
@@ -8,21 +9,21 @@
 import random
 from dataclasses import dataclass, field
 
+from saltport.owners.assignments import Assignments, encode_command
+from saltport.owners.coordinator import Coordinator
 from saltport.owners.fence import Fence
 from saltport.owners.log import Entry, Log, Snapshot, Vote
-from saltport.owners.messages import Elsewhere, Message, Renew, Renewed, Resign, Rows
+from saltport.owners.messages import AssignedTasks, Message, Redirect, Renew, RenewReply, Resign
+from saltport.owners.owner_lease import OwnerLease
 from saltport.owners.raft import Raft
-from saltport.owners.record import Record, pack
 from saltport.owners.settings import OwnerSettings
-from saltport.owners.steward import Steward
-from saltport.owners.tenure import Tenure
 
-TICK = 100_000_000  # between two looks at what is due
+TICK_INTERVAL_NS = 100_000_000  # longest time between two calls of `tick`
 
 
 @dataclass(slots=True)
-class Work:
-    """What is to be done, in this order."""
+class Output:
+    """Output of a member: state to store first, then messages to send."""
 
     vote: Vote | None = None
     snapshot: Snapshot | None = None
@@ -31,7 +32,7 @@
 
 
 class Member:
-    """One process."""
+    """The ownership state of one router process."""
 
     def __init__(
         self,
@@ -41,148 +42,150 @@
         settings: OwnerSettings,
         rng: random.Random,
         now: int,
-        kept: tuple[Log, Vote, bool] | None = None,
+        stored: tuple[Log, Vote, bool] | None = None,
         boot_count: int = 0,
     ) -> None:
-        """`kept`: what a voter's storage has, and whether it lost_state what it promised; None: no voter."""
+        """`stored`: a voter's stored log and vote, and whether its state was lost; None: not a voter."""
         self.name, self.settings, self._rng = name, settings, rng
         self.voters = voters
-        self.record = Record.empty()
+        self.assignments = Assignments.empty()
         self.fence = Fence()
-        self.tenure = Tenure(name, start, settings, now)
+        self.owner_lease = OwnerLease(name, start, settings, now)
         self.raft: Raft | None = None
-        self._steward: Steward | None = None
+        self._coordinator: Coordinator | None = None
         self._messages: list[tuple[str, Message]] = []
         self._target = ""
-        self._asked = self._answered_at = now
+        self._target_since = self._last_reply_at = now
         self.wake_at = now
-        if kept is not None:
-            self.begin_voting(kept, boot_count, now)
+        if stored is not None:
+            self.begin_voting(stored, boot_count, now)
 
-    def begin_voting(self, kept: tuple[Log, Vote, bool], boot_count: int, now: int) -> None:
-        """Vote from what a storage has, at the start or after it failed; see `__init__`."""
-        log, vote, lost_state = kept
-        self.record = Record.load(log.snapshot.data)
+    def begin_voting(self, stored: tuple[Log, Vote, bool], boot_count: int, now: int) -> None:
+        """Start to vote from stored state, at the start or after the storage failed; see `__init__`."""
+        log, vote, lost_state = stored
+        self.assignments = Assignments.load(log.snapshot.data)
         self.raft = Raft(self.name, log, vote, self.settings.raft, self._rng, now, lost_state, boot_count)
 
     def stop_voting(self) -> None:
-        """Promise nothing more: what was promised last could not be kept."""
-        self.raft = self._steward = None
+        """Stop voting, because the storage failed."""
+        self.raft = self._coordinator = None
 
     @property
-    def steward(self) -> Steward | None:
-        """Of this voter while it leads."""
-        return self._steward
+    def coordinator(self) -> Coordinator | None:
+        """The coordinator; None unless this voter leads."""
+        return self._coordinator
 
-    def without_owner(self, now: int) -> bool:
-        """Whether no steward has answered for longer than a lease: each router is then on its own."""
-        return now - self._answered_at > self.settings.lease
+    def without_coordinator(self, now: int) -> bool:
+        """Whether no coordinator has replied for longer than a lease, so that each router acts on its own."""
+        return now - self._last_reply_at > self.settings.lease
 
     def tick(self, now: int) -> None:
-        """Time has passed."""
+        """Run the timers that are due at `now`."""
         raft = self.raft
         if raft is not None:
             raft.tick(now)
-            if self._steer(raft, now) and self._steward is not None:
-                self._decide(raft, self._steward, now)
-        renew = self.tenure.tick(now)
+            if self._update_coordinator(raft, now) and self._coordinator is not None:
+                self._propose_decisions(raft, self._coordinator, now)
+        renew = self.owner_lease.tick(now)
         if renew is not None:
-            self._ask(renew, now)
-        self.wake_at = min(now + TICK, raft.wake_at if raft is not None else now + TICK)
+            self._send_renewal(renew, now)
+        self.wake_at = min(
+            now + TICK_INTERVAL_NS, raft.wake_at if raft is not None else now + TICK_INTERVAL_NS
+        )
 
-    def _steer(self, raft: Raft, now: int) -> bool:
-        """Be the steward for as long as the lead is certain; whether it is."""
+    def _update_coordinator(self, raft: Raft, now: int) -> bool:
+        """Create or drop the coordinator as this voter gains or loses the lead; whether there is one."""
         if not raft.leads(now):
-            self._steward = None
-        elif self._steward is None:
-            self._steward = Steward(self.record, self.settings, now)
-        return self._steward is not None
+            self._coordinator = None
+        elif self._coordinator is None:
+            self._coordinator = Coordinator(self.assignments, self.settings, now)
+        return self._coordinator is not None
 
     @staticmethod
-    def _decide(raft: Raft, steward: Steward, now: int) -> None:
-        for command in steward.decide(now):
-            if raft.propose(pack(command), now) is None:
-                steward.failed([piece for piece, _ in command.rows])
-
-    def _ask(self, renew: Renew, now: int) -> None:
-        if now - self._asked > 2 * self.settings.renew or not self._target:
-            # No answer from there: whoever leads is another one.
+    def _propose_decisions(raft: Raft, coordinator: Coordinator, now: int) -> None:
+        for command in coordinator.decide(now):
+            if raft.propose(encode_command(command), now) is None:
+                coordinator.on_proposal_failed([task for task, _ in command.rows])
+
+    def _send_renewal(self, renew: Renew, now: int) -> None:
+        if now - self._target_since > 2 * self.settings.renew_interval or not self._target:
+            # No reply from the target: another voter may lead by now.
             self._target = self._rng.choice(self.voters)
-            self._asked = now
+            self._target_since = now
         self._send(self._target, renew)
 
     def _send(self, to: str, message: Message) -> None:
         self._messages.append((to, message))
 
     def resign(self, now: int) -> None:
-        """Give back what is held and hand leadership over: the process is about to end."""
-        session = self.tenure.resign()
+        """Return all tasks and transfer leadership, because the process is about to end."""
+        session = self.owner_lease.resign()
         for voter in self.voters:
             self._send(voter, Resign(session))
         raft = self.raft
         if raft is not None and raft.leads(now):
-            if self._steward is not None:
-                self._steward.resign(Resign(session))
-                self._decide(raft, self._steward, now)
-            heirs = [name for name in raft.configuration.voters if name != self.name]
-            if heirs:
-                raft.transfer_leadership(max(heirs, key=lambda name: raft.progress[name].match_index), now)
+            if self._coordinator is not None:
+                self._coordinator.resign(Resign(session))
+                self._propose_decisions(raft, self._coordinator, now)
+            targets = [name for name in raft.configuration.voters if name != self.name]
+            if targets:
+                raft.transfer_leadership(max(targets, key=lambda name: raft.progress[name].match_index), now)
 
     def receive(self, sender: str, message: Message, now: int) -> None:
-        """Take a message."""
+        """Process a message from another router."""
         match message:
             case Renew():
-                self._renew(sender, message, now)
-            case Renewed():
-                if message.session == self.tenure.session:
-                    self._target, self._asked, self._answered_at = sender, now, now
-                    self.tenure.renewed(message, now)
-            case Rows():
-                self.tenure.given(message)
+                self._on_renew(sender, message, now)
+            case RenewReply():
+                if message.session == self.owner_lease.session:
+                    self._target, self._target_since, self._last_reply_at = sender, now, now
+                    self.owner_lease.on_renew_reply(message, now)
+            case AssignedTasks():
+                self.owner_lease.add_assigned(message)
             case Resign():
-                if self._steward is not None and sender == message.session.name:
-                    self._steward.resign(message)
-            case Elsewhere():
+                if self._coordinator is not None and sender == message.session.name:
+                    self._coordinator.resign(message)
+            case Redirect():
                 if sender == self._target and message.leader in self.voters and message.leader != sender:
-                    self._target, self._asked = message.leader, now
+                    self._target, self._target_since = message.leader, now
             case _:
                 if self.raft is not None:
                     self.raft.receive(sender, message, now)
-                    self._steer(self.raft, now)
+                    self._update_coordinator(self.raft, now)
 
-    def _renew(self, sender: str, asked: Renew, now: int) -> None:
+    def _on_renew(self, sender: str, request: Renew, now: int) -> None:
         raft = self.raft
-        if raft is None or sender != asked.session.name:
+        if raft is None or sender != request.session.name:
             return
-        self._steer(raft, now)
-        if self._steward is None:
-            self._send(sender, Elsewhere(raft.leader if raft.leader != self.name else ""))
+        self._update_coordinator(raft, now)
+        if self._coordinator is None:
+            self._send(sender, Redirect(raft.leader if raft.leader != self.name else ""))
             return
-        for answer in self._steward.renew(asked, now):
-            self._send(sender, answer)
+        for reply in self._coordinator.renew(request, now):
+            self._send(sender, reply)
 
-    def take(self) -> Work:
-        """What is to be stored and sent now; what was committed is applied to the record."""
-        work = Work()
+    def take_output(self) -> Output:
+        """Return the state to store and the messages to send; applies the committed entries."""
+        output = Output()
         if self.raft is not None:
             ready = self.raft.take_ready()
-            work.vote, work.snapshot, work.entries = ready.vote, ready.snapshot, ready.entries
-            work.messages += ready.messages
+            output.vote, output.snapshot, output.entries = ready.vote, ready.snapshot, ready.entries
+            output.messages += ready.messages
             if ready.restore is not None:
-                self.record = Record.load(ready.restore.data)
-                self._steward = None
-                self.fence.learn(self.record)
+                self.assignments = Assignments.load(ready.restore.data)
+                self._coordinator = None
+                self.fence.learn(self.assignments)
             for entry in ready.committed:
-                changed = self.record.apply(entry)
-                for piece, held in changed:
-                    if held is not None:
-                        self.fence.admit(piece, held.epoch)
-                if self._steward is not None:
-                    self._steward.applied([piece for piece, _ in changed])
-            if len(self.raft.log.entries) > self.settings.keep and ready.snapshot is None:
-                self.raft.compact(self.record.save())
-                more = self.raft.take_ready()
-                work.snapshot, work.entries = more.snapshot, more.entries
-        work.messages += self._messages
+                changed = self.assignments.apply(entry)
+                for task, assignment in changed:
+                    if assignment is not None:
+                        self.fence.admit(task, assignment.epoch)
+                if self._coordinator is not None:
+                    self._coordinator.on_applied([task for task, _ in changed])
+            if len(self.raft.log.entries) > self.settings.max_log_entries and ready.snapshot is None:
+                self.raft.compact(self.assignments.save())
+                compacted = self.raft.take_ready()
+                output.snapshot, output.entries = compacted.snapshot, compacted.entries
+        output.messages += self._messages
         self._messages = []
-        return work
+        return output
--- a/saltport/owners/messages.py
+++ b/saltport/owners/messages.py
@@ -1,4 +1,4 @@
-"""What owners and the steward say to one another, beside the log's own messages."""
+"""Messages between owners and the coordinator, and their encoding together with the Raft messages."""
 
 from __future__ import annotations
 
@@ -6,60 +6,60 @@
 from msgspec import Struct
 
 from saltport.owners import raft
-from saltport.owners.record import Session
+from saltport.owners.assignments import Session
 
 
 class Renew(Struct, frozen=True, array_like=True, tag=16):
-    """A session's question for its lease. `sent`: by its own clock, to be given back."""
+    """A session's lease renewal; `sent_at` is by its own clock and is echoed in the reply."""
 
     session: Session
-    sent: int
+    sent_at: int
     digest: int
-    """Of what it holds."""
-    back: tuple[str, ...] = ()
-    """What it has stopped working on."""
-    wants: tuple[str, ...] = ()
+    """Digest of the tasks that the session owns."""
+    returned: tuple[str, ...] = ()
+    """Tasks that the session has stopped working on."""
+    wanted: tuple[str, ...] = ()
 
 
-class Renewed(Struct, frozen=True, array_like=True, tag=17):
-    """The lease goes on."""
+class RenewReply(Struct, frozen=True, array_like=True, tag=17):
+    """Reply that extends the lease."""
 
     session: Session
-    sent: int
-    back: tuple[str, ...] = ()
-    """What it should give back."""
-    done: tuple[str, ...] = ()
-    """What it gave back is noted."""
+    sent_at: int
+    recalled: tuple[str, ...] = ()
+    """Tasks that the session should return."""
+    confirmed_returns: tuple[str, ...] = ()
+    """Returned tasks whose return is recorded."""
 
 
-class Rows(Struct, frozen=True, array_like=True, tag=18):
-    """Pieces that are this session's, with their epochs."""
+class AssignedTasks(Struct, frozen=True, array_like=True, tag=18):
+    """Tasks that are assigned to the session, with their epochs."""
 
     session: Session
     rows: tuple[tuple[str, int], ...]
 
 
 class Resign(Struct, frozen=True, array_like=True, tag=19):
-    """A session has ended by itself: all that it held may be given on at once."""
+    """End of a session by itself: its tasks may be reassigned at once."""
 
     session: Session
 
 
-class Elsewhere(Struct, frozen=True, array_like=True, tag=20):
-    """Ask this voter instead; empty: nobody leads."""
+class Redirect(Struct, frozen=True, array_like=True, tag=20):
+    """Reply that names the voter to send renewals to; empty if no leader is known."""
 
     leader: str
 
 
-Message = raft.Message | Renew | Renewed | Rows | Resign | Elsewhere
+Message = raft.Message | Renew | RenewReply | AssignedTasks | Resign | Redirect
 _decoder: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 def encode(message: Message) -> bytes:
-    """The bytes on the wire, within whatever carries them."""
+    """Return the encoded message."""
     return msgspec.msgpack.encode(message)
 
 
-def decode(told: bytes) -> Message:
-    """Read a message; raises ValueError for anything else."""
-    return _decoder.decode(told)
+def decode(data: bytes) -> Message:
+    """Decode a message; raises ValueError if it is invalid."""
+    return _decoder.decode(data)
--- a/saltport/owners/settings.py
+++ b/saltport/owners/settings.py
@@ -1,4 +1,4 @@
-"""The figures of ownership; times are nanoseconds."""
+"""Settings of ownership; times are nanoseconds."""
 
 from __future__ import annotations
 
@@ -9,26 +9,26 @@
 
 @dataclass(frozen=True, slots=True)
 class OwnerSettings:
-    """The same at every router of a fleet."""
+    """Settings of ownership, equal at every router of a fleet."""
 
     lease: int = 3_000 * NS_PER_MS
-    """After so long without a word of a session its pieces are given to others."""
-    drift: float = 0.02
-    """By so much of it a clock may run faster or slower."""
-    renew: int = 500 * NS_PER_MS
+    """After this time without a renewal the tasks of a session are reassigned."""
+    clock_drift: float = 0.02
+    """Largest relative error of a clock's rate."""
+    renew_interval: int = 500 * NS_PER_MS
     moves_per_s: int = 10
-    """Pieces asked back for the sake of an even spread."""
-    forget: int = 60_000 * NS_PER_MS
-    """A piece that nobody has wanted for so long is dropped."""
-    room: int = 120
-    """Bytes of wanted pieces in a renewal."""
-    rows: int = 12
-    """Datagrams of rows that one renewal is answered with, at the most."""
+    """Most tasks recalled per second for rebalancing."""
+    unwanted_timeout: int = 60_000 * NS_PER_MS
+    """A task that no router has wanted for this long is removed."""
+    max_wanted_bytes: int = 120
+    """Size limit of the wanted tasks in a renewal."""
+    max_assignment_messages: int = 12
+    """Most AssignedTasks messages in reply to one renewal."""
     raft: RaftSettings = field(default_factory=RaftSettings)
-    keep: int = 512
-    """Entries after which the log is put into a snapshot."""
+    max_log_entries: int = 512
+    """Number of log entries above which the log is replaced by a snapshot."""
 
     @property
-    def own_lease(self) -> int:
-        """What an owner counts on, from when its question left."""
-        return int(self.lease * (1 - self.drift) / (1 + self.drift))
+    def owner_lease_duration(self) -> int:
+        """Duration of the lease as the owner counts it, from the sending of the renewal."""
+        return int(self.lease * (1 - self.clock_drift) / (1 + self.clock_drift))
--- a/saltport/owners/storage.py
+++ b/saltport/owners/storage.py
@@ -1,7 +1,7 @@
-"""What a voter must not forget, on a disk: records with checksums, forced out before anything is sent.
+"""A voter's state on disk: records with checksums, synced before any message that depends on them is sent.
 
-A torn last record was never promised to anybody, and is cut off. What else does not check is refused: a
-voter that lost a promise must say so (raft.py, recovery) and not guess.
+A torn last record was never acknowledged and is cut off. Any other damage is refused: a voter that lost
+acknowledged state must go through recovery (raft.py).
 """
 
 from __future__ import annotations
@@ -17,61 +17,61 @@
 
 from saltport.owners.log import Configuration, Entry, Log, Snapshot, Vote
 
-_HEAD = 8  # four bytes of length, four of CRC-32
-MOST = 16 << 20  # bytes of one record
+_RECORD_HEADER_BYTES = 8  # four bytes of length, four of CRC-32
+MAX_RECORD_BYTES = 16 << 20
 
 
 class StorageError(Exception):
-    """The state can't be read or kept; the text is one plain line."""
+    """The state cannot be read or written; the text is a single line."""
 
 
 class StorageBusyError(StorageError):
-    """Another process has it open, as the one that this one replaces: try again."""
+    """Another process has the file open, such as a predecessor that still runs; opening can be retried."""
 
 
-class Begun(Struct, frozen=True, array_like=True, tag=0):
-    """Whose file it is, and the how manyeth start wrote this."""
+class FileHeader(Struct, frozen=True, array_like=True, tag=0):
+    """First record: the voter, the identity of the file, and the number of starts that have opened it."""
 
     name: str
     identity: str
     boot_count: int
 
 
-class Whole(Struct, frozen=True, array_like=True, tag=1):
-    """Everything: what is before it in the file is void."""
+class FullState(Struct, frozen=True, array_like=True, tag=1):
+    """Record of the complete state; replaces all earlier records."""
 
     vote: Vote
     snapshot: Snapshot
     entries: tuple[Entry, ...]
 
 
-class Added(Struct, frozen=True, array_like=True, tag=2):
-    """A vote, entries, or both; entries from the first one's index on are replaced."""
+class StateUpdate(Struct, frozen=True, array_like=True, tag=2):
+    """Record of a vote, entries, or both; replaces the stored entries from the first one's index on."""
 
     vote: Vote | None
     entries: tuple[Entry, ...]
 
 
-_Part = Begun | Whole | Added
-_decoder: msgspec.msgpack.Decoder[_Part] = msgspec.msgpack.Decoder(_Part)
+_Record = FileHeader | FullState | StateUpdate
+_decoder: msgspec.msgpack.Decoder[_Record] = msgspec.msgpack.Decoder(_Record)
 
 
-def _record(part: _Part) -> bytes:
-    told = msgspec.msgpack.encode(part)
-    return len(told).to_bytes(4, "big") + zlib.crc32(told).to_bytes(4, "big") + told
+def _encode_record(record: _Record) -> bytes:
+    payload = msgspec.msgpack.encode(record)
+    return len(payload).to_bytes(4, "big") + zlib.crc32(payload).to_bytes(4, "big") + payload
 
 
 class Storage:
-    """One voter's file; all calls block until the disk has what was given."""
+    """One voter's file; each write returns only after the data is synced."""
 
     def __init__(self, path: Path, name: str, voters: tuple[str, ...]) -> None:
-        """Open or begin a file. Raises StorageError."""
+        """Open or create the file. Raises StorageError."""
         self._path, self._name = path, name
         self.vote, self.log = Vote(0), Log(Snapshot(0, 0, Configuration(voters)))
         self.identity, self.boot_count = secrets.token_hex(8), 0
         self.is_new = not path.exists()
-        self.cut_off = 0
-        """Bytes of a torn last record."""
+        self.torn_bytes = 0
+        """Size of a torn last record that was cut off."""
         self.writes = 0
         self._file: int | None = None
         self._lock: int | None = None
@@ -89,7 +89,7 @@
             raise
 
     def _take_lock(self) -> None:
-        # Danger: two processes with one file would each keep promises that the other does not know of.
+        # Danger: two processes with one file would each store votes and entries that the other does not know.
         self._lock = os.open(self._path.with_name(self._path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
             fcntl.flock(self._lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
@@ -98,54 +98,62 @@
         self.is_new = not self._path.exists()
 
     def _read(self, data: bytes) -> None:
-        place = 0
-        while place < len(data):
-            size = int.from_bytes(data[place : place + 4], "big")
-            end = place + _HEAD + size
-            told = data[place + _HEAD : end]
-            sound = size <= MOST and len(told) == size and size > 0
-            if not sound or zlib.crc32(told) != int.from_bytes(data[place + 4 : place + 8], "big"):
-                if end < len(data) and size <= MOST:
-                    raise StorageError(f"{self._path}: damaged at byte {place}, and not at its end")
-                self.cut_off = len(data) - place
+        offset = 0
+        while offset < len(data):
+            size = int.from_bytes(data[offset : offset + 4], "big")
+            end = offset + _RECORD_HEADER_BYTES + size
+            payload = data[offset + _RECORD_HEADER_BYTES : end]
+            is_length_valid = size <= MAX_RECORD_BYTES and len(payload) == size and size > 0
+            if not is_length_valid or zlib.crc32(payload) != int.from_bytes(
+                data[offset + 4 : offset + 8], "big"
+            ):
+                if end < len(data) and size <= MAX_RECORD_BYTES:
+                    raise StorageError(f"{self._path}: damaged at byte {offset}, before the last record")
+                self.torn_bytes = len(data) - offset
                 break
             try:
-                self._take(_decoder.decode(told))
+                self._apply(_decoder.decode(payload))
             except ValueError as error:
-                raise StorageError(f"{self._path}: unreadable at byte {place}: {error}") from None
-            place = end
+                raise StorageError(f"{self._path}: unreadable at byte {offset}: {error}") from None
+            offset = end
         if not self.boot_count:
-            raise StorageError(f"{self._path}: it does not say whose it is")
+            raise StorageError(f"{self._path}: the header record is missing")
 
-    def _take(self, part: _Part) -> None:
-        match part:
-            case Begun(name, identity, boot_count):
+    def _apply(self, record: _Record) -> None:
+        match record:
+            case FileHeader(name, identity, boot_count):
                 if name != self._name:
-                    raise StorageError(f"{self._path}: it is {name}'s, and this is {self._name}")
+                    raise StorageError(
+                        f"{self._path}: belongs to voter {name}, but this voter is {self._name}"
+                    )
                 self.identity, self.boot_count = identity, boot_count
-            case Whole(vote, snapshot, entries):
+            case FullState(vote, snapshot, entries):
                 self.vote, self.log = vote, Log(snapshot, list(entries))
-            case Added(vote, entries):
+            case StateUpdate(vote, entries):
                 self.vote = vote or self.vote
                 if entries:
-                    place = entries[0].index - self.log.snapshot.index - 1
-                    if place < 0 or place > len(self.log.entries):
-                        raise StorageError(f"{self._path}: entry {entries[0].index} does not follow")
-                    self.log.entries[place:] = entries
+                    offset = entries[0].index - self.log.snapshot.index - 1
+                    if offset < 0 or offset > len(self.log.entries):
+                        raise StorageError(f"{self._path}: gap in the log before entry {entries[0].index}")
+                    self.log.entries[offset:] = entries
 
     def _rewrite(self) -> None:
-        """Write all anew beside the old file, and put it in its place at once."""
-        beside = self._path.with_name(self._path.name + ".new")
-        file = os.open(beside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+        """Write the complete state to a new file and rename it over the old one."""
+        temporary = self._path.with_name(self._path.name + ".new")
+        file = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
         try:
-            whole = Whole(self.vote, self.log.snapshot, tuple(self.log.entries))
-            self._put(file, _record(Begun(self._name, self.identity, self.boot_count)) + _record(whole))
-            os.rename(beside, self._path)
-            folder = os.open(self._path.parent, os.O_RDONLY)
+            state = FullState(self.vote, self.log.snapshot, tuple(self.log.entries))
+            self._write(
+                file,
+                _encode_record(FileHeader(self._name, self.identity, self.boot_count))
+                + _encode_record(state),
+            )
+            os.rename(temporary, self._path)
+            directory = os.open(self._path.parent, os.O_RDONLY)
             try:
-                os.fsync(folder)  # the name too must outlive a loss of power
+                os.fsync(directory)  # make the rename durable
             finally:
-                os.close(folder)
+                os.close(directory)
         except BaseException:
             os.close(file)
             raise
@@ -153,14 +161,14 @@
             os.close(self._file)
         self._file = file
 
-    def _put(self, file: int, data: bytes) -> None:
+    def _write(self, file: int, data: bytes) -> None:
         while data:
             data = data[os.write(file, data) :]
         os.fsync(file)
         self.writes += 1
 
-    def keep(self, vote: Vote | None, snapshot: Snapshot | None, entries: list[Entry]) -> None:
-        """Keep what is new. Raises StorageError: then nothing may be promised any more, for good."""
+    def persist(self, vote: Vote | None, snapshot: Snapshot | None, entries: list[Entry]) -> None:
+        """Write changes to disk. Raises StorageError, after which the storage is closed for good."""
         if vote is None and snapshot is None and not entries:
             return
         if self._file is None:
@@ -170,15 +178,15 @@
                 self.vote, self.log = vote or self.vote, Log(snapshot, list(entries))
                 self._rewrite()
             else:
-                part = Added(vote, tuple(entries))
-                self._put(self._file, _record(part))
-                self._take(part)
+                record = StateUpdate(vote, tuple(entries))
+                self._write(self._file, _encode_record(record))
+                self._apply(record)
         except OSError as error:
             self.close()
             raise StorageError(f"{self._path}: {error.strerror or error}") from None
 
     def close(self) -> None:
-        """Keep nothing more."""
+        """Close the file and release its lock."""
         if self._file is not None:
             os.close(self._file)
             self._file = None
--- a/saltport/owners/trials.py
+++ b/saltport/owners/trials.py
@@ -1,7 +1,7 @@
-"""Trials of servers that were taken out: one router tries each, and tells the others what it saw. No I/O.
+"""Trials of ejected servers: the owner of a trial makes it and reports success to the other routers. No I/O.
 
-Danger: what is told starts trials and does nothing else. Each router's own decision module takes out and
-takes back. Where no owner is in sight each tries for itself again, spread over a while.
+Danger: such evidence only starts trials. Each router's own decision module ejects and readmits servers.
+Without a coordinator each router tries for itself, at times spread at random.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from msgspec import Struct
 
 from saltport.owners.fence import Fence
+from saltport.owners.owner_lease import OwnerLease
 from saltport.owners.raft import NS_PER_S
-from saltport.owners.tenure import Tenure
 
 PREFIX = "probe/"
-HOLD = 2 * NS_PER_S  # for so long ahead the others leave a server to its owner
-TELL_FOR = 8 * NS_PER_S  # an owner says so for so long that a server is well, each second
-TELL_EVERY = 1 * NS_PER_S
-SPREAD = 2 * NS_PER_S  # over which the others' trials begin
-LONGEST = 30 * NS_PER_S  # for which a server is left to its owner without a word, and up to twice that
-WINDOW = 6 * NS_PER_S  # in which it may then be tried here
-ALONE_SPREAD = 6 * NS_PER_S  # and those of routers without an owner in sight
-FRESH = 10 * NS_PER_S  # older evidence starts nothing
+POSTPONE_NS = 2 * NS_PER_S  # by which routers other than the owner postpone their trial each time
+REPORT_PERIOD_NS = 8 * NS_PER_S  # after success, repeated because messages may be lost
+REPORT_INTERVAL_NS = 1 * NS_PER_S
+TRIAL_SPREAD_NS = 2 * NS_PER_S  # of the other routers' trials after evidence
+OWNER_TIMEOUT_NS = 30 * NS_PER_S  # without evidence, up to twice this until a router may try itself
+TRIAL_WINDOW_NS = 6 * NS_PER_S  # for a router's own trial after the owner timeout
+UNCOORDINATED_SPREAD_NS = 6 * NS_PER_S  # of trials by routers without a coordinator
+MAX_EVIDENCE_AGE_NS = 10 * NS_PER_S
 
 
 class Evidence(Struct, frozen=True, array_like=True, tag=64):
-    """An owner's word: it found this server well, so long ago."""
+    """Report of the owner that a server was healthy `ago_ms` ago."""
 
     server: str
     epoch: int
@@ -39,107 +39,114 @@
 _decoder = msgspec.msgpack.Decoder(Evidence)
 
 
-def encode(told: Evidence) -> bytes:
-    """The bytes on the wire."""
-    return msgspec.msgpack.encode(told)
+def encode(evidence: Evidence) -> bytes:
+    """Return the encoded evidence."""
+    return msgspec.msgpack.encode(evidence)
 
 
-def decode(told: bytes) -> Evidence:
-    """Read evidence; raises ValueError for anything else."""
-    return _decoder.decode(told)
+def decode(data: bytes) -> Evidence:
+    """Decode evidence; raises ValueError if it is invalid."""
+    return _decoder.decode(data)
 
 
 @dataclass(slots=True)
 class Plan:
-    """What is to be done now."""
+    """Actions to take now."""
 
-    holds: dict[str, int] = field(default_factory=dict)
-    """Servers that are not to be tried here before this time."""
+    postponed: dict[str, int] = field(default_factory=dict)
+    """Servers whose trial by this router is postponed, and until when."""
     starts: list[str] = field(default_factory=list)
-    """Servers to be tried now."""
-    tell: list[Evidence] = field(default_factory=list)
-    """For all other routers."""
+    """Servers to try now."""
+    evidence: list[Evidence] = field(default_factory=list)
+    """Evidence to send to all other routers."""
 
 
 class Trials:
-    """One router's part in it."""
-
-    def __init__(self, tenure: Tenure, fence: Fence, rng: random.Random) -> None:
-        self._tenure, self._fence, self._rng = tenure, fence, rng
-        self._well: dict[str, int] = {}
-        """Servers that this router owned and found well, and when it began to say so."""
-        self._told_at: dict[str, int] = {}
-        self._due: dict[str, int] = {}
-        """Trials to begin, by what others told."""
-        self._spread: dict[str, int] = {}
-        self._until: dict[str, int] = {}
-        """For so long each ejected server is left to its owner."""
-        self.taken = self.stale = 0
+    """Schedules one router's trials of ejected servers."""
+
+    def __init__(self, owner_lease: OwnerLease, fence: Fence, rng: random.Random) -> None:
+        self._owner_lease, self._fence, self._rng = owner_lease, fence, rng
+        self._recovered: dict[str, int] = {}
+        """Owned servers that recovered, and when this router began to report so."""
+        self._reported_at: dict[str, int] = {}
+        self._trial_at: dict[str, int] = {}
+        """When to start trials for which evidence was received."""
+        self._uncoordinated_at: dict[str, int] = {}
+        self._owner_deadlines: dict[str, int] = {}
+        """Until when each ejected server is left to its owner."""
+        self.started = self.stale = 0
 
     @staticmethod
     def wanted(ejected: Mapping[str, int]) -> list[str]:
-        """The pieces of work that this router would have done."""
+        """Return the names of the tasks for the trials of ejected servers."""
         return [PREFIX + server for server in ejected]
 
-    def turn(self, ejected: Mapping[str, int], in_sight: bool, now: int) -> Plan:
-        """`ejected`: the servers out here, and when their next trial is due; `in_sight`: a steward is."""
+    def plan(self, ejected: Mapping[str, int], has_coordinator: bool, now: int) -> Plan:
+        """Return the actions that are due.
+
+        `ejected`: the servers ejected at this router, and when their trials are due;
+        `has_coordinator`: whether a coordinator answers.
+        """
         plan = Plan()
-        held = {piece[len(PREFIX) :] for piece in self._tenure.pieces if piece.startswith(PREFIX)}
-        for server in held:
+        owned = {task[len(PREFIX) :] for task in self._owner_lease.tasks if task.startswith(PREFIX)}
+        for server in owned:
             if server not in ejected:
-                self._well.setdefault(server, now)
+                self._recovered.setdefault(server, now)
             else:
-                self._well.pop(server, None)
-        for server, since in list(self._well.items()):
-            epoch = self._tenure.may(PREFIX + server, now)
-            if server not in held:
-                del self._well[server]
-                self._told_at.pop(server, None)
-            elif now - since > TELL_FOR:
+                self._recovered.pop(server, None)
+        for server, since in list(self._recovered.items()):
+            epoch = self._owner_lease.effect_epoch(PREFIX + server, now)
+            if server not in owned:
+                del self._recovered[server]
+                self._reported_at.pop(server, None)
+            elif now - since > REPORT_PERIOD_NS:
                 continue
-            elif epoch is not None and now - self._told_at.get(server, -TELL_EVERY) >= TELL_EVERY:
-                self._told_at[server] = now
-                plan.tell.append(Evidence(server, epoch, (now - since) // 1_000_000))
+            elif (
+                epoch is not None
+                and now - self._reported_at.get(server, -REPORT_INTERVAL_NS) >= REPORT_INTERVAL_NS
+            ):
+                self._reported_at[server] = now
+                plan.evidence.append(Evidence(server, epoch, (now - since) // 1_000_000))
         for server, due in ejected.items():
-            if server in self._due:
-                if now >= self._due[server]:
+            if server in self._trial_at:
+                if now >= self._trial_at[server]:
                     plan.starts.append(server)
-                    del self._due[server]
-            elif self._tenure.may(PREFIX + server, now) is not None:
-                continue  # its owner tries it when its time has come
-            elif in_sight and now < self._patience(server, now):
-                self._spread.pop(server, None)
-                plan.holds[server] = now + HOLD
-            elif in_sight:
-                # Danger: an owner that never tries, as no client of its own asks there, must not keep it out
-                # for good. What was held back last ends within this window.
-                if now >= self._until[server] + WINDOW:
-                    del self._until[server]
-            elif server not in self._spread:
-                self._spread[server] = now + self._rng.randrange(ALONE_SPREAD)
-                plan.holds[server] = max(due, self._spread[server])
-        for server in [server for server in self._due if server not in ejected]:
-            del self._due[server]
-        for server in [server for server in self._until if server not in ejected]:
-            del self._until[server]
-        for server in [server for server in self._spread if server not in ejected]:
-            del self._spread[server]
+                    del self._trial_at[server]
+            elif self._owner_lease.effect_epoch(PREFIX + server, now) is not None:
+                continue  # this router owns the trial and makes it when it is due
+            elif has_coordinator and now < self._owner_deadline(server, now):
+                self._uncoordinated_at.pop(server, None)
+                plan.postponed[server] = now + POSTPONE_NS
+            elif has_coordinator:
+                # Danger: an owner that has no requests for a server never tries it, which must not keep it
+                # ejected for good. The last postponement ends within this window.
+                if now >= self._owner_deadlines[server] + TRIAL_WINDOW_NS:
+                    del self._owner_deadlines[server]
+            elif server not in self._uncoordinated_at:
+                self._uncoordinated_at[server] = now + self._rng.randrange(UNCOORDINATED_SPREAD_NS)
+                plan.postponed[server] = max(due, self._uncoordinated_at[server])
+        for server in [server for server in self._trial_at if server not in ejected]:
+            del self._trial_at[server]
+        for server in [server for server in self._owner_deadlines if server not in ejected]:
+            del self._owner_deadlines[server]
+        for server in [server for server in self._uncoordinated_at if server not in ejected]:
+            del self._uncoordinated_at[server]
         return plan
 
-    def _patience(self, server: str, now: int) -> int:
-        """Until when a server is left to its owner, without a word from there."""
-        if server not in self._until:
-            self._until[server] = now + self._rng.randint(LONGEST, 2 * LONGEST)
-        return self._until[server]
+    def _owner_deadline(self, server: str, now: int) -> int:
+        """Return until when a server without evidence is left to its owner."""
+        if server not in self._owner_deadlines:
+            self._owner_deadlines[server] = now + self._rng.randint(OWNER_TIMEOUT_NS, 2 * OWNER_TIMEOUT_NS)
+        return self._owner_deadlines[server]
 
-    def heard(self, told: Evidence, ejected: Mapping[str, int], now: int) -> bool:
-        """Take an owner's word; whether it starts a trial. One of an older epoch is refused."""
-        if not self._fence.admit(PREFIX + told.server, told.epoch):
+    def on_evidence(self, evidence: Evidence, ejected: Mapping[str, int], now: int) -> bool:
+        """Process an owner's evidence; whether it starts a trial. Evidence of an older epoch is refused."""
+        if not self._fence.admit(PREFIX + evidence.server, evidence.epoch):
             self.stale += 1
             return False
-        fresh = told.ago_ms * 1_000_000 <= FRESH
-        if not fresh or told.server not in ejected or told.server in self._due:
+        is_recent = evidence.ago_ms * 1_000_000 <= MAX_EVIDENCE_AGE_NS
+        if not is_recent or evidence.server not in ejected or evidence.server in self._trial_at:
             return False
-        self.taken += 1
-        self._due[told.server] = now + self._rng.randrange(SPREAD)
+        self.started += 1
+        self._trial_at[evidence.server] = now + self._rng.randrange(TRIAL_SPREAD_NS)
         return True
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -173,9 +173,9 @@
 
 def _owners(features: Features, name: str) -> OwnersPlan:
     """The plan of ownership; raises FeatureError."""
+    from saltport.owners.assignments import MAX_TASK_NAME_BYTES
     from saltport.owners.link import OwnersPlan
     from saltport.owners.raft import NS_PER_MS, RaftSettings
-    from saltport.owners.record import MOST_NAME
     from saltport.owners.settings import OwnerSettings
 
     told, longest = features.owners, 14  # of a router's name: messages must fit the peers' datagrams
@@ -185,8 +185,8 @@
         raise FeatureError(f"owners.voters: three or five names, each once; found {len(told.voters)}")
     if any(not 0 < len(voter) <= longest for voter in (*told.voters, name)):
         raise FeatureError(f"owners: names of routers have at most {longest} characters")
-    if any(not 0 < len(piece) <= MOST_NAME for piece in told.pieces):
-        raise FeatureError(f"owners.pieces: names have 1 to {MOST_NAME} characters")
+    if any(not 0 < len(piece) <= MAX_TASK_NAME_BYTES for piece in told.pieces):
+        raise FeatureError(f"owners.pieces: names have 1 to {MAX_TASK_NAME_BYTES} characters")
     if told.election_ms < 500:
         raise FeatureError("owners.election_ms: must be at least 500, for round trips and short pauses")
     if told.lease_ms < 2 * told.election_ms:
@@ -198,7 +198,7 @@
         election_timeout=told.election_ms * NS_PER_MS, heartbeat_interval=told.election_ms * NS_PER_MS // 6
     )
     lease = told.lease_ms * NS_PER_MS
-    settings = OwnerSettings(lease=lease, renew=lease // 6, raft=raft)
+    settings = OwnerSettings(lease=lease, renew_interval=lease // 6, raft=raft)
     return OwnersPlan(told.voters, folder, told.begin, told.pieces, told.trials, settings)
 
 
--- a/tests/owners/fleet.py
+++ b/tests/owners/fleet.py
@@ -18,7 +18,7 @@
 
 
 class TwoOwnersError(AssertionError):
-    """At one moment two processes might both have worked on one piece."""
+    """At one moment two processes might both have worked on one task."""
 
 
 class Fleet:
@@ -30,7 +30,7 @@
         voters: int = 3,
         seed: int = 1,
         settings: OwnerSettings | None = None,
-        pieces: int = 2,
+        tasks: int = 2,
         fenced: bool = True,
         member: type[Member] = Member,
     ) -> None:
@@ -38,7 +38,7 @@
         self._member = member
         self.names = [f"r{number}" for number in range(count)]
         self.voters = tuple(self.names[:voters])
-        self.pieces = [f"p{number}" for number in range(pieces)]
+        self.tasks = [f"p{number}" for number in range(tasks)]
         self.rates = {name: self.rng.uniform(0.98, 1.02) for name in self.names}
         first = Snapshot(0, 0, Configuration(self.voters))
         self.disks = {name: Disk(Vote(0), first) for name in self.voters}
@@ -56,12 +56,12 @@
         self.fenced = fenced
         self.fence = Fence()
         self.effects: list[tuple[int, str, int]] = []
-        """Applied, in their order: when, the piece, the epoch."""
+        """Applied, in their order: when, the task, the epoch."""
         self.refused = 0
         self._late: list[tuple[int, int, str, int]] = []
         self.owned_since: dict[str, int] = {}
         self.spells: list[int] = []
-        """How long pieces were nobody's."""
+        """How long tasks were nobody's."""
         self.checked = 0
         self.written = 0
         for name in self.names:
@@ -81,7 +81,7 @@
         member = self._member(name, self.starts[name], self.voters, self.settings, rng, now, kept)
         if fresh and member.raft is not None:
             member.raft._leader_contact_at -= self.settings.raft.election_timeout
-        member.tenure.want(self.pieces)
+        member.owner_lease.set_wanted(self.tasks)
         self.members[name] = member
         self.stopped.pop(name, None)
         self._push(self.now, name, "", None)
@@ -98,10 +98,10 @@
 
     def carry(self, name: str) -> None:
         member = self.members[name]
-        work = member.take()
+        work = member.take_output()
         if name in self.disks:
             self.written += work.vote is not None or bool(work.entries) or work.snapshot is not None
-            self.disks[name].keep(work.vote, work.snapshot, work.entries)
+            self.disks[name].persist(work.vote, work.snapshot, work.entries)
         for to, message in work.messages:
             self._send(name, to, message)
 
@@ -144,58 +144,58 @@
     def _work(self, name: str) -> None:
         """Look at the lease, and send an effect that may take any time to arrive."""
         member = self.members[name]
-        for piece in self.pieces[:4]:
-            epoch = member.tenure.may(piece, self.clock(name))
+        for task in self.tasks[:4]:
+            epoch = member.owner_lease.effect_epoch(task, self.clock(name))
             if epoch is not None and self.rng.random() < 0.3:
                 delay = self.rng.choice([1, 5, 20, 5_000, 9_000]) * 1_000_000
                 self._count += 1
-                heapq.heappush(self._late, (self.now + delay, self._count, piece, epoch))
+                heapq.heappush(self._late, (self.now + delay, self._count, task, epoch))
 
     def _apply_late(self) -> None:
         while self._late and self._late[0][0] <= self.now:
-            at, _, piece, epoch = heapq.heappop(self._late)
-            if not self.fenced or self.fence.admit(piece, epoch):
-                self.effects.append((at, piece, epoch))
+            at, _, task, epoch = heapq.heappop(self._late)
+            if not self.fenced or self.fence.admit(task, epoch):
+                self.effects.append((at, task, epoch))
             else:
                 self.refused += 1
 
     def applied_from_older(self) -> int:
-        """Effects that were applied after one of a later epoch of the same piece."""
+        """Effects that were applied after one of a later epoch of the same task."""
         highest: dict[str, int] = {}
         found = 0
-        for _, piece, epoch in self.effects:
-            found += epoch < highest.get(piece, 0)
-            highest[piece] = max(epoch, highest.get(piece, 0))
+        for _, task, epoch in self.effects:
+            found += epoch < highest.get(task, 0)
+            highest[task] = max(epoch, highest.get(task, 0))
         return found
 
     # What must hold
 
-    def owners(self, piece: str) -> list[str]:
+    def owners(self, task: str) -> list[str]:
         """Who might begin an effect just now; who stands still too, as it may wake within its lease."""
         return [
             name
             for name, member in [*self.members.items(), *self.old]
-            if member.tenure.may(piece, self.clock(name)) is not None
+            if member.owner_lease.effect_epoch(task, self.clock(name)) is not None
         ]
 
     def check(self) -> None:
-        for piece in self.pieces[:8]:
+        for task in self.tasks[:8]:
             self.checked += 1
-            owners = self.owners(piece)
+            owners = self.owners(task)
             if len(owners) > 1:
-                raise TwoOwnersError(f"{piece} is {' and '.join(owners)}'s")
+                raise TwoOwnersError(f"{task} is {' and '.join(owners)}'s")
             if owners:
-                since = self.owned_since.pop(piece, None)
+                since = self.owned_since.pop(task, None)
                 if since is not None:
                     self.spells.append(self.now - since)
             else:
-                self.owned_since.setdefault(piece, self.now)
+                self.owned_since.setdefault(task, self.now)
 
     def leader(self) -> str:
-        return next((name for name, held in self.members.items() if held.steward is not None), "")
+        return next((name for name, held in self.members.items() if held.coordinator is not None), "")
 
     def all_owned(self) -> bool:
-        return all(len(self.owners(piece)) == 1 for piece in self.pieces)
+        return all(len(self.owners(task)) == 1 for task in self.tasks)
 
     def until_owned(self, seconds: float = 60.0) -> float:
         begun = self.now
--- a/tests/owners/test_failing_disk.py
+++ b/tests/owners/test_failing_disk.py
@@ -42,7 +42,7 @@
     def peers_of(self, name: str) -> PeerLink:
         def send_to(to: str, data: bytes) -> None:
             if to in self.links:
-                asyncio.get_running_loop().call_soon(self.links[to]._arrived, name, data)
+                asyncio.get_running_loop().call_soon(self.links[to]._on_datagram, name, data)
 
         live = [SimpleNamespace(name=other) for other in VOTERS]
         agent = SimpleNamespace(
@@ -65,8 +65,8 @@
     return link.member is not None and link.member.raft is not None and not link.trouble
 
 
-def owned(piece: str, links: dict[str, Any]) -> bool:
-    return any(link.member is not None and piece in link.member.tenure.pieces for link in links.values())
+def owned(task: str, links: dict[str, Any]) -> bool:
+    return any(link.member is not None and task in link.member.owner_lease.tasks for link in links.values())
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
@@ -96,11 +96,11 @@
             network.links[name] = OwnersLink(loop, plan, network.peers_of(name), NoServers(), seed)
         links = network.links
         await until("the work has an owner", lambda: owned("work", links))
-        leader = next(name for name in VOTERS if links[name].member.steward is not None)
+        leader = next(name for name in VOTERS if links[name].member.coordinator is not None)
         struck = leader if whose == "the leader's" else next(name for name in VOTERS if name != leader)
         failing.add(struck)
         other = next(name for name in VOTERS if name != struck)
-        links[other].member.tenure.want(["work", "more"])
+        links[other].member.owner_lease.set_wanted(["work", "more"])
         await until("its disk fails", lambda: links[struck].trouble)
         await asyncio.sleep(FAILS_S)
         assert not votes(links[struck])
--- a/tests/owners/test_model.py
+++ b/tests/owners/test_model.py
@@ -22,7 +22,7 @@
 
     @initialize(seed=st.integers(0, 1 << 16), voters=st.sampled_from([3, 5]))
     def begin(self, seed: int, voters: int) -> None:
-        self.fleet = Fleet(COUNT, voters, seed, pieces=3)
+        self.fleet = Fleet(COUNT, voters, seed, tasks=3)
         self.fleet.cut = lambda here, there: (here, there) in self.cut
         self.fleet.run(6)
 
@@ -79,10 +79,10 @@
     @invariant()
     def epochs_only_rise(self) -> None:
         for member in self.fleet.members.values() if hasattr(self, "fleet") else ():
-            if member.raft is not None and member.steward is not None:
-                for piece, held in member.record.pieces.items():
-                    assert held.epoch >= self.epochs.get(piece, 0)
-                    self.epochs[piece] = held.epoch
+            if member.raft is not None and member.coordinator is not None:
+                for task, held in member.assignments.tasks.items():
+                    assert held.epoch >= self.epochs.get(task, 0)
+                    self.epochs[task] = held.epoch
 
     def teardown(self) -> None:
         if not hasattr(self, "fleet"):
--- a/tests/owners/test_owners.py
+++ b/tests/owners/test_owners.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from saltport.owners import steward
-from saltport.owners.fence import MOST, Fence
+from saltport.owners import coordinator
+from saltport.owners.assignments import Assignments, Session
+from saltport.owners.coordinator import weight
+from saltport.owners.fence import MAX_REMEMBERED_TASKS, Fence
 from saltport.owners.member import Member
-from saltport.owners.messages import Renewed, Rows
-from saltport.owners.record import Record, Session
+from saltport.owners.messages import AssignedTasks, RenewReply
+from saltport.owners.owner_lease import OwnerLease
 from saltport.owners.settings import OwnerSettings
-from saltport.owners.steward import weight
-from saltport.owners.tenure import Tenure
 from tests.owners.fleet import Fleet, S, TwoOwnersError
 
 SETTINGS = OwnerSettings()
@@ -66,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_never_two_owners_and_never_an_effect_of_an_older_epoch(seed: int) -> None:
-    fleet = owned(5, voters=3 if seed % 2 else 5, seed=seed, pieces=3)
+    fleet = owned(5, voters=3 if seed % 2 else 5, seed=seed, tasks=3)
     storm(fleet, seed, 120)
     fleet.run(10)
     fleet.until_owned()
@@ -76,7 +76,7 @@
 
 
 def test_without_fences_late_effects_of_old_owners_are_applied() -> None:
-    fleet = owned(5, seed=3, pieces=3, fenced=False)
+    fleet = owned(5, seed=3, tasks=3, fenced=False)
     storm(fleet, 3, 120)
     assert fleet.applied_from_older() > 0
 
@@ -85,8 +85,8 @@
     """A planted defect: the lease counts from when the answer came."""
 
     def receive(self, sender: str, message: object, now: int) -> None:
-        if isinstance(message, Renewed):
-            message = Renewed(message.session, now, message.back, message.done)
+        if isinstance(message, RenewReply):
+            message = RenewReply(message.session, now, message.recalled, message.confirmed_returns)
         super().receive(sender, message, now)  # type: ignore[arg-type]
 
 
@@ -95,14 +95,14 @@
 
     def tick(self, now: int) -> None:
         super().tick(now)
-        if self.steward is not None:
-            self.steward._since = 0
+        if self.coordinator is not None:
+            self.coordinator._leader_since = 0
 
 
 def test_a_planted_defect_of_a_new_leader_makes_two_owners() -> None:
     def storms() -> None:
         for seed in range(40):
-            fleet = Fleet(5, seed=seed, pieces=3, member=_Hasty)
+            fleet = Fleet(5, seed=seed, tasks=3, member=_Hasty)
             fleet.run(6)
             storm(fleet, seed, 120)
 
@@ -112,10 +112,10 @@
 
 @pytest.mark.parametrize(("member", "breaks"), [(Member, False), (_FromAnswer, True)])
 def test_answers_that_take_long_lengthen_no_lease(member: type[Member], breaks: bool) -> None:
-    """The steward's answers to one owner take 2 s; then nothing of that owner arrives any more."""
+    """The coordinator's answers to one owner take 2 s; then nothing of that owner arrives any more."""
 
     def scene() -> None:
-        fleet = owned(5, voters=3, pieces=6, member=member)
+        fleet = owned(5, voters=3, tasks=6, member=member)
         name = next(held for held in fleet.names if held not in fleet.voters)
         fleet.slow = lambda here, there: 2 * S if there == name else 0
         fleet.run(8)
@@ -130,10 +130,10 @@
 
 
 def test_an_owner_that_dies_is_followed_within_twice_its_lease() -> None:
-    fleet = owned(6, pieces=8)
+    fleet = owned(6, tasks=8)
     times = []
     for _ in range(12):
-        name = next(iter(fleet.owners(fleet.rng.choice(fleet.pieces))))
+        name = next(iter(fleet.owners(fleet.rng.choice(fleet.tasks))))
         fleet.crash(name)
         times.append(fleet.until_owned())
         fleet.boot(name)
@@ -144,7 +144,7 @@
 
 TOLD_BY_A_CHILD = """
 from tests.owners.fleet import Fleet
-fleet = Fleet(6, pieces=8)
+fleet = Fleet(6, tasks=8)
 for name in ["", "r3", "r0", "r5", "r1"]:
     fleet.crash(name)
     fleet.until_owned()
@@ -176,26 +176,26 @@
 
 
 def test_a_stopped_owner_wakes_up_late_and_holds_nothing() -> None:
-    fleet = owned(5, pieces=1)
+    fleet = owned(5, tasks=1)
     old = fleet.owners("p0")[0]
     fleet.stop(old, 20)
-    epoch = fleet.members[old].tenure.pieces["p0"]
+    epoch = fleet.members[old].owner_lease.tasks["p0"]
     fleet.run(12)
     (new,) = fleet.owners("p0")
     assert new != old
     fleet.run(10)
-    assert fleet.members[old].tenure.lapses == 1
-    record = next(held.record for held in fleet.members.values() if held.raft is not None)
-    assert record.pieces["p0"].epoch > epoch
+    assert fleet.members[old].owner_lease.lapses == 1
+    assignments = next(held.assignments for held in fleet.members.values() if held.raft is not None)
+    assert assignments.tasks["p0"].epoch > epoch
 
 
 def test_a_drain_gives_work_back_at_once_and_leadership_too() -> None:
-    fleet = owned(5, pieces=8)
+    fleet = owned(5, tasks=8)
     name = fleet.leader()
     member = fleet.members[name]
     member.resign(fleet.clock(name))
     fleet.carry(name)
-    assert not member.tenure.pieces
+    assert not member.owner_lease.tasks
     begun = fleet.now
     fleet.run(0.2)
     fleet.crash(name)
@@ -204,47 +204,47 @@
 
 
 def test_a_leader_that_is_cut_off_keeps_nothing_going_and_clients_of_the_majority_go_on() -> None:
-    fleet = owned(5, voters=3, pieces=6)
+    fleet = owned(5, voters=3, tasks=6)
     leader = fleet.leader()
     fleet.cut = lambda here, there: leader in (here, there)
     # It answers itself for as long as its lead is certain, and holds for a lease from then on.
     fleet.run(LEASE_S + SETTINGS.raft.election_timeout / S)
-    assert all(leader not in fleet.owners(piece) for piece in fleet.pieces)
+    assert all(leader not in fleet.owners(task) for task in fleet.tasks)
     fleet.run(3 * LEASE_S)
     fleet.until_owned()
 
 
 def test_without_a_majority_what_runs_ends_with_its_lease_and_nothing_new_is_owned() -> None:
-    fleet = owned(5, voters=3, pieces=4)
+    fleet = owned(5, voters=3, tasks=4)
     for name in fleet.voters[:2]:
         fleet.crash(name)
     fleet.run(LEASE_S + 2)
-    assert all(not fleet.owners(piece) for piece in fleet.pieces)
-    assert all(held.without_owner(fleet.clock(name)) for name, held in fleet.members.items())
+    assert all(not fleet.owners(task) for task in fleet.tasks)
+    assert all(held.without_coordinator(fleet.clock(name)) for name, held in fleet.members.items())
     fleet.run(30)
-    assert all(not fleet.owners(piece) for piece in fleet.pieces)
+    assert all(not fleet.owners(task) for task in fleet.tasks)
     for name in fleet.voters[:2]:
         fleet.boot(name)
     fleet.until_owned()
 
 
 def test_a_thousand_pieces_cost_the_log_nothing_while_they_are_renewed() -> None:
-    fleet = Fleet(6, pieces=1_000, settings=OwnerSettings(moves_per_s=200))
+    fleet = Fleet(6, tasks=1_000, settings=OwnerSettings(moves_per_s=200))
     fleet.until_owned(120)
     fleet.run(15)
     before = fleet.written
     fleet.run(60)
     assert fleet.written - before <= 10
-    counts = [len(member.tenure.pieces) for member in fleet.members.values()]
+    counts = [len(member.owner_lease.tasks) for member in fleet.members.values()]
     assert min(counts) > 110
     victim = next(name for name in fleet.names if name not in fleet.voters)
     fleet.crash(victim)
     took = fleet.until_owned(120)
     assert took < 3 * LEASE_S
     fleet.boot(victim)
-    held = {name: dict(member.tenure.pieces) for name, member in fleet.members.items()}
+    held = {name: dict(member.owner_lease.tasks) for name, member in fleet.members.items()}
     fleet.run(1)
-    moved = sum(piece not in fleet.members[n].tenure.pieces for n, pieces in held.items() for piece in pieces)
+    moved = sum(task not in fleet.members[n].owner_lease.tasks for n, tasks in held.items() for task in tasks)
     assert moved <= 400  # a join moves some at a time
 
 
@@ -253,12 +253,12 @@
 ) -> None:
     weighed: list[tuple[str, str]] = []
 
-    def counted(piece: str, name: str) -> int:
-        weighed.append((piece, name))
-        return weight(piece, name)
+    def counted(task: str, name: str) -> int:
+        weighed.append((task, name))
+        return weight(task, name)
 
-    fleet = owned(4, pieces=20)
-    monkeypatch.setattr(steward, "weight", counted)
+    fleet = owned(4, tasks=20)
+    monkeypatch.setattr(coordinator, "weight", counted)
     fleet.run(5)
     assert not weighed
     leader, gone = fleet.leader(), next(name for name in reversed(fleet.names) if name != fleet.leader())
@@ -268,59 +268,61 @@
     assert sorted(weighed) == sorted(
         (f"p{n}", name) for n in range(20) for name in fleet.names if name != gone
     )
-    assert all(len(fleet.owners(piece)) == 1 for piece in fleet.pieces)
+    assert all(len(fleet.owners(task)) == 1 for task in fleet.tasks)
 
 
 def test_a_piece_that_nobody_wants_is_dropped_and_its_epoch_never_comes_again() -> None:
-    settings = OwnerSettings(forget=5 * S)
-    fleet = owned(4, pieces=2, settings=settings)
-    epoch = max(m.tenure.pieces.get("p1", 0) for m in fleet.members.values())
+    settings = OwnerSettings(unwanted_timeout=5 * S)
+    fleet = owned(4, tasks=2, settings=settings)
+    epoch = max(m.owner_lease.tasks.get("p1", 0) for m in fleet.members.values())
     for member in fleet.members.values():
-        member.tenure.want(["p0"])
+        member.owner_lease.set_wanted(["p0"])
     fleet.run(20)
     assert not fleet.owners("p1")
-    assert all("p1" not in member.record.pieces for member in fleet.members.values() if member.raft)
+    assert all("p1" not in member.assignments.tasks for member in fleet.members.values() if member.raft)
     for member in fleet.members.values():
-        member.tenure.want(["p0", "p1"])
+        member.owner_lease.set_wanted(["p0", "p1"])
     fleet.until_owned()
-    assert max(m.tenure.pieces.get("p1", 0) for m in fleet.members.values()) > epoch
+    assert max(m.owner_lease.tasks.get("p1", 0) for m in fleet.members.values()) > epoch
 
 
 def test_a_row_that_was_under_way_brings_nothing_back() -> None:
-    tenure = Tenure("r", 1, SETTINGS, 0)
-    tenure.tick(1)
-    tenure.renewed(Renewed(tenure.session, 1), 2)
-    row = Rows(tenure.session, (("p", 7),))
-    tenure.given(row)
-    assert tenure.may("p", 3) == 7
-    assert tenure.may("p", 3, spare=SETTINGS.lease) is None
-    tenure.give_back("p")
-    tenure.given(row)
-    assert tenure.may("p", 3) is None
-    told = tenure.tick(SETTINGS.renew + 5)
+    owner_lease = OwnerLease("r", 1, SETTINGS, 0)
+    owner_lease.tick(1)
+    owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1), 2)
+    row = AssignedTasks(owner_lease.session, (("p", 7),))
+    owner_lease.add_assigned(row)
+    assert owner_lease.effect_epoch("p", 3) == 7
+    assert owner_lease.effect_epoch("p", 3, duration=SETTINGS.lease) is None
+    owner_lease.return_task("p")
+    owner_lease.add_assigned(row)
+    assert owner_lease.effect_epoch("p", 3) is None
+    told = owner_lease.tick(SETTINGS.renew_interval + 5)
     assert told is not None
-    assert told.back == ("p",)
-    tenure.given(Rows(tenure.session, (("p", 9),)))
-    assert tenure.may("p", 3) == 9
-    session = tenure.resign()
-    tenure.renewed(Renewed(session, SETTINGS.renew + 5), SETTINGS.renew + 6)
-    tenure.given(Rows(session, (("q", 11),)))
-    assert tenure.may("q", SETTINGS.renew + 7) is None
+    assert told.returned == ("p",)
+    owner_lease.add_assigned(AssignedTasks(owner_lease.session, (("p", 9),)))
+    assert owner_lease.effect_epoch("p", 3) == 9
+    session = owner_lease.resign()
+    owner_lease.on_renew_reply(RenewReply(session, SETTINGS.renew_interval + 5), SETTINGS.renew_interval + 6)
+    owner_lease.add_assigned(AssignedTasks(session, (("q", 11),)))
+    assert owner_lease.effect_epoch("q", SETTINGS.renew_interval + 7) is None
 
 
 def test_a_lease_counts_from_its_question_and_never_comes_back() -> None:
-    tenure = Tenure("r", 1, SETTINGS, 0)
-    tenure.tick(1)
-    tenure.renewed(Renewed(tenure.session, 1), SETTINGS.own_lease - 5)
-    tenure.given(Rows(tenure.session, (("p", 7),)))
-    assert tenure.may("p", SETTINGS.own_lease) == 7
-    assert tenure.may("p", SETTINGS.own_lease + 1) is None
-    first = tenure.session
-    tenure.renewed(Renewed(first, SETTINGS.own_lease), SETTINGS.own_lease + 2)
-    assert tenure.session == Session("r", 1, 1) > first
-    assert tenure.may("p", SETTINGS.own_lease + 3) is None
-    tenure.renewed(Renewed(tenure.session, 1 << 60), 5)  # a question that was never asked
-    assert tenure.lease_until == 0
+    owner_lease = OwnerLease("r", 1, SETTINGS, 0)
+    owner_lease.tick(1)
+    owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1), SETTINGS.owner_lease_duration - 5)
+    owner_lease.add_assigned(AssignedTasks(owner_lease.session, (("p", 7),)))
+    assert owner_lease.effect_epoch("p", SETTINGS.owner_lease_duration) == 7
+    assert owner_lease.effect_epoch("p", SETTINGS.owner_lease_duration + 1) is None
+    first = owner_lease.session
+    owner_lease.on_renew_reply(
+        RenewReply(first, SETTINGS.owner_lease_duration), SETTINGS.owner_lease_duration + 2
+    )
+    assert owner_lease.session == Session("r", 1, 1) > first
+    assert owner_lease.effect_epoch("p", SETTINGS.owner_lease_duration + 3) is None
+    owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1 << 60), 5)  # a question that was never asked
+    assert owner_lease.lease_until == 0
 
 
 def test_fences_learn_forget_and_only_rise() -> None:
@@ -328,13 +330,13 @@
     assert fence.admit("p", 5)
     assert fence.admit("p", 5)
     assert not fence.admit("p", 4)
-    for number in range(MOST + 1):
+    for number in range(MAX_REMEMBERED_TASKS + 1):
         fence.admit(f"q{number}", 10)
     assert not fence.admit("p", 4)  # forgotten, and under the floor
     assert not fence.admit("p", 6)  # what is forgotten needs an epoch over all that was
     assert fence.admit("p", 11)
     fresh = Fence()
-    record = Record.empty()
-    fresh.learn(record)
+    assignments = Assignments.empty()
+    fresh.learn(assignments)
     assert fresh.admit("p", 1)
     assert fence.refused == 3
--- a/tests/owners/test_plan.py
+++ b/tests/owners/test_plan.py
@@ -37,11 +37,11 @@
     path, files = config(tmp_path), [features(tmp_path), written(tmp_path)]
     plan = load_config({"LB_CONFIG": str(path)}, files).owners
     assert plan is not None
-    assert (plan.voters, plan.folder, plan.pieces) == (("r1", "r2", "r3"), tmp_path, ("rollout",))
+    assert (plan.voters, plan.folder, plan.tasks) == (("r1", "r2", "r3"), tmp_path, ("rollout",))
     assert (
         plan.settings.raft.lease
         < plan.settings.raft.election_timeout
-        < plan.settings.own_lease
+        < plan.settings.owner_lease_duration
         < plan.settings.lease
     )
     assert check_file(path, files) == []
--- a/tests/owners/test_raft.py
+++ b/tests/owners/test_raft.py
@@ -223,7 +223,7 @@
 
 
 def test_a_learner_catches_up_by_a_snapshot_in_parts_that_is_made_anew_meanwhile() -> None:
-    cluster = led(spare=("d",))
+    cluster = led(duration=("d",))
     leader = cluster.nodes[cluster.leader()]
     for number in range(30):
         cluster.propose(b"%d" % number)
@@ -258,7 +258,7 @@
 
 
 def test_a_voter_is_exchanged_one_step_at_a_time_and_a_leader_may_leave() -> None:
-    cluster = led(spare=("d",))
+    cluster = led(duration=("d",))
     leader = cluster.nodes[cluster.leader()]
     now = cluster.clock(leader.name)
     with pytest.raises(ValueError, match="add or remove one voter only"):
--- a/tests/owners/test_sessions.py
+++ b/tests/owners/test_sessions.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from saltport.owners.assignments import Assignments, Session
+from saltport.owners.coordinator import Coordinator
 from saltport.owners.messages import Renew
-from saltport.owners.record import Record, Session
 from saltport.owners.sessions import Sessions
 from saltport.owners.settings import OwnerSettings
-from saltport.owners.steward import Steward
 
 FLEET = 1_600
 STEPS = st.lists(st.tuples(st.sampled_from("ab"), st.integers(0, 3), st.booleans()), max_size=30)
@@ -47,9 +47,9 @@
 
 
 def test_a_renewal_looks_at_the_sessions_of_its_own_router_only() -> None:
-    steward = Steward(Record.empty(), OwnerSettings(), 0)
-    steward._sessions = Unsearchable()
+    coordinator = Coordinator(Assignments.empty(), OwnerSettings(), 0)
+    coordinator._sessions = Unsearchable()
     for number in range(FLEET):
-        assert steward.renew(Renew(Session(f"r{number}", 1), 0, 0), 1)
-    assert steward.renew(Renew(Session("r7", 2), 0, 0), 3)
-    assert steward.renew(Renew(Session("r7", 1), 0, 0), 4) == [], "a process before the latest"
+        assert coordinator.renew(Renew(Session(f"r{number}", 1), 0, 0), 1)
+    assert coordinator.renew(Renew(Session("r7", 2), 0, 0), 3)
+    assert coordinator.renew(Renew(Session("r7", 1), 0, 0), 4) == [], "a process before the latest"
--- a/tests/owners/test_storage.py
+++ b/tests/owners/test_storage.py
@@ -23,9 +23,9 @@
 
 def begun(path: Path) -> Storage:
     storage = Storage(path, "a", VOTERS)
-    storage.keep(Vote(1, "a"), None, entries(1, 3))
-    storage.keep(None, None, entries(3, 4, term=2))
-    storage.keep(Vote(2, "b"), None, [])
+    storage.persist(Vote(1, "a"), None, entries(1, 3))
+    storage.persist(None, None, entries(3, 4, term=2))
+    storage.persist(Vote(2, "b"), None, [])
     return storage
 
 
@@ -38,7 +38,7 @@
     assert (again.is_new, again.boot_count, again.identity) == (False, 2, first.identity)
     assert again.vote == Vote(2, "b")
     assert [(entry.index, entry.term) for entry in again.log.entries] == [(1, 1), (2, 1), (3, 2), (4, 2)]
-    again.keep(None, Snapshot(3, 2, Configuration(VOTERS), b"state"), entries(4, 4, term=2))
+    again.persist(None, Snapshot(3, 2, Configuration(VOTERS), b"state"), entries(4, 4, term=2))
     again.close()
     last = Storage(path, "a", VOTERS)
     assert last.boot_count == 3
@@ -50,11 +50,11 @@
     path = tmp_path / "voter"
     storage = begun(path)
     whole = path.stat().st_size
-    storage.keep(Vote(3, "c"), None, entries(5, 6, term=3))
+    storage.persist(Vote(3, "c"), None, entries(5, 6, term=3))
     storage.close()
     os.truncate(path, whole + torn)
     again = Storage(path, "a", VOTERS)
-    assert again.cut_off == torn
+    assert again.torn_bytes == torn
     assert (again.vote, again.log.last_index) == (Vote(2, "b"), 4)
 
 
@@ -72,7 +72,7 @@
             refused += 1
         else:
             # The last record, or a length that reaches beyond the end: taken for torn.
-            assert held.cut_off > 0
+            assert held.torn_bytes > 0
             held.close()
     assert refused > 100
 
@@ -83,7 +83,7 @@
     first = begun(path)
     with pytest.raises(StorageBusyError, match="another process"):
         Storage(path, "a", VOTERS)
-    first.keep(Vote(9, "c"), None, [])
+    first.persist(Vote(9, "c"), None, [])
     first.close()
     assert Storage(path, "a", VOTERS).vote == Vote(9, "c")
 
@@ -91,10 +91,10 @@
 def test_a_file_of_another_voter_and_one_that_says_nothing_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "voter"
     begun(path).close()
-    with pytest.raises(StorageError, match="it is a's, and this is b"):
+    with pytest.raises(StorageError, match="belongs to voter a, but this voter is b"):
         Storage(path, "b", VOTERS)
     path.write_bytes(b"")
-    with pytest.raises(StorageError, match="whose it is"):
+    with pytest.raises(StorageError, match="header record is missing"):
         Storage(path, "a", VOTERS)
     with pytest.raises(StorageError, match="No such file"):
         Storage(tmp_path / "none" / "voter", "a", VOTERS)
@@ -111,10 +111,10 @@
 
     monkeypatch.setattr(os, "write", fails)
     with pytest.raises(StorageError, match=os.strerror(error)):
-        storage.keep(Vote(9), None, [])
+        storage.persist(Vote(9), None, [])
     monkeypatch.undo()
     with pytest.raises(StorageError, match="closed"):
-        storage.keep(Vote(9), None, [])
+        storage.persist(Vote(9), None, [])
 
 
 def test_an_old_copy_of_a_disk_is_noticed_by_whoever_saw_a_later_start() -> None:
--- a/tests/owners/world.py
+++ b/tests/owners/world.py
@@ -23,7 +23,7 @@
     snapshot: Snapshot
     entries: list[Entry] = field(default_factory=list)
 
-    def keep(self, vote: Vote | None, snapshot: Snapshot | None, entries: list[Entry]) -> None:
+    def persist(self, vote: Vote | None, snapshot: Snapshot | None, entries: list[Entry]) -> None:
         if vote is not None:
             self.vote = vote
         if snapshot is not None:
@@ -119,7 +119,7 @@
         node = self.nodes[name]
         ready = node.take_ready()
         vote = self.disks[name].vote
-        self.disks[name].keep(ready.vote, ready.snapshot, ready.entries)
+        self.disks[name].persist(ready.vote, ready.snapshot, ready.entries)
         if not self.stores_votes:
             self.disks[name].vote = vote
         self.flying += [(name, to, message) for to, message in ready.messages if to in self.disks]
