--- a/saltport/owners/__init__.py
+++ b/saltport/owners/__init__.py
@@ -1,1 +1,1 @@
-"""One owner at a time for the fleet's work: an agreed record, leases, epochs (docs/design/owners.md)."""
+"""One owner at a time for each fleet task, by a Raft log, leases and epochs (docs/design/owners.md)."""
--- a/saltport/owners/assignments.py
+++ b/saltport/owners/assignments.py
@@ -18,7 +18,7 @@
 
 
 class Session(Struct, frozen=True, array_like=True, order=True):
-    """An owner's session: its router, its process's start number, and how often that lost its lease."""
+    """An owner's session: its router, start number of its process, and how many of its leases lapsed."""
 
     name: str
     start: int
--- a/saltport/owners/link.py
+++ b/saltport/owners/link.py
@@ -178,15 +178,15 @@
         member.owner_lease.set_wanted([*self._plan.tasks, *self.wanted, *scheduler.wanted(ejected)])
         shift = time.monotonic_ns() - now  # the decision module uses the monotonic clock
         due = {server: at - shift for server, at in ejected.items()}
-        plan = scheduler.plan(due, not member.without_coordinator(now), now)
+        plan = scheduler.next_plan(due, not member.without_coordinator(now), now)
         for server, until in plan.postponed.items():
             self._servers.hold_trial(server, until + shift)
         for server in plan.starts:
             self._servers.begin_trial(server)
         for evidence in plan.evidence:
             data = trials.encode(evidence)
-            for assignments in list(self._peers.agent.members.live()):
-                self._peers.send_to(assignments.name, data)
+            for peer in list(self._peers.agent.members.live()):
+                self._peers.send_to(peer.name, data)
 
     def _on_datagram(self, sender: str, data: bytes) -> None:
         """Process a datagram from a live router."""
--- a/saltport/owners/raft.py
+++ b/saltport/owners/raft.py
@@ -181,7 +181,7 @@
     """Entries to store; they replace all stored entries from the first one's index on."""
     messages: list[tuple[str, Message]] = field(default_factory=list)
     restore: Snapshot | None = None
-    """Snapshot that replaces the whole state of the state machine."""
+    """Snapshot that replaces the complete state of the state machine."""
     committed: list[Entry] = field(default_factory=list)
 
 
--- a/saltport/owners/trials.py
+++ b/saltport/owners/trials.py
@@ -81,7 +81,7 @@
         """Return the names of the tasks for the trials of ejected servers."""
         return [PREFIX + server for server in ejected]
 
-    def plan(self, ejected: Mapping[str, int], has_coordinator: bool, now: int) -> Plan:
+    def next_plan(self, ejected: Mapping[str, int], has_coordinator: bool, now: int) -> Plan:
         """Return the actions that are due.
 
         `ejected`: the servers ejected at this router, and when their trials are due;
--- a/tests/owners/fleet.py
+++ b/tests/owners/fleet.py
@@ -1,4 +1,4 @@
-"""Routers and voters in virtual time: who may do what, effects that arrive late, what is applied of them."""
+"""Simulation of routers and voters in virtual time, with delayed effects; checks for one owner per task."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class TwoOwnersError(AssertionError):
-    """At one moment two processes might both have worked on one task."""
+    """Two processes might both work on one task at the same moment."""
 
 
 class Fleet:
-    """Members on one true clock; each has a clock of its own speed."""
+    """Members in virtual time, each with a clock of its own speed."""
 
     def __init__(
         self,
@@ -43,25 +43,25 @@
         first = Snapshot(0, 0, Configuration(self.voters))
         self.disks = {name: Disk(Vote(0), first) for name in self.voters}
         self.members: dict[str, Member] = {}
-        self.old: list[tuple[str, Member]] = []
-        """Processes of the same name that stand still beside a later one."""
+        self.paused_predecessors: list[tuple[str, Member]] = []
+        """Paused processes that run beside a later process of the same name."""
         self.stopped: dict[str, int] = {}
         self.starts = dict.fromkeys(self.names, 0)
         self.cut: Callable[[str, str], bool] = lambda here, there: False
         self.loss = 0.0
-        self.slow: Callable[[str, str], int] = lambda here, there: 0
+        self.extra_delay: Callable[[str, str], int] = lambda here, there: 0
         self.delay = (1_000_000, 8_000_000)
         self._events: list[tuple[int, int, str, str, bytes | None]] = []
         self._count = 0
         self.fenced = fenced
         self.fence = Fence()
         self.effects: list[tuple[int, str, int]] = []
-        """Applied, in their order: when, the task, the epoch."""
+        """Applied effects in order: time, task, epoch."""
         self.refused = 0
-        self._late: list[tuple[int, int, str, int]] = []
+        self._late_effects: list[tuple[int, int, str, int]] = []
         self.owned_since: dict[str, int] = {}
-        self.spells: list[int] = []
-        """How long tasks were nobody's."""
+        self.unowned_durations: list[int] = []
+        """Durations for which tasks had no owner."""
         self.checked = 0
         self.written = 0
         for name in self.names:
@@ -72,13 +72,13 @@
 
     def boot(self, name: str, fresh: bool = False) -> None:
         self.starts[name] += 1
-        kept = None
+        stored = None
         if name in self.voters:
             disk = self.disks[name]
-            kept = (Log(disk.snapshot, list(disk.entries)), disk.vote, False)
+            stored = (Log(disk.snapshot, list(disk.entries)), disk.vote, False)
         rng = random.Random(self.rng.getrandbits(32))
         now = self.clock(name)
-        member = self._member(name, self.starts[name], self.voters, self.settings, rng, now, kept)
+        member = self._member(name, self.starts[name], self.voters, self.settings, rng, now, stored)
         if fresh and member.raft is not None:
             member.raft._leader_contact_at -= self.settings.raft.election_timeout
         member.owner_lease.set_wanted(self.tasks)
@@ -96,13 +96,13 @@
         self._count += 1
         heapq.heappush(self._events, (at, self._count, to, sender, data))
 
-    def carry(self, name: str) -> None:
+    def perform_output(self, name: str) -> None:
         member = self.members[name]
-        work = member.take_output()
+        output = member.take_output()
         if name in self.disks:
-            self.written += work.vote is not None or bool(work.entries) or work.snapshot is not None
-            self.disks[name].persist(work.vote, work.snapshot, work.entries)
-        for to, message in work.messages:
+            self.written += output.vote is not None or bool(output.entries) or output.snapshot is not None
+            self.disks[name].persist(output.vote, output.snapshot, output.entries)
+        for to, message in output.messages:
             self._send(name, to, message)
 
     def _send(self, sender: str, to: str, message: Message) -> None:
@@ -111,7 +111,9 @@
         if to == sender:
             self._push(self.now, to, sender, data)
         elif self.rng.random() >= self.loss and not self.cut(sender, to):
-            self._push(self.now + self.slow(sender, to) + self.rng.randint(*self.delay), to, sender, data)
+            self._push(
+                self.now + self.extra_delay(sender, to) + self.rng.randint(*self.delay), to, sender, data
+            )
             if self.rng.random() < 0.02:
                 self._push(self.now + self.rng.randint(*self.delay) * 50, to, sender, data)
 
@@ -120,7 +122,7 @@
         while self._events and self._events[0][0] <= end:
             at, _, to, sender, data = heapq.heappop(self._events)
             self.now = max(at, self.now)
-            self._apply_late()
+            self._apply_late_effects()
             member = self.members.get(to)
             if member is None:
                 continue
@@ -132,49 +134,49 @@
                 member.tick(self.clock(to))
                 wait = max(member.wake_at - self.clock(to), 1_000_000)
                 self._push(self.now + int(wait / self.rates[to]) + 1, to, "", None)
-                self._work(to)
+                self._send_effects(to)
             else:
                 member.receive(sender, decode(data), self.clock(to))
-            self.carry(to)
+            self.perform_output(to)
             self.check()
         self.now = max(end, self.now)
 
     # Effects
 
-    def _work(self, name: str) -> None:
-        """Look at the lease, and send an effect that may take any time to arrive."""
+    def _send_effects(self, name: str) -> None:
+        """Check the lease, and send effects that may be delayed for long."""
         member = self.members[name]
         for task in self.tasks[:4]:
             epoch = member.owner_lease.effect_epoch(task, self.clock(name))
             if epoch is not None and self.rng.random() < 0.3:
                 delay = self.rng.choice([1, 5, 20, 5_000, 9_000]) * 1_000_000
                 self._count += 1
-                heapq.heappush(self._late, (self.now + delay, self._count, task, epoch))
+                heapq.heappush(self._late_effects, (self.now + delay, self._count, task, epoch))
 
-    def _apply_late(self) -> None:
-        while self._late and self._late[0][0] <= self.now:
-            at, _, task, epoch = heapq.heappop(self._late)
+    def _apply_late_effects(self) -> None:
+        while self._late_effects and self._late_effects[0][0] <= self.now:
+            at, _, task, epoch = heapq.heappop(self._late_effects)
             if not self.fenced or self.fence.admit(task, epoch):
                 self.effects.append((at, task, epoch))
             else:
                 self.refused += 1
 
     def applied_from_older(self) -> int:
-        """Effects that were applied after one of a later epoch of the same task."""
+        """Number of effects that were applied after one of a later epoch of the same task."""
         highest: dict[str, int] = {}
-        found = 0
+        count = 0
         for _, task, epoch in self.effects:
-            found += epoch < highest.get(task, 0)
+            count += epoch < highest.get(task, 0)
             highest[task] = max(epoch, highest.get(task, 0))
-        return found
+        return count
 
-    # What must hold
+    # Invariants
 
     def owners(self, task: str) -> list[str]:
-        """Who might begin an effect just now; who stands still too, as it may wake within its lease."""
+        """Members that may begin an effect now, with paused ones, which may resume within their lease."""
         return [
             name
-            for name, member in [*self.members.items(), *self.old]
+            for name, member in [*self.members.items(), *self.paused_predecessors]
             if member.owner_lease.effect_epoch(task, self.clock(name)) is not None
         ]
 
@@ -187,12 +189,12 @@
             if owners:
                 since = self.owned_since.pop(task, None)
                 if since is not None:
-                    self.spells.append(self.now - since)
+                    self.unowned_durations.append(self.now - since)
             else:
                 self.owned_since.setdefault(task, self.now)
 
     def leader(self) -> str:
-        return next((name for name, held in self.members.items() if held.coordinator is not None), "")
+        return next((name for name, member in self.members.items() if member.coordinator is not None), "")
 
     def all_owned(self) -> bool:
         return all(len(self.owners(task)) == 1 for task in self.tasks)
--- a/tests/owners/test_failing_disk.py
+++ b/tests/owners/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""A voter whose disk takes nothing for a while is no voter meanwhile, and votes again once the disk works."""
+"""A voter stops voting while its disk fails, and resumes once the disk works."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 @dataclass
 class Network:
-    """Carries the voters' messages within one loop."""
+    """Delivers the voters' messages within one event loop."""
 
     links: dict[str, Any]
 
@@ -78,17 +78,17 @@
     failing: set[str] = set()
     real: Any = getattr(os, call)
 
-    def may_fail(file: int, *more: Any) -> Any:
+    def fail_if_selected(file: int, *more: Any) -> Any:
         path = os.readlink(f"/proc/self/fd/{file}")
         if any(f"/{name}.voter" in path for name in failing):
             if call == "write":
-                real(file, more[0][: len(more[0]) // 2])  # half of it is there, as behind a kill
+                real(file, more[0][: len(more[0]) // 2])  # a partial write, as after a kill
             raise OSError(number, os.strerror(number))
         return real(file, *more)
 
-    monkeypatch.setattr(os, call, may_fail)
+    monkeypatch.setattr(os, call, fail_if_selected)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         network = Network({})
         plan = OwnersPlan(VOTERS, tmp_path, True, ("work",), False, OwnerSettings())
         loop = asyncio.get_running_loop()
@@ -97,17 +97,17 @@
         links = network.links
         await until("the work has an owner", lambda: owned("work", links))
         leader = next(name for name in VOTERS if links[name].member.coordinator is not None)
-        struck = leader if whose == "the leader's" else next(name for name in VOTERS if name != leader)
-        failing.add(struck)
-        other = next(name for name in VOTERS if name != struck)
+        failed = leader if whose == "the leader's" else next(name for name in VOTERS if name != leader)
+        failing.add(failed)
+        other = next(name for name in VOTERS if name != failed)
         links[other].member.owner_lease.set_wanted(["work", "more"])
-        await until("its disk fails", lambda: links[struck].trouble)
+        await until("its disk fails", lambda: links[failed].trouble)
         await asyncio.sleep(FAILS_S)
-        assert not votes(links[struck])
+        assert not votes(links[failed])
         failing.clear()
         await until("it votes again", lambda: all(votes(link) for link in links.values()))
         await until("more has an owner", lambda: owned("more", links))
         for link in links.values():
             await link.close()
 
-    uvloop.run(scene())
+    uvloop.run(scenario())
--- a/tests/owners/test_model.py
+++ b/tests/owners/test_model.py
@@ -1,4 +1,4 @@
-"""Random histories of ownership: whatever is done to whom in whatever order, one owner, and no old effect."""
+"""Random fault histories: each task has at most one owner, and no effect of an older epoch is applied."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Ownership(RuleBasedStateMachine):
-    """Five routers, three of them voters; two owners at a time raise in Fleet.check, at each event."""
+    """Five routers with three or five voters; Fleet.check raises after any event that leaves two owners."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -47,32 +47,32 @@
     def drain(self, name: str) -> None:
         if name in self.fleet.members and name not in self.fleet.stopped:
             self.fleet.members[name].resign(self.fleet.clock(name))
-            self.fleet.carry(name)
+            self.fleet.perform_output(name)
             self.fleet.run(0.1)
             self.fleet.crash(name)
 
     @rule(name=names, to=names)
-    def hand_over(self, name: str, to: str) -> None:
+    def hand_over_leadership(self, name: str, to: str) -> None:
         member = self.fleet.members.get(name)
         if member is not None and member.raft is not None and name not in self.fleet.stopped:
             member.raft.transfer_leadership(to, self.fleet.clock(name))
-            self.fleet.carry(name)
+            self.fleet.perform_output(name)
 
     @rule(here=names, there=names)
     def cut_one_way(self, here: str, there: str) -> None:
         self.cut.add((here, there))
 
     @rule(group=st.sets(names))
-    def part(self, group: set[str]) -> None:
+    def partition_network(self, group: set[str]) -> None:
         everyone = self.fleet.names
         self.cut |= {(a, b) for a in everyone for b in everyone if (a in group) != (b in group)}
 
     @rule(loss=st.floats(0, 0.5), slow=st.sampled_from([8, 900, 3_000]))
-    def strain(self, loss: float, slow: int) -> None:
+    def stress_network(self, loss: float, slow: int) -> None:
         self.fleet.loss, self.fleet.delay = loss, (1_000_000, slow * 1_000_000)
 
     @rule()
-    def mend(self) -> None:
+    def heal_network(self) -> None:
         self.cut.clear()
         self.fleet.loss, self.fleet.delay = 0.0, (1_000_000, 8_000_000)
 
@@ -80,14 +80,14 @@
     def epochs_only_rise(self) -> None:
         for member in self.fleet.members.values() if hasattr(self, "fleet") else ():
             if member.raft is not None and member.coordinator is not None:
-                for task, held in member.assignments.tasks.items():
-                    assert held.epoch >= self.epochs.get(task, 0)
-                    self.epochs[task] = held.epoch
+                for task, assignment in member.assignments.tasks.items():
+                    assert assignment.epoch >= self.epochs.get(task, 0)
+                    self.epochs[task] = assignment.epoch
 
     def teardown(self) -> None:
         if not hasattr(self, "fleet"):
             return
-        self.mend()
+        self.heal_network()
         for name in self.fleet.names:
             if name not in self.fleet.members:
                 self.fleet.boot(name)
--- a/tests/owners/test_owners.py
+++ b/tests/owners/test_owners.py
@@ -1,4 +1,4 @@
-"""One owner at a time: pauses, deaths, cuts, delays, hand-overs; late effects; planted defects."""
+"""One owner at a time: pauses, crashes, partitions, delays, transfers, late effects and planted defects."""
 
 from __future__ import annotations
 
@@ -24,15 +24,15 @@
 LEASE_S = SETTINGS.lease / S
 
 
-def owned(count: int = 5, **more: object) -> Fleet:
+def fleet_with_owners(count: int = 5, **more: object) -> Fleet:
     fleet = Fleet(count, **more)  # type: ignore[arg-type]
     fleet.until_owned()
     fleet.run(3)
     return fleet
 
 
-def storm(fleet: Fleet, seed: int, seconds: float) -> None:
-    """Stops, crashes, one-sided cuts, partitions and losses, as a seed draws them; raises TwoOwnersError."""
+def inject_faults(fleet: Fleet, seed: int, seconds: float) -> None:
+    """Random pauses, crashes, one-way cuts, partitions and message losses; raises TwoOwnersError."""
     rng, end = random.Random(seed), fleet.now + int(seconds * S)
     while fleet.now < end:
         name = rng.choice(fleet.names)
@@ -66,23 +66,23 @@
 
 @pytest.mark.parametrize("seed", range(10))
 def test_never_two_owners_and_never_an_effect_of_an_older_epoch(seed: int) -> None:
-    fleet = owned(5, voters=3 if seed % 2 else 5, seed=seed, tasks=3)
-    storm(fleet, seed, 120)
+    fleet = fleet_with_owners(5, voters=3 if seed % 2 else 5, seed=seed, tasks=3)
+    inject_faults(fleet, seed, 120)
     fleet.run(10)
     fleet.until_owned()
     assert fleet.applied_from_older() == 0
-    assert fleet.refused > 0  # there was something to refuse
+    assert fleet.refused > 0  # the fence had late effects to refuse
     assert fleet.effects
 
 
 def test_without_fences_late_effects_of_old_owners_are_applied() -> None:
-    fleet = owned(5, seed=3, tasks=3, fenced=False)
-    storm(fleet, 3, 120)
+    fleet = fleet_with_owners(5, seed=3, tasks=3, fenced=False)
+    inject_faults(fleet, 3, 120)
     assert fleet.applied_from_older() > 0
 
 
-class _FromAnswer(Member):
-    """A planted defect: the lease counts from when the answer came."""
+class _LeaseFromReply(Member):
+    """Planted defect: the lease counts from the arrival of the reply."""
 
     def receive(self, sender: str, message: object, now: int) -> None:
         if isinstance(message, RenewReply):
@@ -90,8 +90,8 @@
         super().receive(sender, message, now)  # type: ignore[arg-type]
 
 
-class _Hasty(Member):
-    """A planted defect: a new leader does not wait for leases that another gave."""
+class _NoLeaseWait(Member):
+    """Planted defect: a new leader does not wait for the leases of its predecessor to expire."""
 
     def tick(self, now: int) -> None:
         super().tick(now)
@@ -102,22 +102,22 @@
 def test_a_planted_defect_of_a_new_leader_makes_two_owners() -> None:
     def storms() -> None:
         for seed in range(40):
-            fleet = Fleet(5, seed=seed, tasks=3, member=_Hasty)
+            fleet = Fleet(5, seed=seed, tasks=3, member=_NoLeaseWait)
             fleet.run(6)
-            storm(fleet, seed, 120)
+            inject_faults(fleet, seed, 120)
 
     with pytest.raises(TwoOwnersError):
         storms()
 
 
-@pytest.mark.parametrize(("member", "breaks"), [(Member, False), (_FromAnswer, True)])
+@pytest.mark.parametrize(("member", "breaks"), [(Member, False), (_LeaseFromReply, True)])
 def test_answers_that_take_long_lengthen_no_lease(member: type[Member], breaks: bool) -> None:
-    """The coordinator's answers to one owner take 2 s; then nothing of that owner arrives any more."""
+    """The coordinator's replies to one owner take 2 s; then nothing from that owner arrives any more."""
 
     def scene() -> None:
-        fleet = owned(5, voters=3, tasks=6, member=member)
-        name = next(held for held in fleet.names if held not in fleet.voters)
-        fleet.slow = lambda here, there: 2 * S if there == name else 0
+        fleet = fleet_with_owners(5, voters=3, tasks=6, member=member)
+        name = next(other for other in fleet.names if other not in fleet.voters)
+        fleet.extra_delay = lambda here, there: 2 * S if there == name else 0
         fleet.run(8)
         fleet.cut = lambda here, there: here == name
         fleet.run(12)
@@ -130,7 +130,7 @@
 
 
 def test_an_owner_that_dies_is_followed_within_twice_its_lease() -> None:
-    fleet = owned(6, tasks=8)
+    fleet = fleet_with_owners(6, tasks=8)
     times = []
     for _ in range(12):
         name = next(iter(fleet.owners(fleet.rng.choice(fleet.tasks))))
@@ -138,11 +138,11 @@
         times.append(fleet.until_owned())
         fleet.boot(name)
         fleet.run(4)
-    assert max(times) < 2 * LEASE_S + 1.5  # where the dead one also led, an election comes first
+    assert max(times) < 2 * LEASE_S + 1.5  # an election comes first where the crashed owner also led
     assert sorted(times)[6] < 1.3 * LEASE_S
 
 
-TOLD_BY_A_CHILD = """
+HISTORY_PROGRAM = """
 from tests.owners.fleet import Fleet
 fleet = Fleet(6, tasks=8)
 for name in ["", "r3", "r0", "r5", "r1"]:
@@ -151,15 +151,15 @@
     if name:
         fleet.boot(name)
     fleet.run(4)
-print(fleet.effects[-200:], fleet.spells, fleet.now)
+print(fleet.effects[-200:], fleet.unowned_durations, fleet.now)
 """
 
 
 def test_one_seed_gives_one_history_in_each_process() -> None:
-    """Danger: sets of names have another order in each process, and so had what was asked back first."""
+    """Danger: a set of names once made the order of recalls differ between processes."""
     children = [
         subprocess.Popen(
-            [sys.executable, "-c", TOLD_BY_A_CHILD],
+            [sys.executable, "-c", HISTORY_PROGRAM],
             env={**os.environ, "PYTHONHASHSEED": hash_seed},
             cwd=Path(__file__).parents[2],
             stdout=subprocess.PIPE,
@@ -176,7 +176,7 @@
 
 
 def test_a_stopped_owner_wakes_up_late_and_holds_nothing() -> None:
-    fleet = owned(5, tasks=1)
+    fleet = fleet_with_owners(5, tasks=1)
     old = fleet.owners("p0")[0]
     fleet.stop(old, 20)
     epoch = fleet.members[old].owner_lease.tasks["p0"]
@@ -185,42 +185,42 @@
     assert new != old
     fleet.run(10)
     assert fleet.members[old].owner_lease.lapses == 1
-    assignments = next(held.assignments for held in fleet.members.values() if held.raft is not None)
+    assignments = next(member.assignments for member in fleet.members.values() if member.raft is not None)
     assert assignments.tasks["p0"].epoch > epoch
 
 
-def test_a_drain_gives_work_back_at_once_and_leadership_too() -> None:
-    fleet = owned(5, tasks=8)
+def test_a_drain_returns_tasks_and_leadership_at_once() -> None:
+    fleet = fleet_with_owners(5, tasks=8)
     name = fleet.leader()
     member = fleet.members[name]
     member.resign(fleet.clock(name))
-    fleet.carry(name)
+    fleet.perform_output(name)
     assert not member.owner_lease.tasks
     begun = fleet.now
     fleet.run(0.2)
     fleet.crash(name)
     fleet.until_owned()
-    assert fleet.now - begun < 1.5 * SETTINGS.lease  # no lease, and no election time, was waited out
+    assert fleet.now - begun < 1.5 * SETTINGS.lease  # no wait for a lease or an election timeout
 
 
-def test_a_leader_that_is_cut_off_keeps_nothing_going_and_clients_of_the_majority_go_on() -> None:
-    fleet = owned(5, voters=3, tasks=6)
+def test_a_cut_off_leader_owns_nothing_after_its_lease_and_the_majority_continues() -> None:
+    fleet = fleet_with_owners(5, voters=3, tasks=6)
     leader = fleet.leader()
     fleet.cut = lambda here, there: leader in (here, there)
-    # It answers itself for as long as its lead is certain, and holds for a lease from then on.
+    # It answers its own renewals while its leader lease lasts, and then keeps its tasks for one owner lease.
     fleet.run(LEASE_S + SETTINGS.raft.election_timeout / S)
     assert all(leader not in fleet.owners(task) for task in fleet.tasks)
     fleet.run(3 * LEASE_S)
     fleet.until_owned()
 
 
-def test_without_a_majority_what_runs_ends_with_its_lease_and_nothing_new_is_owned() -> None:
-    fleet = owned(5, voters=3, tasks=4)
+def test_without_a_majority_leases_expire_and_nothing_new_is_owned() -> None:
+    fleet = fleet_with_owners(5, voters=3, tasks=4)
     for name in fleet.voters[:2]:
         fleet.crash(name)
     fleet.run(LEASE_S + 2)
     assert all(not fleet.owners(task) for task in fleet.tasks)
-    assert all(held.without_coordinator(fleet.clock(name)) for name, held in fleet.members.items())
+    assert all(member.without_coordinator(fleet.clock(name)) for name, member in fleet.members.items())
     fleet.run(30)
     assert all(not fleet.owners(task) for task in fleet.tasks)
     for name in fleet.voters[:2]:
@@ -228,7 +228,7 @@
     fleet.until_owned()
 
 
-def test_a_thousand_pieces_cost_the_log_nothing_while_they_are_renewed() -> None:
+def test_renewals_of_a_thousand_tasks_cost_the_log_nothing() -> None:
     fleet = Fleet(6, tasks=1_000, settings=OwnerSettings(moves_per_s=200))
     fleet.until_owned(120)
     fleet.run(15)
@@ -242,13 +242,15 @@
     took = fleet.until_owned(120)
     assert took < 3 * LEASE_S
     fleet.boot(victim)
-    held = {name: dict(member.owner_lease.tasks) for name, member in fleet.members.items()}
+    before_join = {name: dict(member.owner_lease.tasks) for name, member in fleet.members.items()}
     fleet.run(1)
-    moved = sum(task not in fleet.members[n].owner_lease.tasks for n, tasks in held.items() for task in tasks)
-    assert moved <= 400  # a join moves some at a time
+    moved = sum(
+        task not in fleet.members[n].owner_lease.tasks for n, tasks in before_join.items() for task in tasks
+    )
+    assert moved <= 400  # a join moves few tasks at a time
 
 
-def test_who_should_have_a_piece_is_weighed_once_for_each_set_of_live_routers(
+def test_preferred_owners_are_computed_once_for_each_set_of_live_routers(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     weighed: list[tuple[str, str]] = []
@@ -257,7 +259,7 @@
         weighed.append((task, name))
         return weight(task, name)
 
-    fleet = owned(4, tasks=20)
+    fleet = fleet_with_owners(4, tasks=20)
     monkeypatch.setattr(coordinator, "weight", counted)
     fleet.run(5)
     assert not weighed
@@ -271,9 +273,9 @@
     assert all(len(fleet.owners(task)) == 1 for task in fleet.tasks)
 
 
-def test_a_piece_that_nobody_wants_is_dropped_and_its_epoch_never_comes_again() -> None:
+def test_an_unwanted_task_is_removed_and_its_epoch_is_never_reused() -> None:
     settings = OwnerSettings(unwanted_timeout=5 * S)
-    fleet = owned(4, tasks=2, settings=settings)
+    fleet = fleet_with_owners(4, tasks=2, settings=settings)
     epoch = max(m.owner_lease.tasks.get("p1", 0) for m in fleet.members.values())
     for member in fleet.members.values():
         member.owner_lease.set_wanted(["p0"])
@@ -286,7 +288,7 @@
     assert max(m.owner_lease.tasks.get("p1", 0) for m in fleet.members.values()) > epoch
 
 
-def test_a_row_that_was_under_way_brings_nothing_back() -> None:
+def test_a_delayed_message_restores_no_returned_task() -> None:
     owner_lease = OwnerLease("r", 1, SETTINGS, 0)
     owner_lease.tick(1)
     owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1), 2)
@@ -297,9 +299,9 @@
     owner_lease.return_task("p")
     owner_lease.add_assigned(row)
     assert owner_lease.effect_epoch("p", 3) is None
-    told = owner_lease.tick(SETTINGS.renew_interval + 5)
-    assert told is not None
-    assert told.returned == ("p",)
+    renewal = owner_lease.tick(SETTINGS.renew_interval + 5)
+    assert renewal is not None
+    assert renewal.returned == ("p",)
     owner_lease.add_assigned(AssignedTasks(owner_lease.session, (("p", 9),)))
     assert owner_lease.effect_epoch("p", 3) == 9
     session = owner_lease.resign()
@@ -308,7 +310,7 @@
     assert owner_lease.effect_epoch("q", SETTINGS.renew_interval + 7) is None
 
 
-def test_a_lease_counts_from_its_question_and_never_comes_back() -> None:
+def test_a_lease_counts_from_its_renewal_and_never_resumes() -> None:
     owner_lease = OwnerLease("r", 1, SETTINGS, 0)
     owner_lease.tick(1)
     owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1), SETTINGS.owner_lease_duration - 5)
@@ -321,7 +323,7 @@
     )
     assert owner_lease.session == Session("r", 1, 1) > first
     assert owner_lease.effect_epoch("p", SETTINGS.owner_lease_duration + 3) is None
-    owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1 << 60), 5)  # a question that was never asked
+    owner_lease.on_renew_reply(RenewReply(owner_lease.session, 1 << 60), 5)  # a renewal that was never sent
     assert owner_lease.lease_until == 0
 
 
@@ -332,8 +334,8 @@
     assert not fence.admit("p", 4)
     for number in range(MAX_REMEMBERED_TASKS + 1):
         fence.admit(f"q{number}", 10)
-    assert not fence.admit("p", 4)  # forgotten, and under the floor
-    assert not fence.admit("p", 6)  # what is forgotten needs an epoch over all that was
+    assert not fence.admit("p", 4)  # forgotten, so the minimum epoch applies
+    assert not fence.admit("p", 6)  # a forgotten task needs an epoch above all forgotten ones
     assert fence.admit("p", 11)
     fresh = Fence()
     assignments = Assignments.empty()
--- a/tests/owners/test_plan.py
+++ b/tests/owners/test_plan.py
@@ -1,4 +1,4 @@
-"""Configuration of ownership: what is refused, in a line each; and that off means not imported."""
+"""Settings of ownership: invalid ones are refused, and nothing is imported while ownership is off."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 }
 
 
-def written(into: Path, **more: str) -> Path:
-    rows = {**GOOD, **more}
+def written(into: Path, **changes: str) -> Path:
+    rows = {**GOOD, **changes}
     text = "[owners]\n" + "".join(f"{name} = {value}\n" for name, value in rows.items())
     path = into / "owners.toml"
     path.write_text(text.replace("{folder}", str(into)))
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize(
-    ("more", "words"),
+    ("changes", "words"),
     [
         ({"voters": '["r1", "r2"]'}, "three or five names"),
         ({"voters": '["r1", "r2", "r3", "r4"]'}, "three or five names"),
@@ -61,14 +61,16 @@
         ({"voters": "3"}, "expected a list of routers' names"),
     ],
 )
-def test_what_can_not_be_is_told(tmp_path: Path, more: dict[str, str], words: str) -> None:
-    path, files = config(tmp_path), [features(tmp_path), written(tmp_path, **more)]
+def test_invalid_settings_are_refused_with_a_reason(
+    tmp_path: Path, changes: dict[str, str], words: str
+) -> None:
+    path, files = config(tmp_path), [features(tmp_path), written(tmp_path, **changes)]
     with pytest.raises(ConfigError, match=words):
         load_config({"LB_CONFIG": str(path)}, files)
     assert any(words in fault.reason for fault in check_file(path, files))
 
 
-def test_it_stands_on_peers(tmp_path: Path) -> None:
+def test_ownership_requires_peers(tmp_path: Path) -> None:
     with pytest.raises(ConfigError, match=r"needs peers\.on"):
         load_config({"LB_CONFIG": str(config(tmp_path))}, [written(tmp_path)])
 
--- a/tests/owners/test_raft.py
+++ b/tests/owners/test_raft.py
@@ -1,4 +1,4 @@
-"""The agreed record: random walks and a search over all orders of small worlds; planted defects are found."""
+"""Raft under random walks and an exhaustive search of small clusters, which both find planted defects."""
 
 from __future__ import annotations
 
@@ -18,29 +18,29 @@
     Role,
     TimeoutNow,
 )
-from tests.owners.world import SETTINGS, START, BriefRandom, BrokenError, Cluster, with_settings
+from tests.owners.world import SETTINGS, START, Cluster, CompactRandom, InvariantError, with_settings
 
 
-def led(**more: object) -> Cluster:
+def cluster_with_leader(**more: object) -> Cluster:
     cluster = Cluster(**more)  # type: ignore[arg-type]
     cluster.run(6)
     assert cluster.leader()
     return cluster
 
 
-def walk(cluster: Cluster, seed: int, steps: int) -> None:
-    """Random orders, losses, doubles, delays, crashes, hand-overs and pauses; raises BrokenError."""
+def random_walk(cluster: Cluster, seed: int, steps: int) -> None:
+    """Random reordering, loss, duplicates, delays, crashes, transfers and pauses; raises InvariantError."""
     rng = random.Random(seed)
     names = sorted(cluster.disks)
     number = 0
     for _ in range(steps):
         roll = rng.random()
         alive = sorted(cluster.nodes)
-        if cluster.flying and roll < 0.62:
-            place = min(int(rng.expovariate(0.5)), len(cluster.flying) - 1)
+        if cluster.in_flight and roll < 0.62:
+            place = min(int(rng.expovariate(0.5)), len(cluster.in_flight) - 1)
             cluster.deliver(place, keep=rng.random() < 0.04)
-        elif cluster.flying and roll < 0.67:
-            del cluster.flying[rng.randrange(len(cluster.flying))]
+        elif cluster.in_flight and roll < 0.67:
+            del cluster.in_flight[rng.randrange(len(cluster.in_flight))]
         elif roll < 0.87 and alive:
             cluster.now += rng.choice([1, 10, 60, 200, 900, 2_500]) * 1_000_000
             cluster.check_leases()
@@ -50,24 +50,24 @@
             leaders = [name for name in alive if cluster.nodes[name].role is Role.LEADER]
             for name in leaders:
                 cluster.nodes[name].propose(b"%d" % number, cluster.clock(name))
-                cluster.drive(name)
+                cluster.perform_output(name)
         elif roll < 0.95 and alive:
             name, to = rng.choice(alive), rng.choice(names)
             cluster.nodes[name].transfer_leadership(to, cluster.clock(name))
-            cluster.drive(name)
+            cluster.perform_output(name)
         elif roll < 0.975 and alive:
             cluster.crash(rng.choice(alive))
         else:
             for name in names:
                 if name not in cluster.nodes and rng.random() < 0.7:
                     cluster.boot(name)
-                    cluster.drive(name)
-        if len(cluster.flying) > 60:
-            del cluster.flying[:20]
+                    cluster.perform_output(name)
+        if len(cluster.in_flight) > 60:
+            del cluster.in_flight[:20]
 
 
 def settle(cluster: Cluster) -> None:
-    """All come back and hear each other: somebody leads at last, and all have the same."""
+    """Boot all members and let them communicate: one leads, and all apply the same entries."""
     for name in cluster.disks:
         if name not in cluster.nodes:
             cluster.boot(name)
@@ -75,8 +75,8 @@
     assert cluster.leader()
     assert cluster.propose(b"end")
     cluster.run(3)
-    ends = {tuple(data for data in held if data) for held in cluster.applied.values()}
-    assert {held[-1] for held in ends} == {b"end"}
+    ends = {tuple(data for data in applied if data) for applied in cluster.applied.values()}
+    assert {applied[-1] for applied in ends} == {b"end"}
 
 
 @pytest.mark.parametrize("seed", range(24))
@@ -85,7 +85,7 @@
     rng = random.Random(seed)
     rates = {name: rng.uniform(0.98, 1.02) for name in voters}
     cluster = Cluster(voters, seed, rates=rates)
-    walk(cluster, seed, 1_500)
+    random_walk(cluster, seed, 1_500)
     settle(cluster)
 
 
@@ -95,7 +95,7 @@
     cluster.run(6)
     rng = random.Random(seed)
     for _ in range(12):
-        # Two of five are forgotten at a time at most: that is what such voters bear.
+        # Five voters tolerate that at max_states two at a time lose their state.
         gone = rng.sample(sorted(cluster.disks), rng.randint(1, 2))
         cluster.propose(b"%d" % rng.randrange(1_000))
         for name in gone:
@@ -109,14 +109,14 @@
 
 
 def test_two_of_three_voters_without_a_disk_lost_together_wait_for_an_operator() -> None:
-    cluster = led(forgets=True)
+    cluster = cluster_with_leader(forgets=True)
     cluster.propose(b"kept")
     cluster.run(1)
     for name in ("a", "b"):
         cluster.crash(name)
         cluster.boot(name)
     cluster.run(30)
-    assert not cluster.leader()  # better nobody than somebody who has forgotten
+    assert not cluster.leader()  # no leader is better than one without the committed entries
     assert {cluster.nodes[name].role for name in ("a", "b")} == {Role.RECOVERING}
 
 
@@ -130,15 +130,15 @@
 def test_planted_defects_break_random_walks(name: str) -> None:
     def walks() -> None:
         for seed in range(400):
-            walk(Cluster(seed=seed, **FAULTS[name]), seed, 800)  # type: ignore[arg-type]
+            random_walk(Cluster(seed=seed, **FAULTS[name]), seed, 800)  # type: ignore[arg-type]
 
-    with pytest.raises(BrokenError):
+    with pytest.raises(InvariantError):
         walks()
 
 
-def flapping(pre_vote: bool) -> int:
-    """Terms used up while one voter is cut off every now and then."""
-    cluster = led(settings=with_settings(pre_vote=pre_vote))
+def terms_used_by_flapping(pre_vote: bool) -> int:
+    """Number of terms that pass while one voter is cut off repeatedly."""
+    cluster = cluster_with_leader(settings=with_settings(pre_vote=pre_vote))
     leader = cluster.leader()
     other = next(name for name in cluster.nodes if name != leader)
     before = cluster.nodes[leader].term
@@ -149,12 +149,12 @@
 
 
 def test_a_voter_that_flaps_raises_no_terms() -> None:
-    assert flapping(pre_vote=True) == 0
-    assert flapping(pre_vote=False) >= 10
+    assert terms_used_by_flapping(pre_vote=True) == 0
+    assert terms_used_by_flapping(pre_vote=False) >= 10
 
 
 def test_a_leader_that_can_send_and_hears_nothing_steps_down() -> None:
-    cluster = led()
+    cluster = cluster_with_leader()
     leader = cluster.leader()
     deaf = {(name, leader) for name in cluster.nodes if name != leader}
     cluster.run(12, cut=deaf)
@@ -163,7 +163,7 @@
 
 
 def test_a_leader_that_hears_and_can_not_send_is_replaced_once_its_lease_is_over() -> None:
-    cluster = led()
+    cluster = cluster_with_leader()
     leader = cluster.leader()
     mute = {(leader, name) for name in cluster.nodes if name != leader}
     cluster.run(12, cut=mute)
@@ -171,69 +171,69 @@
 
 
 def test_a_leader_in_the_minority_stops_and_what_it_took_meanwhile_is_void() -> None:
-    cluster = led(voters=("a", "b", "c", "d", "e"))
+    cluster = cluster_with_leader(voters=("a", "b", "c", "d", "e"))
     old = cluster.leader()
     friend = next(name for name in cluster.nodes if name != old)
     small = {old, friend}
     cut = {(a, b) for a in cluster.nodes for b in cluster.nodes if (a in small) != (b in small)}
     cluster.nodes[old].propose(b"lost", cluster.clock(old))
-    cluster.drive(old)
+    cluster.perform_output(old)
     cluster.run(8, cut=cut)
     assert cluster.leader() not in ("", *small)
     assert cluster.propose(b"kept")
     cluster.run(8, cut=cut)
     cluster.run(8)
-    assert {tuple(held[1:]) for held in cluster.applied.values()} != set()
-    assert all(b"lost" not in held and held[-1] == b"kept" for held in cluster.applied.values())
+    assert {tuple(applied[1:]) for applied in cluster.applied.values()} != set()
+    assert all(b"lost" not in applied and applied[-1] == b"kept" for applied in cluster.applied.values())
 
 
-def test_leadership_is_handed_over_without_a_spell() -> None:
-    cluster = led()
+def test_a_leadership_transfer_needs_no_election_timeout() -> None:
+    cluster = cluster_with_leader()
     old = cluster.leader()
-    heir = next(name for name in cluster.nodes if name != old)
+    target = next(name for name in cluster.nodes if name != old)
     begun = cluster.now
-    assert cluster.nodes[old].transfer_leadership(heir, cluster.clock(old))
+    assert cluster.nodes[old].transfer_leadership(target, cluster.clock(old))
     assert cluster.nodes[old].lease_until() == 0
     assert cluster.nodes[old].propose(b"late", cluster.clock(old)) is None
-    cluster.drive(old)
+    cluster.perform_output(old)
     cluster.run(0.3)
-    assert cluster.leader() == heir
+    assert cluster.leader() == target
     assert cluster.now - begun < SETTINGS.election_timeout
-    assert not cluster.nodes[heir].transfer_leadership("nobody", cluster.clock(heir))
+    assert not cluster.nodes[target].transfer_leadership("nobody", cluster.clock(target))
 
 
-def test_a_hand_over_that_fails_never_gives_the_lease_back_in_its_term() -> None:
-    """Its word may arrive at any later time, and then another leads."""
-    cluster = led()
+def test_a_failed_leadership_transfer_never_restores_the_lease_in_its_term() -> None:
+    """TimeoutNow may arrive at any later time and make another voter leader."""
+    cluster = cluster_with_leader()
     old = cluster.leader()
-    heir = next(name for name in cluster.nodes if name != old)
+    target = next(name for name in cluster.nodes if name != old)
     node = cluster.nodes[old]
     term = node.term
-    node.transfer_leadership(heir, cluster.clock(old))
-    cluster.drive(old)
-    held = [entry for entry in cluster.flying if isinstance(entry[2], TimeoutNow)]
-    cluster.flying = [entry for entry in cluster.flying if not isinstance(entry[2], TimeoutNow)]
+    node.transfer_leadership(target, cluster.clock(old))
+    cluster.perform_output(old)
+    delayed = [entry for entry in cluster.in_flight if isinstance(entry[2], TimeoutNow)]
+    cluster.in_flight = [entry for entry in cluster.in_flight if not isinstance(entry[2], TimeoutNow)]
     cluster.run(8)
-    assert held
+    assert delayed
     assert cluster.leader()
     assert cluster.nodes[cluster.leader()].term > term
-    cluster.flying += held
+    cluster.in_flight += delayed
     cluster.run(2)
     assert cluster.leader()
 
 
 def test_a_learner_catches_up_by_a_snapshot_in_parts_that_is_made_anew_meanwhile() -> None:
-    cluster = led(duration=("d",))
+    cluster = cluster_with_leader(spare=("d",))
     leader = cluster.nodes[cluster.leader()]
     for number in range(30):
         cluster.propose(b"%d" % number)
     cluster.run(2)
     leader.compact(b"x" * 1_000)
-    cluster.drive(leader.name)
+    cluster.perform_output(leader.name)
     leader.change_configuration(
         Configuration(leader.configuration.voters, ("d",)), cluster.clock(leader.name)
     )
-    cluster.drive(leader.name)
+    cluster.perform_output(leader.name)
     with pytest.raises(ValueError, match=r"not committed yet|not caught up"):
         leader.change_configuration(
             Configuration((*leader.configuration.voters, "d")), cluster.clock(leader.name)
@@ -245,20 +245,20 @@
     cluster.propose(b"more")
     cluster.run(0.02)
     leader.compact(b"y" * 2_000)
-    cluster.drive(leader.name)
+    cluster.perform_output(leader.name)
     cluster.run(5)
     assert cluster.nodes["d"].last_applied == leader.last_applied
     assert cluster.applied["d"][0] in (b"x" * 1_000, b"y" * 2_000)
     leader.change_configuration(
         Configuration((*leader.configuration.voters, "d")), cluster.clock(leader.name)
     )
-    cluster.drive(leader.name)
+    cluster.perform_output(leader.name)
     cluster.run(3)
     assert cluster.nodes["d"].configuration.voters == (*"abc", "d")
 
 
 def test_a_voter_is_exchanged_one_step_at_a_time_and_a_leader_may_leave() -> None:
-    cluster = led(duration=("d",))
+    cluster = cluster_with_leader(spare=("d",))
     leader = cluster.nodes[cluster.leader()]
     now = cluster.clock(leader.name)
     with pytest.raises(ValueError, match="add or remove one voter only"):
@@ -269,9 +269,9 @@
         leader.change_configuration(Configuration(("a", "b", "c", "d")), now)
     rest = tuple(name for name in "abc" if name != leader.name)
     assert leader.change_configuration(Configuration(rest), now) is not None
-    with pytest.raises(ValueError, match="not committed yet"):  # two exchanges at once
+    with pytest.raises(ValueError, match="not committed yet"):  # two changes at once
         leader.change_configuration(Configuration(rest[:1]), now)
-    cluster.drive(leader.name)
+    cluster.perform_output(leader.name)
     cluster.run(8)
     assert cluster.leader() in rest
     assert cluster.nodes[leader.name].role is not Role.LEADER
@@ -279,7 +279,7 @@
 
 
 def test_all_voters_started_at_once_lose_nothing() -> None:
-    cluster = led()
+    cluster = cluster_with_leader()
     for number in range(5):
         cluster.propose(b"%d" % number)
     cluster.run(1)
@@ -287,60 +287,62 @@
         cluster.crash(name)
     for name in cluster.disks:
         cluster.boot(name)
-    cluster.flying.clear()
+    cluster.in_flight.clear()
     begun = cluster.now
     cluster.run(0.9 * SETTINGS.election_timeout / 1e9)
-    assert not cluster.leader()  # whatever they had promised is waited out
+    assert not cluster.leader()  # leases granted before the restart are waited out
     cluster.run(8)
     assert cluster.leader()
     assert cluster.now - begun < 10 * SETTINGS.election_timeout
     assert [data for data in cluster.applied["a"] if data] == [b"%d" % number for number in range(5)]
 
 
-Act = Callable[[Cluster], None]
+Action = Callable[[Cluster], None]
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """Of a search: how far, and who may do what."""
+    """Limits of a search and of the actions in it."""
 
     depth: int
     crashes: int
     hops: int
-    """How often time passes until somebody wakes."""
-    most: int
+    """How often time may pass until a member wakes."""
+    max_states: int
     sleepers: str = "abc"
     fragile: str = "abc"
     only: tuple[type, ...] = (object,)
-    """Of messages; the others are lost."""
-    ends: str = "abc"
-    """Messages from or to these arrive; the others are lost."""
+    """Types of messages that are delivered; others are lost."""
+    endpoints: str = "abc"
+    """Messages from or to these members are delivered; others are lost."""
 
 
-def acts(cluster: Cluster, crashes: int, hops: int, bounds: Bounds) -> Iterator[tuple[str, Act]]:
+def actions(cluster: Cluster, crashes: int, hops: int, bounds: Bounds) -> Iterator[tuple[str, Action]]:
     seen = set()
-    for place, held in enumerate(cluster.flying):
-        heard = isinstance(held[2], bounds.only) and (held[0] in bounds.ends or held[1] in bounds.ends)
-        if heard and repr(held) not in seen:
-            seen.add(repr(held))
-            yield f"deliver {held}", lambda world, place=place: world.deliver(place)  # type: ignore[misc]
+    for place, envelope in enumerate(cluster.in_flight):
+        is_delivered = isinstance(envelope[2], bounds.only) and (
+            envelope[0] in bounds.endpoints or envelope[1] in bounds.endpoints
+        )
+        if is_delivered and repr(envelope) not in seen:
+            seen.add(repr(envelope))
+            yield f"deliver {envelope}", lambda world, place=place: world.deliver(place)  # type: ignore[misc]
     if hops:
-        yield "time passes", let_pass
+        yield "time passes", pass_time
     for name, node in sorted(cluster.nodes.items()):
         if hops and node.term < 3 and name in bounds.sleepers:
-            yield f"time for {name}", lambda world, name=name: time_for(world, name)  # type: ignore[misc]
+            yield f"time for {name}", lambda world, name=name: wake_when_due(world, name)  # type: ignore[misc]
         if crashes and name in bounds.fragile:
             yield f"restart {name}", lambda world, name=name: restart(world, name)  # type: ignore[misc]
 
 
-def let_pass(cluster: Cluster) -> None:
-    """An election time without anybody's turn: all are stopped together."""
+def pass_time(cluster: Cluster) -> None:
+    """Let an election timeout pass while all members are paused."""
     cluster.now += SETTINGS.election_timeout
     cluster.check_leases()
 
 
-def time_for(cluster: Cluster, name: str) -> None:
-    """So much time passes that this one does something: others wake only when it is their turn."""
+def wake_when_due(cluster: Cluster, name: str) -> None:
+    """Let time pass until this member's timer is due; the others do not run."""
     cluster.now = max(cluster.now, int(cluster.nodes[name].wake_at / cluster.rates.get(name, 1.0)) + 1)
     cluster.check_leases()
     cluster.wake(name)
@@ -349,49 +351,49 @@
 def restart(cluster: Cluster, name: str) -> None:
     cluster.crash(name)
     cluster.boot(name)
-    cluster.drive(name)
+    cluster.perform_output(name)
 
 
 def search(bounds: Bounds, **more: object) -> int:
-    """All orders up to a depth, the same states once; returns how many there are. Raises BrokenError."""
+    """Search all orders of actions up to a depth; return the number of states. Raises InvariantError."""
     first = Cluster(**more)  # type: ignore[arg-type]
     for name in first.nodes:
-        first.nodes[name]._rng = BriefRandom(1)  # the same draws in each branch
-    first.rng = BriefRandom(1)
+        first.nodes[name]._rng = CompactRandom(1)  # equal draws in each branch
+    first.rng = CompactRandom(1)
     frontier = [(first, bounds.crashes, bounds.hops)]
     seen: set[object] = set()
     for _ in range(bounds.depth):
         following = []
         for world, left, time_left in frontier:
-            for what, act in acts(world, left, time_left, bounds):
+            for what, action in actions(world, left, time_left, bounds):
                 other = world.copy()
-                act(other)
+                action(other)
                 rest = (left - what.startswith("restart"), time_left - what.startswith("time"))
                 state = (other.state(), rest)
                 if state not in seen:
                     seen.add(state)
                     following.append((other, *rest))
-                    if len(seen) >= bounds.most:
+                    if len(seen) >= bounds.max_states:
                         return len(seen)
         frontier = following
     return len(seen)
 
 
 def test_all_orders_of_a_small_world_keep_what_must_hold() -> None:
-    assert search(Bounds(depth=7, crashes=1, hops=3, most=2_500)) > 1_000
+    assert search(Bounds(depth=7, crashes=1, hops=3, max_states=2_500)) > 1_000
 
 
 def test_the_search_finds_a_vote_that_is_not_stored() -> None:
     bounds = Bounds(
-        8, 1, 3, 9_000, sleepers="ab", fragile="c", only=(RequestVote, RequestVoteReply), ends="c"
+        8, 1, 3, 9_000, sleepers="ab", fragile="c", only=(RequestVote, RequestVoteReply), endpoints="c"
     )
-    with pytest.raises(BrokenError, match="two leaders"):
+    with pytest.raises(InvariantError, match="two leaders"):
         search(bounds, stores_votes=False, settings=with_settings(pre_vote=False))
     assert search(bounds, settings=with_settings(pre_vote=False)) > 100
 
 
 def test_old_messages_and_strangers_change_nothing() -> None:
-    cluster = led()
+    cluster = cluster_with_leader()
     leader = cluster.nodes[cluster.leader()]
     term = leader.term
     leader.receive("b", RequestVote(term, 0, 0, False), cluster.clock(leader.name))
--- a/tests/owners/test_sessions.py
+++ b/tests/owners/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions by their router's name: the latest is found without a look at the others."""
+"""Sessions indexed by router: the latest is found without a search of all sessions."""
 
 from __future__ import annotations
 
@@ -20,24 +20,24 @@
 @given(steps=STEPS)
 def test_the_latest_of_a_name_is_what_a_search_through_all_finds(steps: list[tuple[str, int, bool]]) -> None:
     sessions = Sessions()
-    held: dict[Session, int] = {}
-    for at, (name, start, stays) in enumerate(steps):
+    expected: dict[Session, int] = {}
+    for at, (name, start, is_renewed) in enumerate(steps):
         session = Session(name, start)
-        if stays:
+        if is_renewed:
             sessions.renew(session, at)
-            held[session] = at
-        elif session in held:
+            expected[session] = at
+        elif session in expected:
             sessions.forget(session)
-            del held[session]
-        assert dict(sessions.items()) == held
-        assert list(sessions) == list(held)
+            del expected[session]
+        assert dict(sessions.items()) == expected
+        assert list(sessions) == list(expected)
         for known in "ab":
-            assert sessions.latest(known) == max((s for s in held if s.name == known), default=None)
-        assert sessions.renewed_at(session, -1) == held.get(session, -1)
+            assert sessions.latest(known) == max((s for s in expected if s.name == known), default=None)
+        assert sessions.renewed_at(session, -1) == expected.get(session, -1)
 
 
 class Unsearchable(Sessions):
-    """Sessions that nobody may look through."""
+    """Sessions that refuse iteration."""
 
     def __iter__(self) -> Iterator[Session]:
         raise AssertionError("all sessions are looked through")
--- a/tests/owners/test_storage.py
+++ b/tests/owners/test_storage.py
@@ -1,4 +1,4 @@
-"""A voter's disk: what was kept is there again; what is damaged, another's or old is refused."""
+"""Voter storage: stored state is read back; damaged, foreign and outdated files are detected."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     return [Entry(index, term, EntryKind.COMMAND, b"%d" % index) for index in range(first, last + 1)]
 
 
-def begun(path: Path) -> Storage:
+def stored_voter(path: Path) -> Storage:
     storage = Storage(path, "a", VOTERS)
     storage.persist(Vote(1, "a"), None, entries(1, 3))
     storage.persist(None, None, entries(3, 4, term=2))
@@ -29,9 +29,9 @@
     return storage
 
 
-def test_what_was_kept_is_there_again_and_each_start_is_counted(tmp_path: Path) -> None:
+def test_stored_state_is_read_back_and_each_start_is_counted(tmp_path: Path) -> None:
     path = tmp_path / "voter"
-    first = begun(path)
+    first = stored_voter(path)
     assert (first.is_new, first.boot_count) == (True, 1)
     first.close()
     again = Storage(path, "a", VOTERS)
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("torn", [1, 4, 9, 20])
 def test_a_torn_last_record_is_cut_off_and_the_rest_holds(tmp_path: Path, torn: int) -> None:
     path = tmp_path / "voter"
-    storage = begun(path)
+    storage = stored_voter(path)
     whole = path.stat().st_size
     storage.persist(Vote(3, "c"), None, entries(5, 6, term=3))
     storage.close()
@@ -60,27 +60,27 @@
 
 def test_damage_in_the_middle_is_refused_wherever_it_is(tmp_path: Path) -> None:
     path = tmp_path / "voter"
-    begun(path).close()
+    stored_voter(path).close()
     good, rng = path.read_bytes(), random.Random(1)
     refused = 0
     for _ in range(200):
         place = rng.randrange(len(good))
         path.write_bytes(good[:place] + bytes([good[place] ^ 1 << rng.randrange(8)]) + good[place + 1 :])
         try:
-            held = Storage(path, "a", VOTERS)
+            reopened = Storage(path, "a", VOTERS)
         except StorageError:
             refused += 1
         else:
-            # The last record, or a length that reaches beyond the end: taken for torn.
-            assert held.torn_bytes > 0
-            held.close()
+            # The last record, or a length beyond the end of the file, counts as torn.
+            assert reopened.torn_bytes > 0
+            reopened.close()
     assert refused > 100
 
 
-def test_one_process_has_it_at_a_time(tmp_path: Path) -> None:
-    """As when a process replaces another: the first promises on until it has ended."""
+def test_one_process_opens_the_file_at_a_time(tmp_path: Path) -> None:
+    """A predecessor process may still write until it has ended."""
     path = tmp_path / "voter"
-    first = begun(path)
+    first = stored_voter(path)
     with pytest.raises(StorageBusyError, match="another process"):
         Storage(path, "a", VOTERS)
     first.persist(Vote(9, "c"), None, [])
@@ -88,9 +88,9 @@
     assert Storage(path, "a", VOTERS).vote == Vote(9, "c")
 
 
-def test_a_file_of_another_voter_and_one_that_says_nothing_are_refused(tmp_path: Path) -> None:
+def test_files_of_another_voter_and_empty_files_are_refused(tmp_path: Path) -> None:
     path = tmp_path / "voter"
-    begun(path).close()
+    stored_voter(path).close()
     with pytest.raises(StorageError, match="belongs to voter a, but this voter is b"):
         Storage(path, "b", VOTERS)
     path.write_bytes(b"")
@@ -101,10 +101,10 @@
 
 
 @pytest.mark.parametrize("error", [errno.ENOSPC, errno.EROFS])
-def test_a_disk_that_takes_nothing_ends_all_promises(
+def test_a_failed_write_closes_the_storage(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, error: int
 ) -> None:
-    storage = begun(tmp_path / "voter")
+    storage = stored_voter(tmp_path / "voter")
 
     def fails(file: int, data: bytes) -> int:
         raise OSError(error, os.strerror(error))
@@ -125,12 +125,12 @@
     cluster.crash("a")
     cluster.boot("a")
     node = cluster.nodes["a"]
-    node._boot_count = 5  # what the copy says
+    node._boot_count = 5  # as counted by the restored copy
     node.receive("b", TermReply(node.term, node._nonce, 7), cluster.clock("a"))
     assert (node.stale_disk, str(node.role)) == (True, "recovering")
-    cluster.drive("a")
+    cluster.perform_output("a")
     cluster.run(8)
-    assert str(node.role) in ("follower", "leader")  # it was told what it had forgotten
+    assert str(node.role) in ("follower", "leader")  # recovered from the other voters
     other = cluster.nodes["b"]
     other.receive("a", TermQuery(1, 8), cluster.clock("b"))
     assert other.boot_counts["a"] == 8
--- a/tests/owners/world.py
+++ b/tests/owners/world.py
@@ -1,4 +1,4 @@
-"""A world of voters in virtual time, for random walks and search: what must hold after each step."""
+"""Simulation of Raft voters in virtual time; checks the invariants after each step."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass
 class Disk:
-    """What outlives a process."""
+    """Stored state, which survives a crash."""
 
     vote: Vote
     snapshot: Snapshot
@@ -33,10 +33,10 @@
             self.entries = [entry for entry in self.entries if entry.index < first] + list(entries)
 
 
-class BriefRandom(random.Random):
-    """Draws whose whole state is one number (splitmix64): worlds that are copied thousands of times copy it.
+class CompactRandom(random.Random):
+    """Random numbers with a state of one integer (splitmix64), because worlds are copied thousands of times.
 
-    The 625 numbers of a `random.Random` took two thirds of a search's time.
+    Copying the 625 numbers of a `random.Random` took two thirds of a search's time.
     """
 
     def __init__(self, state: int) -> None:
@@ -44,7 +44,7 @@
         self._state = state
 
     def __reduce__(self) -> tuple[object, ...]:
-        return BriefRandom, (self._state,)
+        return CompactRandom, (self._state,)
 
     def getrandbits(self, count: int, /) -> int:
         drawn, had = 0, 0
@@ -63,12 +63,12 @@
         return mixed ^ mixed >> 31
 
 
-class BrokenError(AssertionError):
-    """An invariant does not hold."""
+class InvariantError(AssertionError):
+    """An invariant is violated."""
 
 
 class Cluster:
-    """Voters, learners, and the messages between them; `rates`: how fast each one's clock runs."""
+    """Voters, learners and the messages in flight; `rates`: the speed of each member's clock."""
 
     def __init__(
         self,
@@ -87,7 +87,7 @@
         first = Snapshot(0, 0, Configuration(voters))
         self.disks = {name: Disk(Vote(0), first) for name in (*voters, *spare)}
         self.nodes: dict[str, Raft] = {}
-        self.flying: list[tuple[str, str, Message]] = []
+        self.in_flight: list[tuple[str, str, Message]] = []
         self.committed: dict[int, tuple[int, bytes]] = {}
         self.leaders: dict[int, str] = {}
         self.applied: dict[str, list[bytes]] = {}
@@ -109,71 +109,71 @@
         if fresh:
             self.nodes[
                 name
-            ]._leader_contact_at -= self.settings.election_timeout  # it never promised anything
+            ]._leader_contact_at -= self.settings.election_timeout  # no earlier promise binds it
 
     def crash(self, name: str) -> None:
         self.nodes.pop(name, None)
 
-    def drive(self, name: str) -> None:
-        """Store, send, apply; then look whether all holds."""
+    def perform_output(self, name: str) -> None:
+        """Store, send and apply a member's output; then check the invariants."""
         node = self.nodes[name]
         ready = node.take_ready()
         vote = self.disks[name].vote
         self.disks[name].persist(ready.vote, ready.snapshot, ready.entries)
         if not self.stores_votes:
             self.disks[name].vote = vote
-        self.flying += [(name, to, message) for to, message in ready.messages if to in self.disks]
+        self.in_flight += [(name, to, message) for to, message in ready.messages if to in self.disks]
         if ready.restore is not None:
             self.applied[name] = [ready.restore.data]
         for entry in ready.committed:
-            told = (entry.term, entry.data)
-            if self.committed.setdefault(entry.index, told) != told:
-                raise BrokenError(f"{name} commits another entry at {entry.index}")
+            command = (entry.term, entry.data)
+            if self.committed.setdefault(entry.index, command) != command:
+                raise InvariantError(f"{name} commits another entry at {entry.index}")
             self.applied[name].append(entry.data)
         if node.role is Role.LEADER and self.leaders.setdefault(node.term, name) != name:
-            raise BrokenError(f"two leaders of term {node.term}")
+            raise InvariantError(f"two leaders of term {node.term}")
         self.check_leases()
 
     def check_leases(self) -> None:
         holders = [name for name, node in self.nodes.items() if node.leads(self.clock(name))]
         if len(holders) > 1:
-            raise BrokenError(f"{' and '.join(holders)} both lead by a lease that holds")
+            raise InvariantError(f"{' and '.join(holders)} both lead by a lease that holds")
         for name in holders:
             node = self.nodes[name]
             last = max(self.committed, default=0)
             if node.log.last_index < last or node.commit_index < min(last, node._term_start_index - 1):
-                raise BrokenError(f"{name} leads and lacks what is committed")
+                raise InvariantError(f"{name} leads and lacks what is committed")
 
-    # Acts
+    # Actions
 
     def deliver(self, place: int, keep: bool = False) -> None:
-        sender, to, message = self.flying[place]
+        sender, to, message = self.in_flight[place]
         if not keep:
-            del self.flying[place]
+            del self.in_flight[place]
         if to in self.nodes:
             self.nodes[to].receive(sender, message, self.clock(to))
-            self.drive(to)
+            self.perform_output(to)
 
     def wake(self, name: str) -> None:
         self.nodes[name].tick(self.clock(name))
-        self.drive(name)
+        self.perform_output(name)
 
     def run(self, seconds: float, lose: float = 0.0, cut: set[tuple[str, str]] | None = None) -> None:
-        """Let time pass with messages that arrive at once, but for those that are lost or cut."""
+        """Let time pass; messages arrive at once, except lost ones and those on a cut link."""
         end = self.now + int(seconds * 1e9)
         while True:
-            self.flying = [
-                held for held in self.flying
-                if (held[0], held[1]) not in (cut or ()) and self.rng.random() >= lose
+            self.in_flight = [
+                entry for entry in self.in_flight
+                if (entry[0], entry[1]) not in (cut or ()) and self.rng.random() >= lose
             ]  # fmt: skip
-            if self.flying:
+            if self.in_flight:
                 self.now += 1_000_000
                 self.deliver(0)
                 continue
             due = {
                 name: int(node.wake_at / self.rates.get(name, 1.0)) + 1 for name, node in self.nodes.items()
             }
-            name = min(due, key=lambda held: due[held], default="")
+            name = min(due, key=lambda entry: due[entry], default="")
             if not name or max(due[name], self.now) > end:
                 break
             self.now = max(due[name], self.now)
@@ -181,45 +181,45 @@
         self.now = max(end, self.now)
 
     def leader(self) -> str:
-        """Who leads by a lease; empty: nobody."""
+        """The member that leads by a valid lease; empty if there is none."""
         return next((name for name, node in self.nodes.items() if node.leads(self.clock(name))), "")
 
     def propose(self, data: bytes) -> bool:
         name = self.leader()
         if not name or self.nodes[name].propose(data, self.clock(name)) is None:
             return False
-        self.drive(name)
+        self.perform_output(name)
         return True
 
     def copy(self) -> Cluster:
-        held: Cluster = pickle.loads(pickle.dumps(self))
-        return held
+        duplicate: Cluster = pickle.loads(pickle.dumps(self))
+        return duplicate
 
     def _node_state(self, name: str, since: Callable[[int, str], int]) -> tuple[object, ...]:
         node = self.nodes[name]
         log = (node.commit_index, node.log.snapshot.index, tuple(node.log.entries))
         times = (since(node._leader_contact_at, name), since(node._wake_at, name))
         others = tuple(
-            (to, held.next_index, held.match_index, since(held.acknowledged_sent_at, name))
-            for to, held in sorted(node.progress.items())
+            (to, progress.next_index, progress.match_index, since(progress.acknowledged_sent_at, name))
+            for to, progress in sorted(node.progress.items())
         )
         votes = (node.vote, tuple(sorted(node._votes_granted)), node._transfer_target)
         recovery = (node._recovery_term, tuple(sorted(node._reported_terms.items())))
         return (name, node.role, node.leader, log, times, others, votes, recovery)
 
     def state(self) -> tuple[object, ...]:
-        """What makes two worlds the same, with times counted from now and shortened to tenths."""
+        """State for comparison; times are relative to now, in tenths of the election timeout."""
         grain = self.settings.election_timeout // 10
 
         def since(at: int, name: str) -> int:
             return max(min((self.clock(name) - at) // grain, 30), -30)
 
         nodes = tuple(self._node_state(name, since) for name in sorted(self.nodes))
-        return (nodes, tuple(sorted(map(repr, self.flying))))
+        return (nodes, tuple(sorted(map(repr, self.in_flight))))
 
 
 def configured_snapshot(disk: Disk) -> Snapshot:
-    """What a voter without a disk knows: who votes, by its configuration."""
+    """The initial snapshot of a voter without stored state: only its configured voters."""
     return Snapshot(0, 0, disk.snapshot.configuration)
 
 
