--- a/saltport/owners/coordinator.py
+++ b/saltport/owners/coordinator.py
@@ -173,7 +173,7 @@
         return commands
 
     def _preferred_owner(self, task: str) -> str:
-        """Return the live router of greatest weight, cached for each set of live routers.
+        """Return the live router of greatest weight for a task, cached for each set of live routers.
 
         Without the cache each round of decisions would weigh each task for each router.
         """
