--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -62,7 +62,7 @@
     def _current_epoch(self, now: int) -> int | None:
         """Return the epoch of the failover lease if this router holds it, else None."""
         member = self._owners.member
-        return member.tenure.may(LEASE_NAME, now) if member is not None else None
+        return member.owner_lease.effect_epoch(LEASE_NAME, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
         """Whether the fence of this process allows plans of an epoch."""
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -177,9 +177,9 @@
 
 def _owners_plan(features: Features, name: str) -> OwnersPlan:
     """Return the settings of the owner election; raises FeatureError."""
+    from saltport.owners.assignments import MAX_TASK_NAME_BYTES
     from saltport.owners.link import OwnersPlan
     from saltport.owners.raft import NS_PER_MS, RaftSettings
-    from saltport.owners.record import MOST_NAME
     from saltport.owners.settings import OwnerSettings
 
     owners, max_name_length = features.owners, 14  # messages must fit the datagrams between peers
@@ -189,8 +189,8 @@
         raise FeatureError(f"owners.voters: three or five names, each once; found {len(owners.voters)}")
     if any(not 0 < len(voter) <= max_name_length for voter in (*owners.voters, name)):
         raise FeatureError(f"owners: names of routers have at most {max_name_length} characters")
-    if any(not 0 < len(piece) <= MOST_NAME for piece in owners.pieces):
-        raise FeatureError(f"owners.pieces: names have 1 to {MOST_NAME} characters")
+    if any(not 0 < len(piece) <= MAX_TASK_NAME_BYTES for piece in owners.pieces):
+        raise FeatureError(f"owners.pieces: names have 1 to {MAX_TASK_NAME_BYTES} characters")
     if owners.election_ms < 500:
         raise FeatureError("owners.election_ms: must be at least 500, for round trips and short pauses")
     if owners.lease_ms < 2 * owners.election_ms:
@@ -199,10 +199,11 @@
     if folder is not None and name in owners.voters and not folder.is_dir():
         raise FeatureError(f"owners.folder: {folder} is no folder")
     raft = RaftSettings(
-        election=owners.election_ms * NS_PER_MS, heartbeat=owners.election_ms * NS_PER_MS // 6
+        election_timeout=owners.election_ms * NS_PER_MS,
+        heartbeat_interval=owners.election_ms * NS_PER_MS // 6,
     )
     lease = owners.lease_ms * NS_PER_MS
-    settings = OwnerSettings(lease=lease, renew=lease // 6, raft=raft)
+    settings = OwnerSettings(lease=lease, renew_interval=lease // 6, raft=raft)
     return OwnersPlan(owners.voters, folder, owners.begin, owners.pieces, owners.trials, settings)
 
 
--- a/tests/owners/test_failing_disk.py
+++ b/tests/owners/test_failing_disk.py
@@ -1,4 +1,4 @@
-"""A voter whose disk takes nothing for a while is no voter meanwhile, and votes again once the disk works."""
+"""A voter stops voting while its disk fails, and resumes once the disk works."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
 
 @dataclass
 class Network:
-    """Carries the voters' messages within one loop."""
+    """Delivers the voters' messages within one event loop."""
 
     links: dict[str, Any]
 
     def peers_of(self, name: str) -> PeerLink:
         def send_to(to: str, data: bytes) -> None:
             if to in self.links:
-                asyncio.get_running_loop().call_soon(self.links[to]._arrived, name, data)
+                asyncio.get_running_loop().call_soon(self.links[to]._on_datagram, name, data)
 
         live = [SimpleNamespace(name=other) for other in VOTERS]
         agent = SimpleNamespace(
@@ -65,8 +65,8 @@
     return link.member is not None and link.member.raft is not None and not link.trouble
 
 
-def owned(piece: str, links: dict[str, Any]) -> bool:
-    return any(link.member is not None and piece in link.member.tenure.pieces for link in links.values())
+def owned(task: str, links: dict[str, Any]) -> bool:
+    return any(link.member is not None and task in link.member.owner_lease.tasks for link in links.values())
 
 
 @pytest.mark.parametrize("number", [errno.ENOSPC, errno.EIO])
@@ -78,17 +78,17 @@
     failing: set[str] = set()
     real: Any = getattr(os, call)
 
-    def may_fail(file: int, *more: Any) -> Any:
+    def fail_if_selected(file: int, *more: Any) -> Any:
         path = os.readlink(f"/proc/self/fd/{file}")
         if any(f"/{name}.voter" in path for name in failing):
             if call == "write":
-                real(file, more[0][: len(more[0]) // 2])  # half of it is there, as behind a kill
+                real(file, more[0][: len(more[0]) // 2])  # a partial write, as after a kill
             raise OSError(number, os.strerror(number))
         return real(file, *more)
 
-    monkeypatch.setattr(os, call, may_fail)
+    monkeypatch.setattr(os, call, fail_if_selected)
 
-    async def scene() -> None:
+    async def scenario() -> None:
         network = Network({})
         plan = OwnersPlan(VOTERS, tmp_path, True, ("work",), False, OwnerSettings())
         loop = asyncio.get_running_loop()
@@ -96,18 +96,18 @@
             network.links[name] = OwnersLink(loop, plan, network.peers_of(name), NoServers(), seed)
         links = network.links
         await until("the work has an owner", lambda: owned("work", links))
-        leader = next(name for name in VOTERS if links[name].member.steward is not None)
-        struck = leader if whose == "the leader's" else next(name for name in VOTERS if name != leader)
-        failing.add(struck)
-        other = next(name for name in VOTERS if name != struck)
-        links[other].member.tenure.want(["work", "more"])
-        await until("its disk fails", lambda: links[struck].trouble)
+        leader = next(name for name in VOTERS if links[name].member.coordinator is not None)
+        failed = leader if whose == "the leader's" else next(name for name in VOTERS if name != leader)
+        failing.add(failed)
+        other = next(name for name in VOTERS if name != failed)
+        links[other].member.owner_lease.set_wanted(["work", "more"])
+        await until("its disk fails", lambda: links[failed].trouble)
         await asyncio.sleep(FAILS_S)
-        assert not votes(links[struck])
+        assert not votes(links[failed])
         failing.clear()
         await until("it votes again", lambda: all(votes(link) for link in links.values()))
         await until("more has an owner", lambda: owned("more", links))
         for link in links.values():
             await link.close()
 
-    uvloop.run(scene())
+    uvloop.run(scenario())
