--- a/benchmarks/hot_keys.py
+++ b/benchmarks/hot_keys.py
@@ -188,7 +188,7 @@
                 "play", seed=plan.seed, seconds=plan.seconds, kinds=["kill"], every_s=kill_every
             )
         _, ledger = await run_load(harness, plan)
-        told = [await asyncio.to_thread(ask, r.admin, "/state") for r in harness.held]
+        told = [await asyncio.to_thread(ask, r.admin, "/state") for r in harness.router_processes]
     return ledger, told
 
 
--- a/benchmarks/many_routers.py
+++ b/benchmarks/many_routers.py
@@ -21,7 +21,7 @@
 import orjson
 import uvloop
 
-from saltport.harness import START_S, Harness, HarnessError, RouterProcess, environment
+from saltport.harness import START_TIMEOUT_S, Harness, HarnessError, RouterProcess, environment
 from saltport.load.driver import wait_ready
 from saltport.standins.ledger import Ledger
 from saltport.standins.profile import Profile
@@ -117,7 +117,7 @@
             )  # fmt: skip
         self.spawned.append(process)
         router.process = process
-        if not await wait_ready(router.address, START_S, lambda: process.returncode is None, POLL_S):
+        if not await wait_ready(router.address, START_TIMEOUT_S, lambda: process.returncode is None, POLL_S):
             return False
         self.ready[router.name] = time.monotonic()
         return True
@@ -188,9 +188,12 @@
         begun = time.monotonic()
         await harness.rest()
         all_ready = time.monotonic() - begun
-        served = await asyncio.gather(*(_read(router.address, router.name, reads) for router in harness.held))
+        served = await asyncio.gather(
+            *(_read(router.address, router.name, reads) for router in harness.router_processes)
+        )
         found = [
-            _look(harness, router, count, reads) for router, count in zip(harness.held, served, strict=True)
+            _look(harness, router, count, reads)
+            for router, count in zip(harness.router_processes, served, strict=True)
         ]
     finally:
         await harness.stop()
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -45,7 +45,7 @@
     result = uvloop.run(run_soak(soak, folder, limits, lambda line: print(line, file=sys.stderr)))
     print(table(result.summary))
     print(plot(result.summary))
-    print(orjson.dumps({"struck": result.struck, **result.verdict.as_json(MOST_SHOWN)}).decode())
+    print(orjson.dumps({"struck": result.fault_counts, **result.verdict.as_json(MOST_SHOWN)}).decode())
     print(f"ledgers and logs: {folder}")
     return 0 if result.verdict.clean else 1
 
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -31,7 +31,7 @@
     """Play it; returns the counts."""
     clock, stop = time.monotonic, asyncio.Event()
     async with nemesis:
-        await nemesis.until_agreed(60)
+        await nemesis.wait_until_agreed(60)
         await asyncio.sleep(12)
         plan = LoadPlan((Step(0.0, RATE),), 3_600.0, seed=nemesis.seed, keys=400, zipf=0.6)
         load = asyncio.get_running_loop().create_task(run_load(nemesis.harness, plan, stop=stop))
@@ -41,7 +41,9 @@
         for node in nodes:
             await call("strike", kind="spoil", target=node, figures={"share": 1.0})
         await asyncio.sleep(ILL_S / 2)
-        held = {piece: name for name, told in nemesis.told.items() for piece in told.get("holds", {})}
+        held = {
+            piece: name for name, told in nemesis.owner_reports.items() for piece in told.get("holds", {})
+        }
         if kill and (owner := held.get(f"probe/{nodes[0]}")):
             await nemesis.kill(owner)
             await nemesis.start(owner)
--- a/saltport/cli/proving.py
+++ b/saltport/cli/proving.py
@@ -13,7 +13,7 @@
 from saltport.cli.common import AS_JSON, EXISTING_FILE, EXIT_USAGE, EXIT_WRONG, FILE, dump, fail
 
 if TYPE_CHECKING:
-    from saltport.nemesis.schedule import Act
+    from saltport.nemesis.schedule import ScheduledFault
 
 
 @click.command()
@@ -60,7 +60,7 @@
         if self.zones and self.voters == "0":
             fail("--zones: takes --voters", EXIT_USAGE)
 
-    def acts(self) -> list[Act]:
+    def acts(self) -> list[ScheduledFault]:
         """The schedule, read or drawn."""
         from saltport.nemesis.schedule import ScheduleError, draw_schedule, read_schedule
         from saltport.standins.fleet import ZONES
--- a/saltport/demo.py
+++ b/saltport/demo.py
@@ -1,4 +1,4 @@
-"""`saltport demo`: stand-ins, routers and light load on loopback, with nothing else to set up."""
+"""The demo behind `saltport demo`: stand-ins, routers and light load on loopback, without further setup."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 from saltport.standins.ledger import Ledger
 from saltport.standins.profile import Profile, quick
 
-FOR_GOOD_S = 365 * 86_400.0
-SLACK_MS = 1_000
-"""A demo shares its cores with whatever else runs, so the audit allows more than on a quiet machine."""
+UNLIMITED_S = 365 * 86_400.0
+AUDIT_SLACK_MS = 1_000
+"""Larger than the audit's default, since a demo shares its cores with other programs."""
 
 
 @dataclass(frozen=True, slots=True)
 class DemoOptions:
-    """What a demo is to show; `seconds` None: until Ctrl-C."""
+    """The options of a demo; with `seconds` None it runs until Ctrl-C."""
 
     seconds: float | None
     nodes: int = 6
@@ -36,36 +36,36 @@
     rate: float = 60.0
     fault: str | None = None
     seed: int = 1
-    divide: float = 4.0
+    work_divisor: float = 4.0
     as_json: bool = False
 
 
-def _say(options: DemoOptions, fields: dict[str, Any], text: str) -> None:
+def _print(options: DemoOptions, fields: dict[str, Any], text: str) -> None:
     print(orjson.dumps(fields).decode() if options.as_json else text, flush=True)
 
 
-def _welcome(addresses: dict[str, Any], routers: dict[str, str]) -> str:
-    one = next(iter(routers.values()))
+def _introduction(addresses: dict[str, Any], routers: dict[str, str]) -> str:
+    first_router = next(iter(routers.values()))
     return (
         f"routers: {', '.join(f'{name} at {address}' for name, address in routers.items())}\n"
         f"control socket of the stand-ins: {addresses['control']}\n"
         "to try, from another terminal:\n"
-        f"  saltport load --router {one} --rate 200 --seconds 10\n"
+        f"  saltport load --router {first_router} --rate 200 --seconds 10\n"
         f"  saltport fault --control {addresses['control']} strike kill n000\n"
         f"  saltport fault --control {addresses['control']} mend n000\n"
         f"  saltport fault --control {addresses['control']} state\n"
-        "Ctrl-C ends it, with the totals and the audit's verdict."
+        "Ctrl-C ends the demo and prints the totals and the audit's verdict."
     )
 
 
 async def run_demo(options: DemoOptions, progress: Callable[[str], None] | None = None) -> int:
-    """Run a demo; returns 0 if the audit is clean, else 1. Raises HarnessError, with nothing left running."""
-    profile = quick(Profile(), options.divide)
-    plan = LoadPlan((Step(0.0, options.rate),), options.seconds or FOR_GOOD_S, seed=options.seed, keys=500)
+    """Run a demo; return 0 if the audit is clean, else 1. On HarnessError no process is left running."""
+    profile = quick(Profile(), options.work_divisor)
+    plan = LoadPlan((Step(0.0, options.rate),), options.seconds or UNLIMITED_S, seed=options.seed, keys=500)
     with tempfile.TemporaryDirectory(prefix="saltport-demo-") as folder:
         harness = Harness(Path(folder), profile, options.nodes, options.routers, options.seed)
         stop = asyncio.Event()
-        # Danger: cancelled together with the clean-up, it would leave processes behind.
+        # Danger: outside its own task, a cancellation would also hit the clean-up and leave processes.
         work = asyncio.get_running_loop().create_task(_play(harness, options, plan, progress, stop))
         interrupt = _Interrupt(stop, work)
         for number in (signal.SIGINT, signal.SIGTERM):
@@ -78,8 +78,10 @@
                 clients.append(ledger)
         finally:
             await harness.stop()
-        verdict = harness.audit(clients, Limits(SLACK_MS, SLACK_MS, SLACK_MS, SLACK_MS))
-    _say(
+        verdict = harness.audit(
+            clients, Limits(AUDIT_SLACK_MS, AUDIT_SLACK_MS, AUDIT_SLACK_MS, AUDIT_SLACK_MS)
+        )
+    _print(
         options,
         {"totals": summary, "audit": verdict.as_json()},
         f"{table(summary) if summary else 'ended before any load'}\n"
@@ -97,15 +99,15 @@
     stop: asyncio.Event,
 ) -> tuple[dict[str, Any], Ledger]:
     await harness.start()
-    routers = {router.name: "{}:{}".format(*router.address) for router in harness.held}
-    _say(options, {"routers": routers, **harness.addresses}, _welcome(harness.addresses, routers))
+    routers = {router.name: "{}:{}".format(*router.address) for router in harness.router_processes}
+    _print(options, {"routers": routers, **harness.addresses}, _introduction(harness.addresses, routers))
     if options.fault is not None:
-        await _strike(harness, options)
+        await _schedule_fault(harness, options)
     return await run_load(harness, plan, progress=progress, stop=stop)
 
 
 class _Interrupt:
-    """Ctrl-C: the first ends the load in good order, a second one ends all at once; more change nothing."""
+    """The handler of Ctrl-C: the first stops the load gracefully, the second cancels the run."""
 
     def __init__(self, stop: asyncio.Event, work: asyncio.Task[Any]) -> None:
         self._stop, self._work = stop, work
@@ -117,11 +119,11 @@
             self._work.cancel()
 
 
-async def _strike(harness: Harness, options: DemoOptions) -> None:
-    """Have one kind of fault strike again and again, on nodes drawn by seed."""
+async def _schedule_fault(harness: Harness, options: DemoOptions) -> None:
+    """Schedule repeated faults of one kind on nodes drawn from the seed."""
     assert options.fault is not None
     seconds = options.seconds or 600.0
-    every = max(min(KINDS[options.fault].seconds[1] + 1.0, seconds / 3), 0.5)
+    every_s = max(min(KINDS[options.fault].seconds[1] + 1.0, seconds / 3), 0.5)
     await harness.control.call(
-        "play", seed=options.seed, seconds=seconds, kinds=[options.fault], every_s=every
+        "play", seed=options.seed, seconds=seconds, kinds=[options.fault], every_s=every_s
     )
--- a/saltport/nemesis/__init__.py
+++ b/saltport/nemesis/__init__.py
@@ -1,1 +1,1 @@
-"""Many processes of the program through faulty links on a seeded schedule; their history; its checkers."""
+"""Fault injection on a fleet of router processes: schedules, a runner, and checks of the recorded history."""
--- a/saltport/nemesis/history.py
+++ b/saltport/nemesis/history.py
@@ -1,6 +1,7 @@
-"""What a run of many routers showed, and what must hold of it. It knows nothing of the program.
+"""The recorded history of a fault-injection run with many routers, and the rules that it is checked against.
 
-Checks of safety take each sample as it is. Times are seconds on one clock.
+This module works on recorded data only and uses no code of the router. The safety rules are checked on each
+sample by itself. Times are seconds on one clock.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 RULES = (
     "no_false_death", "records_only_rise", "one_majority", "agreed_at_last", "one_owner", "plans_only_rise",
 )  # fmt: skip
-EXCUSE_S = 12.0  # after a fault of its own, or on its links, somebody may still be held dead
-SETTLED_S = 5.0  # within a partition, after which two sides must not both be majorities
+FAULT_GRACE_S = 12.0  # for so long after a fault of a router or its links, others may still report it dead
+PARTITION_SETTLE_S = 5.0  # from this time in a partition on, at most one side may report a majority
 
 
 class Member(NamedTuple):
-    """One router as another one holds it."""
+    """The record that a router has of one member of the fleet."""
 
     state: str
     start: int
@@ -29,206 +30,225 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What one router believed at one time."""
+    """The membership view that one router reported at one time."""
 
     at: float
-    by: str
-    life: int
-    """Of its process: its number."""
+    router: str
+    pid: int
+    """The process ID, which changes when the router restarts."""
     digest: str
-    standing: str
+    quorum_state: str
     members: Mapping[str, Member]
 
     @property
-    def live(self) -> frozenset[str]:
-        """Whom it counts as members."""
-        return frozenset(name for name, held in self.members.items() if held.state in ("alive", "suspect"))
+    def live_members(self) -> frozenset[str]:
+        """The names of the members in state alive or suspect."""
+        return frozenset(
+            name for name, member in self.members.items() if member.state in ("alive", "suspect")
+        )
 
 
-class Span(NamedTuple):
-    """Something that was done to a router, from and until."""
+class FaultSpan(NamedTuple):
+    """The time span of a fault that was injected on a router or its links."""
 
     kind: str
     """`down`, `stopped`, `cut` or `strained` (all links at once)."""
-    who: str
+    router: str
     begun: float
     ended: float
-    group: frozenset[str] = frozenset()
-    """Of a partition: its side."""
+    side: frozenset[str] = frozenset()
+    """The routers on one side of a partition; empty for other faults."""
 
 
-class Hold(NamedTuple):
-    """A router said that it might work on a piece just then."""
+class OwnershipSample(NamedTuple):
+    """A report of a router that it owned a piece of work at one time."""
 
-    at: int
-    """Nanoseconds by its own clock, which all routers of one machine share."""
-    by: str
+    at_ns: int
+    """Nanoseconds on the router's monotonic clock, which all routers of one machine share."""
+    router: str
     piece: str
     epoch: int
 
 
-class Course(NamedTuple):
-    """The plan for zones that a router said it follows."""
+class PlanSample(NamedTuple):
+    """The zone failover plan that a router reported to follow at one time."""
 
     at: float
-    by: str
-    life: int
+    router: str
+    pid: int
     epoch: int
     number: int
-    maker: str
-    end: str
-    """Where it leads, as words."""
+    author: str
+    content: str
+    """What the plan prescribes, as text."""
 
 
 @dataclass(slots=True)
 class History:
-    """A run."""
+    """The samples and injected faults of one run."""
 
     routers: list[str]
     samples: list[Sample] = field(default_factory=list)
-    spans: list[Span] = field(default_factory=list)
-    holds: list[Hold] = field(default_factory=list)
-    courses: list[Course] = field(default_factory=list)
+    faults: list[FaultSpan] = field(default_factory=list)
+    ownership: list[OwnershipSample] = field(default_factory=list)
+    plans: list[PlanSample] = field(default_factory=list)
     ended: float = 0.0
-    """When all was over, by the samples' clock."""
+    """The end of the run on the clock of the samples."""
 
     def check(self) -> list[Violation]:
-        """All rules; an empty list: they hold."""
+        """Return the violations of all rules, ordered by time; an empty list means that all rules hold."""
         found = [*self._false_deaths(), *self._records(), *self._majorities(), *self._agreement()]
         found += [*self._owners(), *self._plans()]
         return sorted(found, key=lambda violation: violation.at)
 
     def checked(self) -> dict[str, int]:
-        """How many cases each rule was tried on: a rule with 0 was not shown."""
+        """Return the number of cases that each rule was checked on; a rule with 0 cases was not tested."""
         return {
             "samples": len(self.samples),
             "no_false_death": sum(m.state == "dead" for s in self.samples for m in s.members.values()),
-            "records_only_rise": sum(1 for _ in self._successions()),
-            "one_majority": sum(bool(span.group) for span in self.spans),
-            "agreed_at_last": len(self.last()),
-            "one_owner": len(self.holds),
-            "plans_only_rise": len(self.courses),
+            "records_only_rise": sum(1 for _ in self._consecutive_samples()),
+            "one_majority": sum(bool(span.side) for span in self.faults),
+            "agreed_at_last": len(self.last_samples()),
+            "one_owner": len(self.ownership),
+            "plans_only_rise": len(self.plans),
         }
 
-    def _excused(self, name: str, at: float) -> bool:
-        return any(span.who == name and span.begun <= at <= span.ended + EXCUSE_S for span in self.spans)
+    def _has_fault(self, name: str, at: float) -> bool:
+        """Whether a fault of this router was active at this time or within the grace period before it."""
+        return any(
+            span.router == name and span.begun <= at <= span.ended + FAULT_GRACE_S for span in self.faults
+        )
 
     def _false_deaths(self) -> Iterator[Violation]:
-        """Nobody is held dead who ran, was not stopped, and whose links were whole."""
+        """Yield reports of death for routers that ran and whose links had no fault."""
         for sample in self.samples:
-            if self._excused(sample.by, sample.at):
+            if self._has_fault(sample.router, sample.at):
                 continue
-            for name, held in sample.members.items():
-                if held.state == "dead" and not self._excused(name, sample.at):
-                    what = f"{sample.by} holds {name} dead, which is well"
+            for name, member in sample.members.items():
+                if member.state == "dead" and not self._has_fault(name, sample.at):
+                    what = f"{sample.router} reports {name} dead, which was running and connected"
                     yield Violation("no_false_death", sample.at, what)
 
-    def _successions(self) -> Iterator[tuple[Sample, Sample]]:
-        by: dict[tuple[str, int], list[Sample]] = {}
+    def _consecutive_samples(self) -> Iterator[tuple[Sample, Sample]]:
+        """Yield each pair of consecutive samples of one process."""
+        by_process: dict[tuple[str, int], list[Sample]] = {}
         for sample in self.samples:
-            by.setdefault((sample.by, sample.life), []).append(sample)
-        for held in by.values():
-            yield from pairwise(held)
+            by_process.setdefault((sample.router, sample.pid), []).append(sample)
+        for samples in by_process.values():
+            yield from pairwise(samples)
 
     def _records(self) -> Iterator[Violation]:
-        """What one process holds of a router goes on by start, then by incarnation, and never back."""
-        for before, after in self._successions():
-            for name, held in after.members.items():
+        """Yield members whose start or incarnation decreased within a process, or that revived unrefuted."""
+        for before, after in self._consecutive_samples():
+            for name, member in after.members.items():
                 earlier = before.members.get(name)
                 if earlier is None:
                     continue
-                was, now = (earlier.start, earlier.incarnation), (held.start, held.incarnation)
-                unrefuted = now == was and earlier.state == "dead" and name in after.live
+                was, now = (earlier.start, earlier.incarnation), (member.start, member.incarnation)
+                unrefuted = now == was and earlier.state == "dead" and name in after.live_members
                 if now < was or unrefuted:
-                    how = "came back from death unrefuted" if unrefuted else f"went from {was} to {now}"
-                    yield Violation("records_only_rise", after.at, f"{after.by}: {name} {how}")
+                    how = (
+                        "changed from dead to alive without a new incarnation"
+                        if unrefuted
+                        else f"went from {was} to {now}"
+                    )
+                    yield Violation("records_only_rise", after.at, f"{after.router}: {name} {how}")
 
     def _majorities(self) -> Iterator[Violation]:
-        """Of the sides of a partition, one at the most says that it is the majority."""
-        stops = [span for span in self.spans if span.kind == "stopped"]
-        for span in self.spans:
-            if not span.group:
+        """Yield partitions of which both sides reported to be in the majority."""
+        stops = [span for span in self.faults if span.kind == "stopped"]
+        for span in self.faults:
+            if not span.side:
                 continue
             claims: dict[bool, Sample] = {}
             for sample in self.samples:
-                inside = span.begun + SETTLED_S <= sample.at <= span.ended
-                late = any(s.who == sample.by and s.begun <= sample.at <= s.ended + 1 for s in stops)
-                if inside and not late and sample.standing == "majority":
-                    claims[sample.by in span.group] = sample
+                settled = span.begun + PARTITION_SETTLE_S <= sample.at <= span.ended
+                stopped = any(
+                    s.router == sample.router and s.begun <= sample.at <= s.ended + 1 for s in stops
+                )
+                if settled and not stopped and sample.quorum_state == "majority":
+                    claims[sample.router in span.side] = sample
             if len(claims) == 2:
                 one, other = claims.values()
-                what = f"{one.by} and {other.by}, on two sides"
+                what = f"{one.router} and {other.router} report a majority on two sides of a partition"
                 yield Violation("one_majority", max(one.at, other.at), what)
 
-    def last(self) -> dict[str, Sample]:
-        """The last sample of each router."""
-        return {sample.by: sample for sample in self.samples}
+    def last_samples(self) -> dict[str, Sample]:
+        """Return the last sample of each router."""
+        return {sample.router: sample for sample in self.samples}
 
     def _owners(self) -> Iterator[Violation]:
-        """Nobody holds a piece once another did by a later epoch, and no epoch is two routers'."""
+        """Yield claims to a piece after a later epoch was reported, and epochs that two routers reported."""
         highest: dict[str, int] = {}
-        of: dict[tuple[str, int], str] = {}
-        for held in sorted(self.holds, key=lambda hold: hold.at):
-            at = held.at / 1e9
-            if held.epoch < highest.get(held.piece, 0):
-                what = f"{held.by} holds {held.piece} by epoch {held.epoch}, after {highest[held.piece]}"
+        owners: dict[tuple[str, int], str] = {}
+        for claim in sorted(self.ownership, key=lambda sample: sample.at_ns):
+            at = claim.at_ns / 1e9
+            if claim.epoch < highest.get(claim.piece, 0):
+                what = (
+                    f"{claim.router} owns {claim.piece} in epoch {claim.epoch}, after {highest[claim.piece]}"
+                )
                 yield Violation("one_owner", at, what)
-            highest[held.piece] = max(held.epoch, highest.get(held.piece, 0))
-            if of.setdefault((held.piece, held.epoch), held.by) != held.by:
-                yield Violation("one_owner", at, f"epoch {held.epoch} of {held.piece} is two routers'")
+            highest[claim.piece] = max(claim.epoch, highest.get(claim.piece, 0))
+            if owners.setdefault((claim.piece, claim.epoch), claim.router) != claim.router:
+                yield Violation("one_owner", at, f"epoch {claim.epoch} of {claim.piece} has two owners")
 
     def _plans(self) -> Iterator[Violation]:
-        """No process goes back to an older plan, each plan says one thing, all end with the same."""
+        """Yield returns to an older plan, plans with two contents, and a run that ends with several plans."""
         latest: dict[tuple[str, int], tuple[int, int]] = {}
-        said: dict[tuple[int, int], tuple[str, str]] = {}
+        contents: dict[tuple[int, int], tuple[str, str]] = {}
         last: dict[str, tuple[int, int]] = {}
-        for course in self.courses:
-            age, life = (course.epoch, course.number), (course.by, course.life)
-            if age < latest.get(life, (0, 0)):
-                what = f"{course.by} follows plan {age}, after {latest[life]}"
-                yield Violation("plans_only_rise", course.at, what)
-            latest[life] = last[course.by] = age
-            if said.setdefault(age, (course.maker, course.end)) != (course.maker, course.end):
-                yield Violation("plans_only_rise", course.at, f"plan {age} says two things")
+        for plan in self.plans:
+            version, process = (plan.epoch, plan.number), (plan.router, plan.pid)
+            if version < latest.get(process, (0, 0)):
+                what = f"{plan.router} follows plan {version}, after {latest[process]}"
+                yield Violation("plans_only_rise", plan.at, what)
+            latest[process] = last[plan.router] = version
+            if contents.setdefault(version, (plan.author, plan.content)) != (plan.author, plan.content):
+                yield Violation("plans_only_rise", plan.at, f"plan {version} has two contents")
         if len(set(last.values())) > 1:
-            yield Violation("plans_only_rise", self.ended, f"routers end with several plans: {last}")
+            yield Violation(
+                "plans_only_rise", self.ended, f"routers follow different plans at the end: {last}"
+            )
 
     def _agreement(self) -> Iterator[Violation]:
-        """At the end all routers hold the same view: just those that run."""
-        last = self.last()
+        """Yield routers whose last view is not exactly the set of all routers, and differing digests."""
+        last = self.last_samples()
         for name in self.routers:
             if name not in last:
-                yield Violation("agreed_at_last", self.ended, f"{name} was never asked")
+                yield Violation("agreed_at_last", self.ended, f"{name} was never sampled")
         for sample in last.values():
-            if sample.live != frozenset(self.routers):
-                odd = ", ".join(sorted(sample.live ^ set(self.routers)))
-                yield Violation("agreed_at_last", sample.at, f"{sample.by} holds another view: {odd}")
+            if sample.live_members != frozenset(self.routers):
+                odd = ", ".join(sorted(sample.live_members ^ set(self.routers)))
+                yield Violation("agreed_at_last", sample.at, f"{sample.router} reports another view: {odd}")
         if len({sample.digest for sample in last.values()}) > 1:
-            yield Violation("agreed_at_last", self.ended, "views have several digests")
+            yield Violation("agreed_at_last", self.ended, "the views have different digests")
 
-    # Measured
+    # Measurements
 
-    def detections(self) -> list[float]:
-        """Seconds from each death until all that were well held it dead; who came back before is left out."""
+    def detection_times(self) -> list[float]:
+        """Return the sorted delays in seconds from each death until all routers without a fault reported it.
+
+        A death that not all of them reported before the router was started again is left out.
+        """
         found = []
-        for span in (span for span in self.spans if span.kind == "down"):
+        for span in (span for span in self.faults if span.kind == "down"):
             seen: dict[str, float] = {}
-            others = [n for n in self.routers if n != span.who and not self._excused(n, span.begun)]
+            others = [n for n in self.routers if n != span.router and not self._has_fault(n, span.begun)]
             for sample in self.samples:
-                held = sample.members.get(span.who)
-                if span.begun <= sample.at <= span.ended and held is not None and held.state == "dead":
-                    seen.setdefault(sample.by, sample.at - span.begun)
+                member = sample.members.get(span.router)
+                if span.begun <= sample.at <= span.ended and member is not None and member.state == "dead":
+                    seen.setdefault(sample.router, sample.at - span.begun)
             if others and seen.keys() >= set(others):
                 found.append(max(seen[name] for name in others))
         return sorted(found)
 
     def report(self) -> dict[str, object]:
-        """For people and programs."""
-        violations, times = self.check(), self.detections()
+        """Return the report of the run, to be printed as JSON."""
+        violations, times = self.check(), self.detection_times()
         return {
             "clean": not violations,
             "checked": self.checked(),
-            "violations": [f"{held.at:.1f} s: {held.rule}: {held.what}" for held in violations[:20]],
-            "broken": {rule: sum(held.rule == rule for held in violations) for rule in RULES},
+            "violations": [f"{found.at:.1f} s: {found.rule}: {found.what}" for found in violations[:20]],
+            "broken": {rule: sum(found.rule == rule for found in violations) for rule in RULES},
             "detections_s": [round(time, 2) for time in times],
         }
--- a/saltport/nemesis/runner.py
+++ b/saltport/nemesis/runner.py
@@ -1,4 +1,4 @@
-"""Starts routers that know one another through faulty links, strikes them, and keeps their history."""
+"""Runs routers whose peer links pass through faulty relays, injects faults, and records their history."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from saltport.audit import Limits
 from saltport.harness import Harness, RouterProcess, run_load
 from saltport.load.plan import LoadPlan, Step
-from saltport.nemesis.history import Course, History, Hold, Member, Sample, Span
-from saltport.nemesis.schedule import Act
+from saltport.nemesis.history import FaultSpan, History, Member, OwnershipSample, PlanSample, Sample
+from saltport.nemesis.schedule import ScheduledFault
 from saltport.standins.fleet import ZONES, zone_of
 from saltport.standins.links import DatagramRelay, Fault, Links
 from saltport.standins.profile import Profile, quick
@@ -34,83 +34,86 @@
 [failover]
 on = true
 """
-SLACK_MS = 1_000  # of the audit: many processes share few cores
-FOR_GOOD_S = 86_400.0
-STRAINS: dict[str, Callable[[float], Fault]] = {
+AUDIT_SLACK_MS = 1_000  # many processes share few cores, which delays answers
+UNLIMITED_S = 86_400.0
+LINK_FAULTS: dict[str, Callable[[float], Fault]] = {
     "loss": lambda share: Fault(loss=share),
     "double": lambda share: Fault(doubles=share),
     "delay": lambda share: Fault(delay_s=(0.0, share)),
 }
-"""What befalls all links, by kind of act."""
-SAMPLE_S = 0.2
-ASK_S = 2.0  # in which a router that runs answers how it sees the others
+"""Faults that affect all links, by the kind in the schedule; the argument is a share, or the longest delay in s."""
+SAMPLE_INTERVAL_S = 0.2
+ANSWER_TIMEOUT_S = 2.0
 
 
-Broken = contextlib.AbstractContextManager[None]
-_Pair = tuple[Sequence[str], Sequence[str]]
+FaultContext = contextlib.AbstractContextManager[None]
+_Direction = tuple[Sequence[str], Sequence[str]]
 
 
 class NemesisError(Exception):
-    """A state that was waited for did not come; the text is one plain line."""
+    """Raised when an awaited state is not reached in time; the message is one line."""
 
 
 @dataclass(slots=True)
 class Nemesis:
-    """Routers, their links and their history; use it as an asynchronous context."""
+    """A fleet of routers with faulty links and a recorded history, as an asynchronous context manager."""
 
     folder: Path
     routers: int
     seed: int
     nodes: int = 2
     voters: int = 0
-    """So many routers vote on who owns which work; 0: nobody does."""
+    """The number of routers that vote on the ownership of work; 0 turns ownership off."""
     pieces: tuple[str, ...] = ("rollout", "report")
     failover: bool = False
-    """Whether zones go by common plans; it takes voters."""
+    """Whether zone failover is on; it requires voters."""
     links: Links = field(init=False)
     history: History = field(init=False)
     harness: Harness = field(init=False)
-    told: dict[str, dict[str, Any]] = field(init=False, default_factory=dict)
-    """What each router said last of the fleet's work."""
-    zones: dict[str, dict[str, Any]] = field(init=False, default_factory=dict)
-    """And of the zones."""
+    owner_reports: dict[str, dict[str, Any]] = field(init=False, default_factory=dict)
+    """The last answer of each router at /owners."""
+    zone_reports: dict[str, dict[str, Any]] = field(init=False, default_factory=dict)
+    """The last answer of each router at /zones."""
     _relay: DatagramRelay = field(init=False)
-    _began: float = field(init=False, default=0.0)
-    _open: dict[tuple[str, str], float] = field(init=False, default_factory=dict)
+    _started_at: float = field(init=False, default=0.0)
+    _open_faults: dict[tuple[str, str], float] = field(init=False, default_factory=dict)
     _sampler: asyncio.Task[None] | None = field(init=False, default=None)
 
     async def __aenter__(self) -> Nemesis:
         names = [f"r{number + 1}" for number in range(self.routers)]
         self.links, self.history = Links(self.seed), History(names)
-        self._relay = DatagramRelay(self.links, {name: _own_address(n) for n, name in enumerate(names)})
+        self._relay = DatagramRelay(self.links, {name: _unused_address(n) for n, name in enumerate(names)})
         await self._relay.open()
         (self.folder / "peers.keys").write_text(secrets.token_hex(32))
         profile, features = quick(Profile(), 20), self._features()
         if self.failover:
             profile = replace(profile, origins=2, origins_apart=1)
         self.harness = Harness(
-            self.folder, profile, self.nodes, self.routers, self.seed, features, self._dress
+            self.folder, profile, self.nodes, self.routers, self.seed, features, self._configure_router
         )
         try:
             await self.harness.start()
         except BaseException:
             self._relay.close()
             raise
-        self._began = time.monotonic()
-        self._sampler = asyncio.get_running_loop().create_task(self._sample_for_ever())
+        self._started_at = time.monotonic()
+        self._sampler = asyncio.get_running_loop().create_task(self._sample_periodically())
         return self
 
     async def __aexit__(self, *_: object) -> None:
         try:
-            await self._end_sampler()
+            await self._stop_sampler()
         finally:
-            for router in self.harness.held:
-                self._signal(router, signal.SIGCONT)  # a stopped process can't end in good order
+            for router in self.harness.router_processes:
+                self._signal(router, signal.SIGCONT)  # a stopped process can't shut down gracefully
             await self.harness.stop()
             self._relay.close()
 
-    async def _end_sampler(self) -> None:
-        """Danger: had it failed, all readings stood still since; its error says so, once all is stopped."""
+    async def _stop_sampler(self) -> None:
+        """Stop the sampling task.
+
+        Danger: a sampling task that failed has recorded nothing since; awaiting it here raises its error.
+        """
         if self._sampler is not None:
             self._sampler.cancel()
             with contextlib.suppress(asyncio.CancelledError):
@@ -123,112 +126,124 @@
         zones = FAILOVER if self.failover else ""
         return f"{FEATURES}{OWNERS}voters = {voters}\npieces = {pieces}\n{zones}"
 
-    def _dress(self, name: str, told: dict[str, Any]) -> dict[str, str]:
-        """Add what a router needs to know the others by; returns words for its features."""
-        told["settings"]["ceilings"]["peers"] = True
-        told["peer_listen"] = "{}:{}".format(*self._relay.ends[name])
-        told["peers"] = ["{}:{}".format(*self._relay.seen(other, name)) for other in self._relay.ends]
+    def _configure_router(self, name: str, config: dict[str, Any]) -> dict[str, str]:
+        """Add the peer settings to a router's configuration; return the values for its feature file."""
+        config["settings"]["ceilings"]["peers"] = True
+        config["peer_listen"] = "{}:{}".format(*self._relay.ends[name])
+        config["peers"] = ["{}:{}".format(*self._relay.seen(other, name)) for other in self._relay.ends]
         return {"zone": ZONES[list(self._relay.ends).index(name) % len(ZONES)]}
 
-    # Watching
+    # Sampling
 
     def restart_clock(self) -> None:
-        """The history begins now."""
-        self._began = time.monotonic()
+        """Discard the samples so far and begin the history now."""
+        self._started_at = time.monotonic()
         self.history.samples.clear()
 
     def now(self) -> float:
-        """Seconds since the beginning."""
-        return time.monotonic() - self._began
+        """Return the seconds since the beginning of the history."""
+        return time.monotonic() - self._started_at
 
-    async def _sample_for_ever(self) -> None:
+    async def _sample_periodically(self) -> None:
         while True:
             begun = time.monotonic()
             await self.sample()
-            await asyncio.sleep(max(SAMPLE_S - (time.monotonic() - begun), 0.01))
+            await asyncio.sleep(max(SAMPLE_INTERVAL_S - (time.monotonic() - begun), 0.01))
 
     async def sample(self) -> None:
-        """Ask all routers that run and are not stopped."""
-        running = (held for held in self.harness.held if held.alive)
+        """Record a sample of each router that runs and is not stopped."""
+        running = (router for router in self.harness.router_processes if router.alive)
         await asyncio.gather(
-            *(self._ask(held) for held in running if ("stopped", held.name) not in self._open)
+            *(
+                self._sample_router(router)
+                for router in running
+                if ("stopped", router.name) not in self._open_faults
+            )
         )
 
-    async def _ask(self, router: RouterProcess) -> None:
+    async def _sample_router(self, router: RouterProcess) -> None:
         process = router.process
-        told = await _told(router, "/peers")
-        if told is None or process is None or process is not router.process:
+        peers = await _fetch(router, "/peers")
+        if peers is None or process is None or process is not router.process:
             return
         members = {
-            name: Member(held["state"], held["start"], held["incarnation"])
-            for name, held in told["members"].items()
+            name: Member(member["state"], member["start"], member["incarnation"])
+            for name, member in peers["members"].items()
         }
-        standing = told["quorum"]["state"] if told["state"] == "member" else told["state"]
-        sample = Sample(self.now(), router.name, process.pid, told["view"]["digest"], standing, members)
+        quorum_state = peers["quorum"]["state"] if peers["state"] == "member" else peers["state"]
+        sample = Sample(self.now(), router.name, process.pid, peers["view"]["digest"], quorum_state, members)
         self.history.samples.append(sample)
-        owned = await _told(router, "/owners") if self.voters else None
+        owned = await _fetch(router, "/owners") if self.voters else None
         if owned is not None:
-            self.told[router.name] = owned
+            self.owner_reports[router.name] = owned
             for piece, epoch in owned.get("holds", {}).items():
-                self.history.holds.append(Hold(owned["now_ns"], router.name, piece, epoch))
-        zoned = await _told(router, "/zones") if self.failover else None
+                self.history.ownership.append(OwnershipSample(owned["now_ns"], router.name, piece, epoch))
+        zoned = await _fetch(router, "/zones") if self.failover else None
         if zoned is not None and process is router.process:
-            self.zones[router.name] = zoned
+            self.zone_reports[router.name] = zoned
             if plan := zoned.get("plan"):
-                end = str([plan["why"], plan["way_s"], plan["bad"], plan["out"]])
-                self.history.courses.append(
-                    Course(
-                        self.now(), router.name, process.pid, plan["epoch"], plan["number"], plan["by"], end
+                content = str([plan["why"], plan["way_s"], plan["bad"], plan["out"]])
+                self.history.plans.append(
+                    PlanSample(
+                        self.now(),
+                        router.name,
+                        process.pid,
+                        plan["epoch"],
+                        plan["number"],
+                        plan["by"],
+                        content,
                     )
                 )
 
-    async def until(
-        self, what: str, holds: Callable[[dict[str, Sample]], bool], seconds: float = 30.0
+    async def wait_until(
+        self, description: str, reached: Callable[[dict[str, Sample]], bool], seconds: float = 30.0
     ) -> None:
-        """Wait until the latest samples of all routers are so; raises NemesisError."""
+        """Wait until `reached` is true of the routers' samples taken since the call; raises NemesisError."""
         begun = self.now()
         while self.now() < begun + seconds:
-            fresh = {name: held for name, held in self.history.last().items() if held.at >= begun}
-            if fresh and holds(fresh):
+            fresh = {name: last for name, last in self.history.last_samples().items() if last.at >= begun}
+            if fresh and reached(fresh):
                 return
             await asyncio.sleep(0.05)
-        raise NemesisError(f"{what}: not within {seconds:g} s; {self._last_told()}")
+        raise NemesisError(f"{description}: not within {seconds:g} s; {self._describe_last_samples()}")
 
-    def _last_told(self) -> str:
-        """What each router said last, for a failure that has to be understood without the run."""
-        last = self.history.last()
-        told = []
-        for name in sorted(held.name for held in self.harness.held):
+    def _describe_last_samples(self) -> str:
+        """Return the last sample of each router as one line, for the message of a failure."""
+        last = self.history.last_samples()
+        descriptions = []
+        for name in sorted(router.name for router in self.harness.router_processes):
             sample = last.get(name)
             if sample is None:
-                told.append(f"{name} never answered")
+                descriptions.append(f"{name} never answered")
                 continue
-            states = ", ".join(f"{other} {held.state}" for other, held in sorted(sample.members.items()))
-            told.append(f"{name} {self.now() - sample.at:.1f} s ago {sample.standing} ({states})")
-        return "; ".join(told)
+            states = ", ".join(f"{other} {router.state}" for other, router in sorted(sample.members.items()))
+            descriptions.append(f"{name} {self.now() - sample.at:.1f} s ago {sample.quorum_state} ({states})")
+        return "; ".join(descriptions)
 
-    async def until_agreed(self, seconds: float = 30.0) -> None:
-        """Wait until all that run hold the same view, just those that run."""
-        running = frozenset(held.name for held in self.harness.held if held.alive)
+    async def wait_until_agreed(self, seconds: float = 30.0) -> None:
+        """Wait until every running router reports exactly the running routers as members."""
+        running = frozenset(router.name for router in self.harness.router_processes if router.alive)
 
         def agreed(last: dict[str, Sample]) -> bool:
-            views = {(last[name].live, last[name].digest) if name in last else None for name in running}
+            views = {
+                (last[name].live_members, last[name].digest) if name in last else None for name in running
+            }
             return len(views) == 1 and all(view is not None and view[0] == running for view in views)
 
-        await self.until(f"all agree on {len(running)} routers", agreed, seconds)
+        await self.wait_until(f"all agree on {len(running)} routers", agreed, seconds)
 
-    # Striking
+    # Fault injection
 
     def router(self, name: str) -> RouterProcess:
-        """By name."""
-        return next(held for held in self.harness.held if held.name == name)
+        """Return the router of this name."""
+        return next(router for router in self.harness.router_processes if router.name == name)
 
-    def _begin(self, kind: str, name: str) -> None:
-        self._open[kind, name] = self.now()
+    def _begin_fault(self, kind: str, name: str) -> None:
+        self._open_faults[kind, name] = self.now()
 
-    def _end(self, kind: str, name: str) -> float:
-        span = Span(kind, name, self._open.pop((kind, name)), self.now())
-        self.history.spans.append(span)
+    def _end_fault(self, kind: str, name: str) -> float:
+        span = FaultSpan(kind, name, self._open_faults.pop((kind, name)), self.now())
+        self.history.faults.append(span)
         return span.ended - span.begun
 
     @staticmethod
@@ -238,147 +253,160 @@
             os.kill(router.process.pid, number)
 
     async def stop_for(self, name: str, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after so long."""
+        """Send SIGSTOP to a router, and SIGCONT after this time."""
         router = self.router(name)
-        self._begin("stopped", name)
+        self._begin_fault("stopped", name)
         self._signal(router, signal.SIGSTOP)
         try:
             await asyncio.sleep(seconds)
         finally:
             self._signal(router, signal.SIGCONT)
-            lasted = int(self._end("stopped", name) * 1e9)
-            self.harness.ledger.write("router", name=name, state="stopped", ns=lasted)
+            duration_ns = int(self._end_fault("stopped", name) * 1e9)
+            self.harness.ledger.write("router", name=name, state="stopped", ns=duration_ns)
 
     async def kill(self, name: str) -> None:
-        """SIGKILL."""
-        self._begin("down", name)
+        """Kill a router with SIGKILL."""
+        self._begin_fault("down", name)
         await self.harness.kill_router(self.router(name))
 
     async def end(self, name: str) -> None:
-        """SIGTERM, and its end in good order."""
-        self._begin("down", name)
+        """Shut a router down gracefully with SIGTERM."""
+        self._begin_fault("down", name)
         await self.harness.end_router(self.router(name))
 
     async def start(self, name: str) -> None:
-        """Start a router again, under its name and addresses."""
+        """Start a router again under the same name and addresses."""
         if not await self.harness.start_router(self.router(name)):
             raise NemesisError(f"{name} did not start again")
-        self._end("down", name)
-
-    def cut(self, who: Sequence[str], whom: Sequence[str], both: bool = False) -> Broken:
-        """Nothing gets from these to those (`both`: nor back) while the context lasts."""
-        whole = both and {*who, *whom} == set(self._relay.ends)
-        pairs = [(who, whom), (whom, who)] if both else [(who, whom)]
-        return self._broken("cut", Fault(cut=True), pairs, frozenset(who if whole else ()))
+        self._end_fault("down", name)
+
+    def cut(self, sources: Sequence[str], targets: Sequence[str], both: bool = False) -> FaultContext:
+        """Drop all datagrams from sources to targets (`both`: and back) while the context is active."""
+        is_partition = both and {*sources, *targets} == set(self._relay.ends)
+        directions = [(sources, targets), (targets, sources)] if both else [(sources, targets)]
+        return self._link_fault(
+            "cut", Fault(cut=True), directions, frozenset(sources if is_partition else ())
+        )
 
     @contextlib.contextmanager
-    def _broken(
-        self, kind: str, fault: Fault, pairs: Sequence[_Pair], group: frozenset[str] = frozenset()
+    def _link_fault(
+        self, kind: str, fault: Fault, directions: Sequence[_Direction], side: frozenset[str] = frozenset()
     ) -> Iterator[None]:
-        """Danger: faults overlap; were one's beginning kept by name, the next would take it away."""
-        begun, touched = self.now(), sorted({name for pair in pairs for side in pair for name in side})
-        numbers = [self.links.fault(here, there, fault) for here, there in pairs]
+        """Apply a fault to these directions of links while the context is active.
+
+        Danger: faults overlap; with start times stored by router name, one fault would overwrite another's.
+        """
+        begun, affected = (
+            self.now(),
+            sorted({name for direction in directions for end in direction for name in end}),
+        )
+        numbers = [self.links.fault(sources, targets, fault) for sources, targets in directions]
         try:
             yield
         finally:
             for number in numbers:
                 self.links.mend(number)
-            self.history.spans += [Span(kind, name, begun, self.now(), group) for name in touched]
+            self.history.faults += [FaultSpan(kind, name, begun, self.now(), side) for name in affected]
 
     @contextlib.asynccontextmanager
     async def zone_lost(self, zones: Sequence[str], kind: str = "cut_off") -> AsyncIterator[None]:
-        """All servers of these zones are struck while the context lasts; `kind`: of the stand-ins' faults."""
+        """Apply a stand-in fault of this kind to all servers of these zones while the context is active."""
         control, nodes = self.harness.control, self.harness.addresses["nodes"]
-        struck = [node for node in nodes if zone_of(node) in zones]
-        for node in struck:
+        affected = [node for node in nodes if zone_of(node) in zones]
+        for node in affected:
             await control.call("strike", kind=kind, target=node, figures={})
         try:
             yield
         finally:
-            for node in struck:
+            for node in affected:
                 await control.call("mend", target=node)
 
-    def others(self, who: Sequence[str]) -> list[str]:
-        """All but these."""
-        return [name for name in self._relay.ends if name not in who]
+    def others(self, names: Sequence[str]) -> list[str]:
+        """Return the names of all routers except these."""
+        return [name for name in self._relay.ends if name not in names]
 
-    async def strike(self, act: Act) -> None:
-        """Carry one act out, whole; whoever is down or stopped already is left alone."""
-        taken = {who for _, who in self._open}
-        who, everyone = [name for name in act.who if name not in taken], self.others([])
-        match act.kind:
+    async def inject(self, fault: ScheduledFault) -> None:
+        """Inject one fault and wait for its end; routers that are already down or stopped are skipped."""
+        unavailable = {who for _, who in self._open_faults}
+        who, all_names = [name for name in fault.who if name not in unavailable], self.others([])
+        match fault.kind:
             case "kill" | "restart":
-                await asyncio.gather(*(self._bounce(name, act) for name in who))
+                await asyncio.gather(*(self._restart(name, fault) for name in who))
             case "stop":
-                await asyncio.gather(*(self.stop_for(name, act.seconds) for name in who))
+                await asyncio.gather(*(self.stop_for(name, fault.seconds) for name in who))
             case "zone":
-                async with self.zone_lost(act.who):
-                    await asyncio.sleep(act.seconds)
+                async with self.zone_lost(fault.who):
+                    await asyncio.sleep(fault.seconds)
             case "cut" | "partition":
-                both = act.kind == "partition"
-                whom = self.others(act.who) if both or not act.whom else act.whom
-                with self.cut(act.who, whom, both):
-                    await asyncio.sleep(act.seconds)
+                both = fault.kind == "partition"
+                targets = self.others(fault.who) if both or not fault.whom else fault.whom
+                with self.cut(fault.who, targets, both):
+                    await asyncio.sleep(fault.seconds)
             case _:
-                with self._broken("strained", STRAINS[act.kind](act.share), [(everyone, everyone)]):
-                    await asyncio.sleep(act.seconds)
-
-    async def _bounce(self, name: str, act: Act) -> None:
-        await (self.kill(name) if act.kind == "kill" else self.end(name))
-        await asyncio.sleep(act.seconds)
+                with self._link_fault(
+                    "strained", LINK_FAULTS[fault.kind](fault.share), [(all_names, all_names)]
+                ):
+                    await asyncio.sleep(fault.seconds)
+
+    async def _restart(self, name: str, fault: ScheduledFault) -> None:
+        """End a router as the kind of the fault says, and start it again after the duration of the fault."""
+        await (self.kill(name) if fault.kind == "kill" else self.end(name))
+        await asyncio.sleep(fault.seconds)
         await self.start(name)
 
-    async def play(self, acts: Sequence[Act], say: Callable[[str], None]) -> None:
-        """Play a schedule to its end, faults side by side as they come, and wait until all agree."""
+    async def play(self, faults: Sequence[ScheduledFault], progress: Callable[[str], None]) -> None:
+        """Inject the faults of a schedule at their times, overlapping, and wait until all routers agree."""
 
-        async def one(act: Act) -> None:
-            await asyncio.sleep(max(act.at - self.now(), 0))
-            say(f"{self.now():6.1f} s  {act}")
-            await self.strike(act)
+        async def inject_in_time(fault: ScheduledFault) -> None:
+            await asyncio.sleep(max(fault.at - self.now(), 0))
+            progress(f"{self.now():6.1f} s  {fault}")
+            await self.inject(fault)
 
-        playing = [asyncio.get_running_loop().create_task(one(act)) for act in acts]
+        tasks = [asyncio.get_running_loop().create_task(inject_in_time(fault)) for fault in faults]
         try:
-            await asyncio.gather(*playing)
+            await asyncio.gather(*tasks)
         finally:
-            for task in playing:
+            for task in tasks:
                 task.cancel()
-        await self.until_agreed(60.0)
+        await self.wait_until_agreed(60.0)
         self.history.ended = self.now()
 
 
-def _own_address(number: int) -> Address:
-    """An address that only this run has, at a port that is free."""
+def _unused_address(number: int) -> Address:
+    """Return a loopback address that only this run uses, with a free port."""
     host = f"127.{1 + os.getpid() % 250}.{os.getpid() // 250 % 250}.{number + 1}"
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as bound:
-        bound.bind((host, 0))
-        return host, int(bound.getsockname()[1])
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind((host, 0))
+        return host, int(probe.getsockname()[1])
 
 
-async def _told(router: RouterProcess, path: str) -> dict[str, Any] | None:
-    """What a router answers; None: not in time, or its process has just gone."""
+async def _fetch(router: RouterProcess, path: str) -> dict[str, Any] | None:
+    """Return a router's answer at an admin path, or None if it did not answer in time or has just ended."""
     try:
-        return await asyncio.to_thread(ask, router.admin, path, ASK_S)
+        return await asyncio.to_thread(ask, router.admin, path, ANSWER_TIMEOUT_S)
     except (OSError, ValueError):
         return None
 
 
 async def run_nemesis(
-    nemesis: Nemesis, acts: Sequence[Act], say: Callable[[str], None], rate: float = 0.0
+    nemesis: Nemesis, faults: Sequence[ScheduledFault], progress: Callable[[str], None], rate: float = 0.0
 ) -> dict[str, Any]:
-    """Play a schedule on a fleet of its own, beside a load; returns the report and the audit."""
+    """Play a schedule of faults on a fleet, optionally under load; return the report with the verdict."""
     stop = asyncio.Event()
     async with nemesis:
-        await nemesis.until_agreed(60.0)
+        await nemesis.wait_until_agreed(60.0)
         nemesis.restart_clock()
-        calls = ", ".join("{} {}:{}".format(held.name, *held.admin) for held in nemesis.harness.held)
-        say(f"operators call {calls}")
+        addresses = ", ".join(
+            "{} {}:{}".format(router.name, *router.admin) for router in nemesis.harness.router_processes
+        )
+        progress(f"admin addresses: {addresses}")
         load = None
         if rate:
-            plan = LoadPlan((Step(0.0, rate),), FOR_GOOD_S, seed=nemesis.seed, keys=500)
+            plan = LoadPlan((Step(0.0, rate),), UNLIMITED_S, seed=nemesis.seed, keys=500)
             load = asyncio.get_running_loop().create_task(run_load(nemesis.harness, plan, stop=stop))
         try:
-            with contextlib.suppress(NemesisError):  # the history tells as much
-                await nemesis.play(acts, say)
+            with contextlib.suppress(NemesisError):  # the history shows the same failure
+                await nemesis.play(faults, progress)
         finally:
             stop.set()
         if load is not None:
@@ -387,7 +415,9 @@
     report = nemesis.history.report()
     if load is not None:
         summary, ledger = load.result()
-        verdict = nemesis.harness.audit([ledger], Limits(SLACK_MS, SLACK_MS, SLACK_MS, SLACK_MS))
+        verdict = nemesis.harness.audit(
+            [ledger], Limits(AUDIT_SLACK_MS, AUDIT_SLACK_MS, AUDIT_SLACK_MS, AUDIT_SLACK_MS)
+        )
         report["served"], report["audit"] = summary["served"], verdict.as_json()
         report["clean"] = report["clean"] and verdict.clean
     return report
--- a/saltport/soak.py
+++ b/saltport/soak.py
@@ -1,4 +1,4 @@
-"""A soak: stand-ins and routers under seeded faults and router restarts, and the audit at the end."""
+"""Soak runs: routers against stand-ins under seeded faults and router restarts, with a final audit."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from saltport.standins.faults import KINDS
 from saltport.standins.profile import Profile, hurried, quick
 
-IDLE_AGAIN_S = 0.05  # before a client of the crowd comes back
+IDLE_RECONNECT_DELAY_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class Soak:
-    """The size of a soak; `restart_every_s` 0: routers are left alone. A seed gives the same faults again."""
+    """The parameters of a soak run; the same seed gives the same faults. `restart_every_s` 0: no restarts."""
 
     seconds: float
     nodes: int = 30
@@ -32,32 +32,33 @@
     seed: int = 1
     fault_every_s: float = 1.0
     restart_every_s: float = 20.0
-    divide: float = 1.0
+    work_divisor: float = 1.0
+    """The divisor of the stand-ins' work times."""
     keys: int = 2000
     kinds: Sequence[str] = tuple(KINDS)
-    hurry: float = 1.0
-    """Clients wait for a part of their usual time, as 1 / this: SIGKILL follows SIGTERM the sooner."""
-    crowd: int = 0
-    """So many idle connections at each router, again as soon as one is closed."""
+    deadline_divisor: float = 1.0
+    """The divisor of the clients' deadlines; shorter deadlines also let SIGKILL follow SIGTERM sooner."""
+    idle_connections: int = 0
+    """The number of idle connections to each router; a closed one is opened again."""
     sockets: int = 1024
-    """What a router may hold."""
+    """The limit of open sockets of each router."""
     environ: Mapping[str, str] = field(default_factory=dict)
-    """What routers find in their environment beside the rest."""
+    """Additional environment variables of the routers."""
 
 
 @dataclass(frozen=True, slots=True)
 class SoakResult:
-    """What a soak showed."""
+    """The report, the audit's verdict and the injected faults of a soak run."""
 
     summary: dict[str, Any]
     verdict: Verdict
-    struck: dict[str, int]
-    """How often each kind of fault struck."""
+    fault_counts: dict[str, int]
+    """The number of injected faults by kind."""
     schedule: list[dict[str, Any]]
 
 
-async def stand_idle(address: Address, seconds: float) -> None:
-    """Connect, say nothing, and connect again when that is closed."""
+async def keep_idle_connection(address: Address, seconds: float) -> None:
+    """Keep one idle connection open, and open it again whenever it is closed."""
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         try:
@@ -66,45 +67,47 @@
             writer.close()
         except OSError:
             pass
-        await asyncio.sleep(IDLE_AGAIN_S)
+        await asyncio.sleep(IDLE_RECONNECT_DELAY_S)
 
 
 async def run_soak(
     soak: Soak, folder: Path, limits: Limits, progress: Callable[[str], None] | None = None
 ) -> SoakResult:
-    """Run a soak in an empty folder, which keeps its ledgers and logs; raises HarnessError."""
-    profile = hurried(quick(Profile(), soak.divide), soak.hurry)
+    """Run a soak with its ledgers and logs in an empty folder; raises HarnessError."""
+    profile = hurried(quick(Profile(), soak.work_divisor), soak.deadline_divisor)
 
-    def dress(_: str, told: dict[str, Any]) -> dict[str, str]:
-        told["limits"]["sockets"] = soak.sockets
+    def configure(_: str, config: dict[str, Any]) -> dict[str, str]:
+        config["limits"]["sockets"] = soak.sockets
         return {}
 
-    harness = Harness(folder, profile, soak.nodes, soak.routers, soak.seed, dress=dress, environ=soak.environ)
+    harness = Harness(
+        folder, profile, soak.nodes, soak.routers, soak.seed, configure=configure, environ=soak.environ
+    )
     plan = LoadPlan((Step(0.0, soak.rate),), soak.seconds, keys=soak.keys, seed=soak.seed)
     async with harness:
-        told = await harness.control.call(
+        played = await harness.control.call(
             "play", seed=soak.seed, seconds=soak.seconds, kinds=list(soak.kinds), every_s=soak.fault_every_s
         )
-        crowds = [
-            asyncio.get_running_loop().create_task(stand_idle(router.address, soak.seconds))
-            for router in harness.held
-            for _ in range(soak.crowd)
+        idle_tasks = [
+            asyncio.get_running_loop().create_task(keep_idle_connection(router.address, soak.seconds))
+            for router in harness.router_processes
+            for _ in range(soak.idle_connections)
         ]
         load = asyncio.get_running_loop().create_task(run_load(harness, plan, progress=progress))
         if soak.restart_every_s:
-            chaos = asyncio.get_running_loop().create_task(
+            restarts = asyncio.get_running_loop().create_task(
                 harness.restart_routers(soak.seconds, soak.restart_every_s)
             )
             try:
                 summary, ledger = await load
             finally:
-                chaos.cancel()
+                restarts.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
-                    await chaos
+                    await restarts
         else:
             summary, ledger = await load
-        for crowd in crowds:
-            crowd.cancel()
-        await asyncio.gather(*crowds, return_exceptions=True)
-    struck = Counter(record["fault"] for record in harness.fleet_records() if record["kind"] == "fault")
-    return SoakResult(summary, harness.audit([ledger], limits), dict(struck), told["schedule"])
+        for task in idle_tasks:
+            task.cancel()
+        await asyncio.gather(*idle_tasks, return_exceptions=True)
+    fault_counts = Counter(record["fault"] for record in harness.fleet_records() if record["kind"] == "fault")
+    return SoakResult(summary, harness.audit([ledger], limits), dict(fault_counts), played["schedule"])
--- a/tests/nemesis/test_owner_processes.py
+++ b/tests/nemesis/test_owner_processes.py
@@ -1,4 +1,4 @@
-"""Seven real routers, five of them voters: one owner at a time through pauses, deaths and partitions."""
+"""Seven router processes, five of them voters: one owner at a time through pauses, deaths and partitions."""
 
 from __future__ import annotations
 
@@ -12,25 +12,25 @@
 from saltport.nemesis.runner import Nemesis, NemesisError
 from saltport.owners.fence import Fence
 
-PATIENCE_S = 150.0
+SCENE_TIMEOUT_S = 150.0
 LEASE_S = 3.0
 
 
 class Worker:
-    """A program of the operators: it asks a router for its epoch, and its effects may arrive long after."""
+    """An external program that acts in the epochs that routers report; its effects may arrive later."""
 
     def __init__(self, nemesis: Nemesis) -> None:
         self._nemesis, self._rng = nemesis, random.Random(3)
         self.fence = Fence()
         self.arrived: list[tuple[str, int]] = []
-        """Effects in the order in which they arrived."""
+        """All effects, in the order in which they arrived."""
         self.applied: list[tuple[str, int]] = []
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         while True:
-            for told in list(self._nemesis.told.values()):
-                for piece, epoch in told.get("holds", {}).items():
+            for report in list(self._nemesis.owner_reports.values()):
+                for piece, epoch in report.get("holds", {}).items():
                     delay = self._rng.choice([0.0, 0.1, LEASE_S, 2 * LEASE_S])
                     task = asyncio.get_running_loop().create_task(self._effect(piece, epoch, delay))
                     self._tasks.add(task)
@@ -44,45 +44,46 @@
             self.applied.append((piece, epoch))
 
 
-def from_older(effects: list[tuple[str, int]]) -> int:
+def count_stale(effects: list[tuple[str, int]]) -> int:
+    """Count the effects that arrived after an effect of a later epoch."""
     highest: dict[str, int] = {}
-    found = 0
+    stale = 0
     for piece, epoch in effects:
-        found += epoch < highest.get(piece, 0)
+        stale += epoch < highest.get(piece, 0)
         highest[piece] = max(epoch, highest.get(piece, 0))
-    return found
+    return stale
 
 
 def owners(nemesis: Nemesis) -> dict[str, tuple[str, int]]:
-    """By piece, who said last that it holds it by the highest epoch."""
+    """Return the router that last reported each piece under its highest epoch, with that epoch."""
     found: dict[str, tuple[str, int]] = {}
-    for hold in nemesis.history.holds:
-        if hold.epoch >= found.get(hold.piece, ("", 0))[1]:
-            found[hold.piece] = (hold.by, hold.epoch)
+    for claim in nemesis.history.ownership:
+        if claim.epoch >= found.get(claim.piece, ("", 0))[1]:
+            found[claim.piece] = (claim.router, claim.epoch)
     return found
 
 
-async def until(what: str, holds: Callable[[], bool], seconds: float = 60.0) -> None:
+async def wait_until(description: str, reached: Callable[[], bool], seconds: float = 60.0) -> None:
     try:
         async with asyncio.timeout(seconds):
-            while not holds():
+            while not reached():
                 await asyncio.sleep(0.05)
     except TimeoutError:
-        raise NemesisError(f"{what}: not within {seconds:g} s") from None
+        raise NemesisError(f"{description}: not within {seconds:g} s") from None
 
 
 def play(folder: Path, scene: Callable[[Nemesis, Worker], Awaitable[None]]) -> tuple[Nemesis, Worker]:
     async def run() -> tuple[Nemesis, Worker]:
         nemesis = Nemesis(folder, 7, seed=4, voters=5)
-        async with asyncio.timeout(PATIENCE_S), nemesis:
-            await nemesis.until_agreed(60)
+        async with asyncio.timeout(SCENE_TIMEOUT_S), nemesis:
+            await nemesis.wait_until_agreed(60)
             nemesis.restart_clock()
-            await until("all pieces are owned", lambda: len(owners(nemesis)) == 2)
+            await wait_until("all pieces are owned", lambda: len(owners(nemesis)) == 2)
             worker = Worker(nemesis)
             task = asyncio.get_running_loop().create_task(worker.run())
             try:
                 await scene(nemesis, worker)
-                await nemesis.until_agreed()
+                await nemesis.wait_until_agreed()
             finally:
                 task.cancel()
             nemesis.history.ended = nemesis.now()
@@ -92,46 +93,46 @@
 
 
 def leader(nemesis: Nemesis) -> str:
-    """Who was certain to lead when it was asked last, by the latest term."""
-    led = [
-        (told["voter"]["term"], name)
-        for name, told in nemesis.told.items()
-        if told.get("voter", {}).get("lease_left_ms")
+    """Return the router of the highest term that last reported a leader lease, or an empty string."""
+    leaders = [
+        (report["voter"]["term"], name)
+        for name, report in nemesis.owner_reports.items()
+        if report.get("voter", {}).get("lease_left_ms")
     ]
-    return max(led, default=(0, ""))[1]
+    return max(leaders, default=(0, ""))[1]
 
 
 def test_one_owner_through_a_stop_a_death_and_a_partition(tmp_path: Path) -> None:
     async def scene(nemesis: Nemesis, worker: Worker) -> None:
-        # An owner stands still for longer than its lease, looks at it again, and finds that it holds nothing.
+        # An owner is stopped for longer than its lease and must find, once resumed, that it owns nothing.
         name, epoch = owners(nemesis)["rollout"]
         stopped = asyncio.get_running_loop().create_task(nemesis.stop_for(name, 3 * LEASE_S))
-        await until("another has taken over", lambda: owners(nemesis)["rollout"][1] > epoch)
+        await wait_until("another router has taken over", lambda: owners(nemesis)["rollout"][1] > epoch)
         await stopped
-        await nemesis.until_agreed()
-        # Who leads is killed, whatever it owned.
-        await until("somebody leads", lambda: leader(nemesis) != "")
+        await nemesis.wait_until_agreed()
+        # The leader is killed.
+        await wait_until("a leader is elected", lambda: leader(nemesis) != "")
         first = leader(nemesis)
         await nemesis.kill(first)
-        nemesis.told.pop(first, None)
-        await until("another leads", lambda: leader(nemesis) not in ("", first))
+        nemesis.owner_reports.pop(first, None)
+        await wait_until("another router leads", lambda: leader(nemesis) not in ("", first))
         await nemesis.start(first)
-        await nemesis.until_agreed()
-        # Who leads is cut off with one other: the five go on, the two hold nothing longer than their leases.
+        await nemesis.wait_until_agreed()
+        # The leader and one other are cut off: the five go on working, the two lose their pieces in time.
         old = leader(nemesis)
         small = [old, next(name for name in nemesis.others([old]))]
-        before = {piece: held for piece, (_, held) in owners(nemesis).items()}
+        before = {piece: earlier for piece, (_, earlier) in owners(nemesis).items()}
         with nemesis.cut(small, nemesis.others(small), both=True):
-            await until(
-                "the majority owns all",
-                lambda: all(who not in small for who, _ in owners(nemesis).values()),
+            await wait_until(
+                "the majority owns all pieces",
+                lambda: all(owner not in small for owner, _ in owners(nemesis).values()),
             )
         assert all(epoch >= before[piece] for piece, (_, epoch) in owners(nemesis).items())
 
     nemesis, worker = play(tmp_path, scene)
     assert nemesis.history.check() == []
     assert nemesis.history.checked()["one_owner"] > 50
-    assert from_older(worker.applied) == 0
-    # Without the fence the same effects would have done harm: so the check above can fail.
-    assert from_older(worker.arrived) > 0
+    assert count_stale(worker.applied) == 0
+    # Effects of older epochs did arrive, so the check above could have failed without the fence.
+    assert count_stale(worker.arrived) > 0
     assert worker.fence.refused > 0
--- a/tests/router/test_hot_keys.py
+++ b/tests/router/test_hot_keys.py
@@ -54,7 +54,7 @@
                         await asyncio.sleep(0.5)
                         await harness.control.call("mend", target=node)
                 _, ledger = await load
-                state = await asyncio.to_thread(ask, harness.held[0].admin, "/state")
+                state = await asyncio.to_thread(ask, harness.router_processes[0].admin, "/state")
             return harness, ledger, state
 
     harness, ledger, state = uvloop.run(run())
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -75,7 +75,7 @@
 
 def test_a_router_restarted_during_load_loses_only_what_it_held(tmp_path: Path) -> None:
     async def scene(harness: Harness) -> None:
-        (router,) = harness.held
+        (router,) = harness.router_processes
         await asyncio.sleep(0.5)
         await harness.kill_router(router)
         assert await harness.start_router(router)
@@ -93,7 +93,7 @@
 
 def test_a_router_that_crashes_is_told(tmp_path: Path) -> None:
     async def scene(harness: Harness) -> None:
-        (router,) = harness.held
+        (router,) = harness.router_processes
         assert router.process is not None
         router.process.terminate()  # not through the harness: nobody wanted it to end
         await router.process.wait()
@@ -114,7 +114,7 @@
 def test_ports_stay_reserved_while_their_router_is_down(tmp_path: Path) -> None:
     async def run() -> None:
         async with Harness(tmp_path, quick(Profile(), 20), 2, 1) as harness:
-            (router,) = harness.held
+            (router,) = harness.router_processes
             await harness.kill_router(router)
             for address in (router.address, router.admin):
                 with socket.socket() as other, pytest.raises(OSError, match="in use"):
--- a/tests/test_soak_shutdown.py
+++ b/tests/test_soak_shutdown.py
@@ -1,6 +1,6 @@
-"""Soaks of restarts: series of signals, SIGKILL at the earliest, clients that go on, crowds, failing calls.
+"""Soak runs with restarts: signal sequences, the earliest SIGKILL, idle connections, failing system calls.
 
-Some seeds in each run of the suite, for more than a minute; more by hand:
+The suite runs 8 seeds, which take more than a minute. To run more:
 SALTPORT_SOAK_SEEDS=50 pytest -n 8 tests/test_soak_shutdown.py
 """
 
@@ -22,8 +22,8 @@
 
 SEEDS = int(os.environ.get("SALTPORT_SOAK_SEEDS", "8"))
 SECONDS = 9.0
-CROWD, CROWDED_SOCKETS = 140, 200
-# A machine that is busy with other tests may stall a router for longer than the rules' 50 ms.
+IDLE_CONNECTIONS, SCARCE_SOCKETS = 140, 200
+# A machine that is busy with other tests may stall a router for longer than the audit's default of 50 ms.
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
 FAILURES: Sequence[tuple[Call, int]] = (
     (Call.ACCEPT, errno.ENFILE), (Call.ACCEPT, errno.ECONNABORTED), (Call.SOCKET, errno.ENFILE),
@@ -37,8 +37,8 @@
 STEPS_S = (3600.0, -3600.0, 7.0, -7.0, 0.0)
 
 
-async def fail_now_and_then(calls: SystemCalls, rng: random.Random) -> None:
-    """System calls fail for a moment, reads and writes come short, the wall clock is stepped."""
+async def inject_system_faults(calls: SystemCalls, rng: random.Random) -> None:
+    """Repeatedly make system calls fail, shorten reads and writes, and step the wall clock."""
     while True:
         await asyncio.sleep(rng.uniform(0.2, 0.8))
         call, number = rng.choice(FAILURES)
@@ -48,18 +48,19 @@
 
 
 def play(seed: int, folder: Path) -> SoakResult:
-    """Every third seed has a crowd, the others calls that fail; every second one has short deadlines."""
+    """Every third seed has idle connections, the others failing calls; even seeds have short deadlines."""
     rng = random.Random(seed)
     calls = SystemCalls(folder)
-    crowd = CROWD if seed % 3 == 0 else 0
+    idle_connections = IDLE_CONNECTIONS if seed % 3 == 0 else 0
     soak = Soak(
-        SECONDS, nodes=12, routers=3, rate=60, seed=seed, fault_every_s=0.6, restart_every_s=1.2, divide=4,
-        keys=300, hurry=1.0 if seed % 2 else 4.0, crowd=crowd,
-        sockets=CROWDED_SOCKETS if crowd else 1024, environ=calls.environ,
+        SECONDS, nodes=12, routers=3, rate=60, seed=seed, fault_every_s=0.6, restart_every_s=1.2,
+        work_divisor=4, keys=300, deadline_divisor=1.0 if seed % 2 else 4.0,
+        idle_connections=idle_connections, sockets=SCARCE_SOCKETS if idle_connections else 1024,
+        environ=calls.environ,
     )  # fmt: skip
 
     async def run() -> SoakResult:
-        failing = asyncio.create_task(fail_now_and_then(calls, rng)) if seed % 3 else None
+        failing = asyncio.create_task(inject_system_faults(calls, rng)) if seed % 3 else None
         try:
             return await run_soak(soak, folder, GENEROUS)
         finally:
@@ -70,7 +71,9 @@
 
 
 @pytest.mark.parametrize("seed", range(1, SEEDS + 1))
-def test_rules_hold_through_restarts_crowds_and_a_failing_system(tmp_path: Path, seed: int) -> None:
+def test_rules_hold_through_restarts_idle_connections_and_failing_system_calls(
+    tmp_path: Path, seed: int
+) -> None:
     result = play(seed, tmp_path)
     assert result.verdict.violations == []
     assert result.verdict.checked["answers"] > 100
