--- a/saltport/audit.py
+++ b/saltport/audit.py
@@ -1,8 +1,8 @@
-"""The audit: reads the ledgers of clients, stand-ins and harness, and proves the four rules over a run.
+"""The audit: checks the ledgers of clients, stand-ins and harness of one run against the project's rules.
 
-No I/O. Each ledger begins with a `clock` record; ledgers of one boot share the monotonic clock, others are
-brought together by Unix time. Where a writer's own loop ran late (`lag` records), what it noted late is
-allowed that much.
+This module does no I/O. Each ledger begins with a `clock` record. Ledgers from one boot of a machine share
+the monotonic clock; others are aligned by Unix time. Where a writer's event loop ran late (`lag` records),
+the time limits on its records are extended by the lag.
 """
 
 from __future__ import annotations
@@ -19,26 +19,27 @@
 
 MS = 1_000_000
 RULES = ("answers", "effects", "drains", "cold", "stale")
-FINAL = ("served", "refused", "failed")
-NOT_UP = ("draining", "removed")
+FINAL_ANSWERS = ("served", "refused", "failed")
+OUT_OF_SERVICE = ("draining", "removed")
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the audit allows beyond the rules' own figures; milliseconds."""
+    """Tolerances beyond the limits of the rules, in milliseconds."""
 
     answer_slack_ms: int = 50
-    """After a try's time is up, in which its answer must have come."""
+    """The time after the deadline of a try within which its final answer must arrive."""
     send_slack_ms: int = 50
-    """After a final answer or a request's time, in which a send may still arrive, as it was under way."""
+    """The time after a final answer or a deadline in which a send that was in flight may still arrive."""
     drain_slack_ms: int = 50
+    """The time added to the drain grace period."""
     window_slack_ms: int = 50
-    """Before the end of a repeat's window: the first attempt may have taken so long to arrive."""
+    """The time added to the window for repeats, since the first attempt may have arrived late."""
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A rule that was broken: when (by the run's clock, here in nanoseconds), and the case in one line."""
+    """A broken rule, its time on the clock of the run (here in nanoseconds), and one line on the case."""
 
     rule: str
     at: float
@@ -47,21 +48,23 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """What the audit found."""
+    """The result of an audit."""
 
     violations: list[Violation] = field(default_factory=list)
     checked: dict[str, int] = field(default_factory=dict)
-    """How many cases each rule was tried on: a rule with 0 was not shown."""
+    """The number of cases that each rule was checked on; a rule with 0 cases was not tested."""
     answers: dict[str, int] = field(default_factory=dict)
+    """The number of tries by their answer."""
     notes: dict[str, int] = field(default_factory=dict)
+    """The number of cases of each kind that looked like violations and are allowed."""
 
     @property
     def clean(self) -> bool:
         """Whether no rule was broken."""
         return not self.violations
 
-    def as_json(self, most: int = 20) -> dict[str, Any]:
-        """For reports, with the first `most` violations."""
+    def as_json(self, max_violations: int = 20) -> dict[str, Any]:
+        """Return the result as a JSON object, with the first `max_violations` violations."""
         broken = Counter(violation.rule for violation in self.violations)
         return {
             "clean": self.clean,
@@ -69,16 +72,19 @@
             "checked": self.checked,
             "answers": self.answers,
             "notes": self.notes,
-            "violations": [asdict(violation) for violation in self.violations[:most]],
+            "violations": [asdict(violation) for violation in self.violations[:max_violations]],
         }
 
 
 class AuditError(ValueError):
-    """Ledgers that can't be audited; the text is one plain line."""
+    """Raised for ledgers that can't be audited; the message is one line."""
 
 
 def merge(ledgers: Iterable[Iterable[Record]]) -> list[Record]:
-    """All records on one clock (that of the first ledger), in order; each gets its `writer`."""
+    """Return the records of all ledgers ordered by time on the clock of the first ledger.
+
+    Each record gets the field `writer`. Raises AuditError for a ledger that does not begin with its clock.
+    """
     merged: list[Record] = []
     base: Record | None = None
     for ledger in ledgers:
@@ -87,7 +93,7 @@
         for record in ledger:
             if clock is None:
                 if record.get("kind") != "clock":
-                    raise AuditError("a ledger must begin with its clock")
+                    raise AuditError("a ledger must begin with a clock record")
                 clock, base = record, base or record
                 if not (clock["boot"] and clock["boot"] == base["boot"]):
                     shift = (clock["unix"] - clock["t"]) - (base["unix"] - base["t"])
@@ -100,23 +106,25 @@
     return merged
 
 
-class _Lags:
-    """How late a writer's loop ran around a time."""
+class _LagIndex:
+    """The recorded event loop lags of one writer, ordered by their start."""
 
     def __init__(self, records: Iterable[Record]) -> None:
-        held = sorted((record["t"] - record["ns"], record["t"], record["ns"]) for record in records)
-        self._begins = [begin for begin, _, _ in held]
-        self._held = held
+        lags = sorted((record["t"] - record["ns"], record["t"], record["ns"]) for record in records)
+        self._begins = [begin for begin, _, _ in lags]
+        self._lags = lags
 
-    def near(self, at: int, margin: int = 100 * MS) -> int:
-        """The longest stall that this time lies in, or just behind."""
+    def longest_near(self, at: int, margin: int = 100 * MS) -> int:
+        """Return the longest lag, in nanoseconds, that covers this time within the margin, or 0."""
         last = bisect_right(self._begins, at + margin)
         return max(
-            (ns for _, end, ns in self._held[max(last - 64, 0) : last] if end >= at - margin), default=0
+            (ns for _, end, ns in self._lags[max(last - 64, 0) : last] if end >= at - margin), default=0
         )
 
 
 class _Audit:
+    """One audit: a method for each rule, which adds its violations to the verdict."""
+
     def __init__(self, records: Sequence[Record], profile: Profile, limits: Limits) -> None:
         self.profile, self.limits = profile, limits
         self.verdict = Verdict()
@@ -127,93 +135,109 @@
         self.tries: dict[str, Record] = {}
         for record in by_kind["try"]:
             if record["id"] in self.tries:
-                self.broken("answers", record, f"{record['id']} has two final answers in the client's ledger")
+                self.add_violation(
+                    "answers", record, f"{record['id']} has two final answers in the client's ledger"
+                )
             self.tries[record["id"]] = record
         self.attempts: dict[str, list[Record]] = defaultdict(list)
         for record in by_kind["attempt"]:
             self.attempts[record["id"]].append(record)
         self.lags = {
-            writer: _Lags([lag for lag in by_kind["lag"] if lag["writer"] == writer])
+            writer: _LagIndex([lag for lag in by_kind["lag"] if lag["writer"] == writer])
             for writer in {record["writer"] for record in records}
         }
-        self.ends: dict[str, list[int]] = defaultdict(list)
+        self.kills: dict[str, list[int]] = defaultdict(list)
         self.stops: dict[str, list[tuple[int, int]]] = defaultdict(list)
         for record in by_kind["router"]:
-            # One that was told to end owes its answers all the same, be it killed in the end.
+            # A router that gets SIGTERM must still answer its open requests, even if SIGKILL ends it later.
             if record["state"] in ("killed", "crashed"):
-                self.ends[record["name"]].append(record["t"])
+                self.kills[record["name"]].append(record["t"])
             elif record["state"] == "stopped":
                 self.stops[record["name"]].append((record["t"] - record["ns"], record["t"]))
 
-    def broken(self, rule: str, record: Record, what: str) -> None:
+    def add_violation(self, rule: str, record: Record, what: str) -> None:
         self.verdict.violations.append(Violation(rule, record["t"], what))
 
-    def stall(self, record: Record, at: int) -> int:
-        """What is allowed for the writer's own lag at this time."""
-        return self.lags[record["writer"]].near(at)
+    def lag_allowance(self, record: Record, at: int) -> int:
+        """Return the nanoseconds allowed for the lag of the record's writer around this time."""
+        return self.lags[record["writer"]].longest_near(at)
 
     # Rule 1: exactly one final answer in time, and nothing is sent after it
 
     def answers(self) -> None:
+        """Check that each try got one final answer in time and that no attempt was sent after it."""
         verdict, limits = self.verdict, self.limits
         verdict.answers = dict(Counter(record["answer"] for record in self.tries.values()))
         verdict.checked["answers"] = len(self.tries)
         for record in self.by_kind["extra"]:
-            self.broken("answers", record, f"more than one answer on a connection to {record['router']}")
+            self.add_violation(
+                "answers", record, f"more than one answer on a connection to {record['router']}"
+            )
         for record in self.by_kind["router"]:
             if record["state"] == "crashed":
-                self.broken("answers", record, f"router {record['name']} crashed")
+                self.add_violation("answers", record, f"router {record['name']} crashed")
         for record in self.tries.values():
-            self._one_answer(record)
+            self._check_answer(record)
             if record["sent"]:
                 due = record["sent"] + record["wait_ms"] * MS
-                if self.stood_still(record, due):
-                    continue  # what lay unread meanwhile looks new to it
-                final = min(record["t"], due) if record["answer"] in FINAL else due
+                if self.was_stopped(record, due):
+                    continue  # requests that arrived meanwhile look new to the router when it resumes
+                final = min(record["t"], due) if record["answer"] in FINAL_ANSWERS else due
                 for attempt in self.attempts[record["id"]]:
-                    slack = limits.send_slack_ms * MS + self.stall(attempt, attempt["t"])
-                    if attempt["first"] > final + slack + self.stall(record, final):
+                    slack = limits.send_slack_ms * MS + self.lag_allowance(attempt, attempt["t"])
+                    if attempt["first"] > final + slack + self.lag_allowance(record, final):
                         late = (attempt["first"] - final) / MS
-                        self.broken(
+                        self.add_violation(
                             "answers", attempt,
-                            f"{record['id']}: sent to {attempt['node']} {late:.0f} ms after its end",
+                            f"{record['id']}: sent to {attempt['node']} {late:.0f} ms "
+                            "after its answer or deadline",
                         )  # fmt: skip
 
-    def _one_answer(self, record: Record) -> None:
+    def _check_answer(self, record: Record) -> None:
         answer, name = record["answer"], f"{record['id']} ({record['cls']}, {record['router']})"
         if answer == "wrong":
-            self.broken("answers", record, f"{name}: served with what was not made for it")
+            self.add_violation("answers", record, f"{name}: served with a wrong value")
         if answer in ("unsent", "cut", "wrong"):
-            return  # never taken; or failed in a way that the client can tell
+            return  # never accepted, or failed in a way that the client can detect
         due = record["sent"] + record["wait_ms"] * MS
-        if answer in FINAL:
-            late = record["t"] - due - self.limits.answer_slack_ms * MS - self.stall(record, record["t"])
+        if answer in FINAL_ANSWERS:
+            late = (
+                record["t"] - due - self.limits.answer_slack_ms * MS - self.lag_allowance(record, record["t"])
+            )
             if late > 0 and self.begun_in_time(record, due):
                 self.note("begun_in_time_and_finished_late")
-            elif late > 0 and not self.died(record, due) and not self.stood_still(record, due):
-                self.broken("answers", record, f"{name}: {answer} {(record['t'] - due) / MS:.0f} ms too late")
+            elif late > 0 and not self.was_killed(record, due) and not self.was_stopped(record, due):
+                self.add_violation(
+                    "answers", record, f"{name}: {answer} {(record['t'] - due) / MS:.0f} ms too late"
+                )
             return
-        if self.died(record, due):
+        if self.was_killed(record, due):
             self.note("lost_with_a_router")
-        elif self.stood_still(record, due):
+        elif self.was_stopped(record, due):
             self.note("held_by_a_stopped_router")
-        elif answer == "gone" and not self.attempts[record["id"]] and self.stall(record, record["sent"]):
-            self.note("closed_on_a_client_that_was_late")  # between connecting and asking
+        elif (
+            answer == "gone"
+            and not self.attempts[record["id"]]
+            and self.lag_allowance(record, record["sent"])
+        ):
+            self.note(
+                "closed_on_a_client_that_was_late"
+            )  # the router closed the connection before the late client sent its request
         elif answer == "none" and self.begun_in_time(record, due):
             self.note("begun_in_time_and_not_finished")
         else:
-            self.broken("answers", record, f"{name}: no final answer ({answer})")
+            self.add_violation("answers", record, f"{name}: no final answer ({answer})")
 
     def begun_in_time(self, record: Record, due: int) -> bool:
-        """Whether a value was being passed on when the try's time was up: it has failed, and is not lost."""
+        """Whether the value had begun to arrive by the deadline; such a try counts as failed, not as lost."""
         return bool(record.get("begun")) and record["begun"] <= due + self.limits.answer_slack_ms * MS
 
-    def died(self, record: Record, due: int) -> bool:
-        """Whether the router was killed outright while it held this try."""
-        return any(record["sent"] - 100 * MS <= end <= due for end in self.ends[record["router"]])
+    def was_killed(self, record: Record, due: int) -> bool:
+        """Whether the router was killed or crashed while this try was open."""
+        return any(record["sent"] - 100 * MS <= end <= due for end in self.kills[record["router"]])
 
-    def stood_still(self, record: Record, due: int) -> bool:
-        """Whether the router was stopped from outside while it held this try: then it did not run."""
+    def was_stopped(self, record: Record, due: int) -> bool:
+        """Whether the router was stopped by SIGSTOP while this try was open."""
         return any(
             begun <= due and record["sent"] - 100 * MS <= end for begun, end in self.stops[record["router"]]
         )
@@ -221,13 +245,14 @@
     def note(self, name: str) -> None:
         self.verdict.notes[name] = self.verdict.notes.get(name, 0) + 1
 
-    # Rule 2: no effect twice beyond the class
+    # Rule 2: no effect happens more often than the request class allows
 
     def effects(self) -> None:
+        """Check that no write took effect twice or was repeated against the rules of its class."""
         carried: dict[str, list[Record]] = defaultdict(list)
         for record in self.by_kind["effect"]:
             if record["id"] not in self.tries:
-                self.broken("effects", record, f"{record['id']}: an effect that no client asked for")
+                self.add_violation("effects", record, f"{record['id']}: an effect that no client requested")
             if not record["repeat"]:
                 carried[record["id"]].append(record)
         checked = 0
@@ -236,99 +261,120 @@
             if known.semantics == "retryable":
                 continue
             checked += 1
-            done = carried[request_id]
-            if len(done) > 1:
-                self.broken("effects", done[1], f"{request_id} ({known.name}): {len(done)} effects")
-            ran = [attempt for attempt in self.attempts[request_id] if attempt["outcome"] == "begun"]
+            applied = carried[request_id]
+            if len(applied) > 1:
+                self.add_violation(
+                    "effects", applied[1], f"{request_id} ({known.name}): {len(applied)} effects"
+                )
+            begun = [attempt for attempt in self.attempts[request_id] if attempt["outcome"] == "begun"]
             if known.semantics == "fragile":
-                if len(ran) > 1:
-                    self.broken("effects", ran[1], f"{request_id} ({known.name}): run {len(ran)} times")
-                if ran and record["answer"] == "refused":
-                    self.broken("effects", record, f"{request_id} ({known.name}): refused, and may have run")
-            elif ran:
+                if len(begun) > 1:
+                    self.add_violation(
+                        "effects", begun[1], f"{request_id} ({known.name}): run {len(begun)} times"
+                    )
+                if begun and record["answer"] == "refused":
+                    self.add_violation(
+                        "effects", record, f"{request_id} ({known.name}): refused although it may have run"
+                    )
+            elif begun:
                 window = known.window_ms * MS + self.limits.window_slack_ms * MS
                 last = self.attempts[request_id][-1]
-                if last["first"] > ran[0]["first"] + window + self.stall(last, last["t"]):
-                    self.broken("effects", last, f"{request_id} ({known.name}): sent again beyond its window")
+                if last["first"] > begun[0]["first"] + window + self.lag_allowance(last, last["t"]):
+                    self.add_violation(
+                        "effects", last, f"{request_id} ({known.name}): sent again beyond its window"
+                    )
         self.verdict.checked["effects"] = checked
 
-    # Beside the rules: once a write was answered, nobody reads what was before it
+    # In addition to the four rules: no read returns a value older than an answered write
 
     def stale(self) -> None:
-        made = {record["id"]: record.get("version") for record in self.by_kind["effect"]}
-        news: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: when answered, the version
-        for record in sorted(self.tries.values(), key=lambda held: int(held["t"])):
-            version = made.get(record["id"])
+        """Check that no try was served an older version than one whose write was answered before the try."""
+        versions = {record["id"]: record.get("version") for record in self.by_kind["effect"]}
+        written: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: time of the answer, version
+        for record in sorted(self.tries.values(), key=lambda history: int(history["t"])):
+            version = versions.get(record["id"])
             if record["answer"] == "served" and version is not None:
-                held = news[record["key"]]
-                held.append((record["t"], max(version, held[-1][1] if held else 0)))
+                history = written[record["key"]]
+                history.append((record["t"], max(version, history[-1][1] if history else 0)))
         checked = 0
         for record in self.tries.values():
-            if record["answer"] != "served" or record.get("version") is None or record["key"] not in news:
+            if record["answer"] != "served" or record.get("version") is None or record["key"] not in written:
                 continue
-            held = news[record["key"]]
-            place = bisect_right(held, (record["sent"], 1 << 62)) - 1
+            history = written[record["key"]]
+            place = bisect_right(history, (record["sent"], 1 << 62)) - 1
             checked += place >= 0
-            if place >= 0 and record["version"] < held[place][1]:
-                late = (record["sent"] - held[place][0]) / MS
-                what = f"version {record['version']} of {record['key']}, {late:.0f} ms after {held[place][1]}"
-                self.broken("stale", record, f"{record['id']}: served with {what} was answered")
+            if place >= 0 and record["version"] < history[place][1]:
+                late = (record["sent"] - history[place][0]) / MS
+                what = (
+                    f"version {record['version']} of {record['key']}, {late:.0f} ms after {history[place][1]}"
+                )
+                self.add_violation("stale", record, f"{record['id']}: served with {what} was answered")
         self.verdict.checked["stale"] = checked
 
-    # Rule 3: nothing new after a drain's grace
+    # Rule 3: nothing new is sent after the grace period of a drain
 
     def drains(self) -> None:
-        """By address, as a new server may stand where the router believes an old one."""
-        news: dict[tuple[str, str], list[tuple[int, bool]]] = defaultdict(
-            list
-        )  # when, whether sends are wanted
+        """Check that no attempt reached a server whose drain grace period was over, or that was never listed.
+
+        Servers are identified by address, since a new server may use the address of an old one that the
+        router still lists.
+        """
+        # By router and address: the times at which sends became allowed or not allowed.
+        allowed: dict[tuple[str, str], list[tuple[int, bool]]] = defaultdict(list)
         up: dict[str, dict[str, str]] = defaultdict(dict)  # router -> server -> address
         for record in self.by_kind["told"]:
             router, now = record["router"], up[record["router"]]
             states = dict(record["states"])
             if record["whole"]:
-                # What a whole list leaves out is gone.
+                # A server that a full list leaves out was removed.
                 states |= {server: ("removed", now[server]) for server in now.keys() - states.keys()}
             touched = set()
             for server, (state, address) in states.items():
                 touched |= {address, now.pop(server, address)}
-                if state not in NOT_UP:
+                if state not in OUT_OF_SERVICE:
                     now[server] = address
             for address in touched:
-                wanted = address in now.values()
-                held = news[router, address]
-                if not held or held[-1][1] != wanted:
-                    held.append((record["t"], wanted))
-        self.verdict.checked["drains"] = sum(not wanted for held in news.values() for _, wanted in held)
+                in_service = address in now.values()
+                changes = allowed[router, address]
+                if not changes or changes[-1][1] != in_service:
+                    changes.append((record["t"], in_service))
+        self.verdict.checked["drains"] = sum(
+            not in_service for changes in allowed.values() for _, in_service in changes
+        )
         in_grace = 0
         grace = (self.profile.drain_grace_ms + self.limits.drain_slack_ms) * MS
         for request_id, attempts in self.attempts.items():
-            tried = self.tries.get(request_id)
-            if tried is None:
-                continue  # its client's process may have been killed
+            own_try = self.tries.get(request_id)
+            if own_try is None:
+                continue  # the ledger of a client that was killed is incomplete
             for attempt in attempts:
-                router, first = tried["router"], attempt["first"]
-                held = news.get((router, attempt["address"]), [])
-                stall = self.stall(attempt, attempt["t"])
-                place = bisect_right(held, (first + stall, True)) - 1
+                router, first = own_try["router"], attempt["first"]
+                changes = allowed.get((router, attempt["address"]), [])
+                allowance = self.lag_allowance(attempt, attempt["t"])
+                place = bisect_right(changes, (first + allowance, True)) - 1
                 if place < 0:
-                    self.broken(
-                        "drains", attempt, f"{router} sent {request_id} to {attempt['node']}, never listed"
+                    self.add_violation(
+                        "drains",
+                        attempt,
+                        f"{router} sent {request_id} to {attempt['node']}, which was never listed",
                     )
                     continue
-                at, wanted = held[place]
-                if wanted:
+                at, in_service = changes[place]
+                if in_service:
                     continue
                 in_grace += 1
-                if first > at + grace + stall:
+                if first > at + grace + allowance:
                     late = (first - at) / MS
-                    what = f"sent {request_id} to {attempt['node']} {late:.0f} ms after its drain was told"
-                    self.broken("drains", attempt, f"{router} {what}")
+                    what = (
+                        f"sent {request_id} to {attempt['node']} {late:.0f} ms after its drain was announced"
+                    )
+                    self.add_violation("drains", attempt, f"{router} {what}")
         self.verdict.notes["sends_in_a_grace"] = in_grace
 
-    # Rule 4: no cold node is pushed over
+    # Rule 4: no cold node is overloaded
 
     def cold(self) -> None:
+        """Check that no node received more work than it could take while it was cold."""
         starts: dict[str, Record] = {}
         budgets: dict[str, tuple[Warmth, ColdBudget]] = {}
         reported: set[str] = set()
@@ -350,16 +396,16 @@
                     and node not in reported
                 ):
                     reported.add(node)
-                    self.broken("cold", record, f"{node}: sent more than a cold node stands")
+                    self.add_violation("cold", record, f"{node}: sent more work than a cold node can take")
         for record in self.by_kind["fell"]:
             if record["node"] not in reported:
-                self.broken("cold", record, f"{record['node']} was pushed over")
+                self.add_violation("cold", record, f"{record['node']} failed under overload")
 
 
 def audit(records: Sequence[Record], profile: Profile, limits: Limits | None = None) -> Verdict:
-    """Check merged records; they must hold the clients' tries and the stand-ins' attempts."""
-    found = _Audit(records, profile, limits or Limits())
+    """Check merged records of clients and stand-ins against all rules and return the verdict."""
+    checks = _Audit(records, profile, limits or Limits())
     for rule in RULES:
-        getattr(found, rule)()
-    found.verdict.violations.sort(key=lambda violation: violation.at)
-    return found.verdict
+        getattr(checks, rule)()
+    checks.verdict.violations.sort(key=lambda violation: violation.at)
+    return checks.verdict
--- a/saltport/harness.py
+++ b/saltport/harness.py
@@ -185,7 +185,10 @@
         return host, port
 
     async def start_router(self, router: RouterProcess) -> bool:
-        """Start a router's process and wait until it is ready; return False if it ended first (its port may be taken)."""
+        """Start a router's process and wait until it is ready.
+
+        Return False if the process ended first, for example because its port was taken.
+        """
         environ = {**environment(), **self.environ, "LB_CONFIG": str(router.folder / "config.json")}
         with (router.folder / "log").open("ab") as log:
             process = await asyncio.create_subprocess_exec(
--- a/saltport/nemesis/runner.py
+++ b/saltport/nemesis/runner.py
@@ -41,7 +41,7 @@
     "double": lambda share: Fault(doubles=share),
     "delay": lambda share: Fault(delay_s=(0.0, share)),
 }
-"""Faults that affect all links, by the kind in the schedule; the argument is a share, or the longest delay in s."""
+"""Faults on all links by their kind in a schedule; the argument is a share or a delay in seconds."""
 SAMPLE_INTERVAL_S = 0.2
 ANSWER_TIMEOUT_S = 2.0
 
