--- a/saltport/cli/__init__.py
+++ b/saltport/cli/__init__.py
@@ -1,7 +1,7 @@
-"""`saltport`: the command line. A module holds a group of commands; each imports what it needs when called.
+"""The command line `saltport`. Each module holds a group of commands; each command imports what it needs.
 
-Exit status: 0 all is well; 1 what was asked for went wrong (faults found, an audit not clean, an address
-taken); 2 the command line or the configuration can't be used.
+Exit status: 0 success; 1 the command failed (for example faults found, violations in an audit, an address in
+use); 2 the command line or the configuration is invalid.
 """
 
 from __future__ import annotations
@@ -23,12 +23,12 @@
 @cli.command()
 @click.argument("shell", type=click.Choice(SHELLS))
 def completion(shell: str) -> None:
-    """Print what a shell needs to complete `saltport`; `source` it."""
+    """Print the completion script for a shell, to be loaded with `source`."""
     from click.shell_completion import get_completion_class
 
-    found = get_completion_class(shell)
-    assert found is not None
-    click.echo(found(cli, {}, "saltport", "_SALTPORT_COMPLETE").source())
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(cli, {}, "saltport", "_SALTPORT_COMPLETE").source())
 
 
 COMMANDS: tuple[click.Command, ...] = (
@@ -45,5 +45,5 @@
 
 
 def main() -> None:
-    """The console script."""
+    """Run the command line; the entry point of the console script."""
     cli(prog_name="saltport")
--- a/saltport/cli/common.py
+++ b/saltport/cli/common.py
@@ -1,4 +1,4 @@
-"""What the command groups share: options, argument types, printing, and calls to a router for operators."""
+"""Shared parts of the command line: options, argument types, output, and calls to a router."""
 
 from __future__ import annotations
 
@@ -13,37 +13,41 @@
 if TYPE_CHECKING:
     from saltport.address import Address
 
-EXIT_WRONG = 1
-"""What was asked for went wrong."""
+EXIT_FAILURE = 1
+"""Exit status of a command that failed."""
 EXIT_USAGE = 2
-"""The command line or the configuration can't be used."""
-
-FILE = click.Path(dir_okay=False, path_type=Path)
-EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=Path)
-WITH = click.option(
-    "--with", "with_files", type=FILE, multiple=True, help="A file of features, as in deploy/."
+"""Exit status for an invalid command line or configuration."""
+
+FILE_PATH = click.Path(dir_okay=False, path_type=Path)
+EXISTING_FILE_PATH = click.Path(exists=True, dir_okay=False, path_type=Path)
+WITH_FILES = click.option(
+    "--with",
+    "with_files",
+    type=FILE_PATH,
+    multiple=True,
+    help="A TOML file that configures features, as in deploy/; may be given again.",
 )
-AS_JSON = click.option("--json", "as_json", is_flag=True, help="Report as JSON.")
+JSON_FLAG = click.option("--json", "as_json", is_flag=True, help="Report as JSON.")
 
 
-def dump(fields: Any, indent: bool = False) -> None:
-    """Print as JSON."""
+def print_json(fields: Any, indent: bool = False) -> None:
+    """Print a value as JSON."""
     click.echo(orjson.dumps(fields, option=orjson.OPT_INDENT_2 if indent else None).decode())
 
 
 def fail(text: str, status: int) -> NoReturn:
-    """End the command with one line on standard error."""
+    """End the command with this exit status and one line on standard error."""
     click.echo(f"saltport: {text}", err=True)
     sys.exit(status)
 
 
-class _AddressType(click.ParamType[Any]):
-    """HOST:PORT."""
+class _AddressParamType(click.ParamType[Any]):
+    """The type of an argument HOST:PORT, which is converted to an address."""
 
     name = "host:port"
 
     def convert(self, value: Any, param: click.Parameter | None, ctx: click.Context | None) -> Any:
-        """Parse an address; one that is parsed already stays."""
+        """Parse an address; return a value that is already an address unchanged."""
         from saltport.address import parse_address
 
         if isinstance(value, tuple):
@@ -54,25 +58,25 @@
             self.fail(str(error), param, ctx)
 
 
-ADDRESS = _AddressType()
-ROUTER = click.argument("router", type=ADDRESS, metavar="HOST:PORT")
+ADDRESS_TYPE = _AddressParamType()
+ROUTER_ARGUMENT = click.argument("router", type=ADDRESS_TYPE, metavar="HOST:PORT")
 
 
-def ask(router: Address, path: str, method: str = "GET") -> dict[str, Any]:
-    """Call a router's operators' address; ends the command where there is no good answer."""
+def call_router(router: Address, path: str, method: str = "GET") -> dict[str, Any]:
+    """Return a router's answer at a path of its admin address; end the command if the call fails."""
     from saltport.admin.client import ask as call
 
     try:
         return call(router, path, method=method)
     except (OSError, ValueError) as error:
-        fail(f"{router[0]}:{router[1]}: {getattr(error, 'strerror', None) or error}", EXIT_WRONG)
+        fail(f"{router[0]}:{router[1]}: {getattr(error, 'strerror', None) or error}", EXIT_FAILURE)
 
 
-def show(
-    part: str, report: dict[str, Any], lines: Callable[[dict[str, Any]], Iterator[str]], as_json: bool
+def print_report(
+    component: str, report: dict[str, Any], lines: Callable[[dict[str, Any]], Iterator[str]], as_json: bool
 ) -> None:
-    """Print the report of a part that may be off."""
+    """Print the report of a component as lines or JSON; without JSON, only `off` if the component is off."""
     if as_json:
-        dump(report, indent=True)
+        print_json(report, indent=True)
     else:
-        click.echo("\n".join(lines(report)) if report["on"] else f"{part}: off")
+        click.echo("\n".join(lines(report)) if report["on"] else f"{component}: off")
--- a/saltport/cli/load.py
+++ b/saltport/cli/load.py
@@ -8,7 +8,7 @@
 
 import click
 
-from saltport.cli.common import ADDRESS, AS_JSON, EXIT_USAGE, EXIT_WRONG, FILE, dump, fail
+from saltport.cli.common import ADDRESS_TYPE, EXIT_FAILURE, EXIT_USAGE, FILE_PATH, JSON_FLAG, fail, print_json
 
 if TYPE_CHECKING:
     from saltport.address import Address
@@ -17,30 +17,47 @@
 
 
 @click.command()
-@click.option("--router", "routers", type=ADDRESS, multiple=True, required=True, help="May be given again.")
+@click.option(
+    "--router", "routers", type=ADDRESS_TYPE, multiple=True, required=True, help="May be given again."
+)
 @click.option("--rate", "steps", default="100", show_default=True, help="RATE, or RATE,SECONDS:RATE,...")
 @click.option("--seconds", default=10.0, show_default=True, type=click.FloatRange(0, min_open=True))
 @click.option(
-    "--closed", default=0, type=click.IntRange(0), help="Closed loop: so many clients, one after another."
+    "--closed",
+    default=0,
+    type=click.IntRange(0),
+    help="Closed loop with this many clients, each of which sends one request at a time; 0: open loop.",
 )
 @click.option("--keys", default=2000, show_default=True, type=click.IntRange(1))
 @click.option("--zipf", default=1.0, show_default=True, type=click.FloatRange(0))
 @click.option(
-    "--scan", default=0.0, show_default=True, type=click.FloatRange(0, 1), help="Share of once-only keys."
+    "--scan",
+    default=0.0,
+    show_default=True,
+    type=click.FloatRange(0, 1),
+    help="Share of requests for keys that are requested only once.",
+)
+@click.option(
+    "--hot",
+    default=0.0,
+    show_default=True,
+    type=click.FloatRange(0, 1),
+    help="Share of requests for one hot key.",
 )
 @click.option(
-    "--hot", default=0.0, show_default=True, type=click.FloatRange(0, 1), help="Share of one hot key."
+    "--hot-from", default=0.0, show_default=True, help="Time in seconds at which the key becomes hot."
 )
-@click.option("--hot-from", default=0.0, show_default=True, help="Seconds from which it is hot.")
-@click.option("--hot-until", default=1e9, help="Seconds until which it is hot.")
+@click.option("--hot-until", default=1e9, help="Time in seconds until which the key is hot.")
 @click.option(
-    "--hot-every", default=0.0, help="Seconds that it is hot and then not, in turn; 0: all the while."
+    "--hot-every",
+    default=0.0,
+    help="Seconds for which the key is hot and then cold, alternating; 0: always hot.",
 )
 @click.option("--retries", default=2, show_default=True, type=click.IntRange(0))
 @click.option("--seed", default=1, show_default=True)
 @click.option("--plot", is_flag=True, help="Draw the run over time.")
-@click.option("--ledger", type=FILE, help="Write the clients' ledger, for `saltport audit`.")
-@AS_JSON
+@click.option("--ledger", type=FILE_PATH, help="Write the clients' ledger, for `saltport audit`.")
+@JSON_FLAG
 def load(
     routers: tuple[Address, ...],
     steps: str,
@@ -50,7 +67,7 @@
     as_json: bool,
     **options: Any,
 ) -> None:
-    """Drive load at routers; open loop, and each latency counts from the intended start."""
+    """Drive load at routers, by default as an open loop; latencies count from the intended start."""
     import uvloop
 
     from saltport.load import report
@@ -59,19 +76,19 @@
 
     try:
         plan = LoadPlan(parse_steps(steps), **options)
-        held = Ledger("clients", ledger)
+        client_ledger = Ledger("clients", ledger)
     except (PlanError, OSError) as error:
         fail(str(error), EXIT_USAGE)
 
     named = {f"r{number + 1}": address for number, address in enumerate(routers)}
     try:
-        summary = uvloop.run(_drive(plan, named, held, closed))
+        summary = uvloop.run(_drive(plan, named, client_ledger, closed))
     except KeyboardInterrupt:
-        fail("ended before its time", EXIT_WRONG)
+        fail("interrupted", EXIT_FAILURE)
     finally:
-        held.close()
+        client_ledger.close()
     if as_json:
-        dump(summary)
+        print_json(summary)
     else:
         click.echo(report.table(summary))
     if plot:
--- a/saltport/cli/operating.py
+++ b/saltport/cli/operating.py
@@ -1,4 +1,4 @@
-"""Commands for operators of one router: its figures, its state, drains, and servers taken out by hand."""
+"""Operator commands for one router: statistics, state, drains, and maintenance of cache servers."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import click
 
-from saltport.cli.common import AS_JSON, ROUTER, ask, dump, show
+from saltport.cli.common import JSON_FLAG, ROUTER_ARGUMENT, call_router, print_json, print_report
 from saltport.cli.status import status_lines
 
 if TYPE_CHECKING:
@@ -15,89 +15,93 @@
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 def stats(router: Address) -> None:
-    """Show the figures of the router that operators call here, as JSON."""
-    dump(ask(router, "/stats"), indent=True)
+    """Show the statistics of the router with this admin address, as JSON."""
+    print_json(call_router(router, "/stats"), indent=True)
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 @click.argument("server")
 def maint(router: Address, server: str) -> None:
-    """Send nothing more to a cache server, until `saltport ready`."""
+    """Put a cache server into maintenance: it gets no requests until `saltport ready`."""
     from saltport.admin.client import server_path
 
-    dump(ask(router, server_path(server, "maint"), "PUT"))
+    print_json(call_router(router, server_path(server, "maint"), "PUT"))
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 @click.argument("server")
 def ready(router: Address, server: str) -> None:
-    """Use a cache server again."""
+    """End the maintenance of a cache server."""
     from saltport.admin.client import server_path
 
-    dump(ask(router, server_path(server, "ready"), "PUT"))
+    print_json(call_router(router, server_path(server, "ready"), "PUT"))
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 def drain(router: Address) -> None:
-    """Empty a router: clients are told to go elsewhere, and their connections close."""
-    dump(ask(router, "/healthcheck/fail", "PUT"))
+    """Drain a router: clients are told to use another router, and their connections are closed."""
+    print_json(call_router(router, "/healthcheck/fail", "PUT"))
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 def resume(router: Address) -> None:
-    """Put a drained router back to work."""
-    dump(ask(router, "/healthcheck/ok", "PUT"))
+    """Put a drained router back into service."""
+    print_json(call_router(router, "/healthcheck/ok", "PUT"))
 
 
 @click.command()
-@ROUTER
-@AS_JSON
+@ROUTER_ARGUMENT
+@JSON_FLAG
 def status(router: Address, as_json: bool) -> None:
-    """Show the state of the router that operators call here."""
-    state = ask(router, "/state")
+    """Show the state of the router with this admin address."""
+    state = call_router(router, "/state")
     if as_json:
-        dump(state, indent=True)
+        print_json(state, indent=True)
     else:
         click.echo("\n".join(status_lines(state)))
 
 
 @click.command()
-@ROUTER
-@click.option("--settle", is_flag=True, help="First take the present view as the yardstick of majorities.")
-@AS_JSON
+@ROUTER_ARGUMENT
+@click.option("--settle", is_flag=True, help="First make the current view the reference for majorities.")
+@JSON_FLAG
 def peers(router: Address, settle: bool, as_json: bool) -> None:
-    """Show what a router believes of the other routers: who is alive, who is heard, where it stands."""
+    """Show a router's view of the other routers: their state and reachability, and its quorum state."""
     from saltport.peers.formatting import lines
 
     if settle:
-        ask(router, "/peers/settle", "PUT")
-    show("peers", ask(router, "/peers"), lines, as_json)
+        call_router(router, "/peers/settle", "PUT")
+    print_report("peers", call_router(router, "/peers"), lines, as_json)
 
 
 @click.command()
-@ROUTER
-@click.option("--step-down", is_flag=True, help="Hand the lead to the voter that is most up to date.")
-@click.option("--transfer", metavar="VOTER", help="Hand the lead to this voter.")
-@click.option("--may", metavar="PIECE", help="Status 0 and the epoch if this router may work on it, else 1.")
-@AS_JSON
+@ROUTER_ARGUMENT
+@click.option("--step-down", is_flag=True, help="Transfer leadership to the most up-to-date voter.")
+@click.option("--transfer", metavar="VOTER", help="Transfer leadership to this voter.")
+@click.option(
+    "--may",
+    metavar="PIECE",
+    help="Print the epoch and exit with 0 if this router owns the piece of work, else with 1.",
+)
+@JSON_FLAG
 def owners(router: Address, step_down: bool, transfer: str | None, may: str | None, as_json: bool) -> None:
-    """Show who owns which of the fleet's work, with epochs and leases."""
+    """Show the owner of each piece of the fleet's work, with epochs and leases."""
     from saltport.admin.client import voter_path
     from saltport.owners.words import lines
 
     if step_down:
-        ask(router, "/owners/step-down", "PUT")
+        call_router(router, "/owners/step-down", "PUT")
     if transfer is not None:
-        ask(router, voter_path(transfer), "PUT")
-    report = ask(router, "/owners")
+        call_router(router, voter_path(transfer), "PUT")
+    report = call_router(router, "/owners")
     if may is not None:
         epoch = report.get("holds", {}).get(may)
         click.echo("no" if epoch is None else epoch)
         sys.exit(epoch is None)
-    show("owners", report, lines, as_json)
+    print_report("owners", report, lines, as_json)
--- a/saltport/cli/running.py
+++ b/saltport/cli/running.py
@@ -9,16 +9,16 @@
 
 import click
 
-from saltport.cli.common import AS_JSON, FILE, WITH, dump
+from saltport.cli.common import FILE_PATH, JSON_FLAG, WITH_FILES, print_json
 
 
 @click.command()
-@click.argument("config", type=FILE)
-@click.option("--listen", metavar="HOST:PORT", help="Where clients connect; goes before the file.")
-@click.option("--discovery", metavar="HOST:PORT", help="The registry; goes before the file.")
-@click.option("--name", help="This router's name; goes before the file.")
-@click.option("--admin", metavar="HOST:PORT", help="Where operators call; goes before the file.")
-@WITH
+@click.argument("config", type=FILE_PATH)
+@click.option("--listen", metavar="HOST:PORT", help="The address for clients; overrides the file.")
+@click.option("--discovery", metavar="HOST:PORT", help="The address of the registry; overrides the file.")
+@click.option("--name", help="The name of this router; overrides the file.")
+@click.option("--admin", metavar="HOST:PORT", help="The admin address; overrides the file.")
+@WITH_FILES
 def run(
     config: Path,
     listen: str | None,
@@ -28,30 +28,33 @@
     with_files: tuple[Path, ...],
 ) -> None:
     """Run a router with this configuration file, until SIGTERM."""
-    told = {
+    overrides = {
         "LB_CONFIG": str(config),
         "LB_LISTEN": listen,
         "LB_DISCOVERY": discovery,
         "LB_NAME": name,
         "LB_ADMIN_ADDR": admin,
     }
-    environ = {**os.environ, **{variable: value for variable, value in told.items() if value is not None}}
-    # A process of its own image: the router must not carry what the command line needed.
-    more = [word for path in with_files for word in ("--with", str(path))]
-    os.execve(sys.executable, [sys.executable, "-m", "saltport.router", *more], environ)
+    environ = {
+        **os.environ,
+        **{variable: value for variable, value in overrides.items() if value is not None},
+    }
+    # Replaces the process image, so that the router does not carry the modules of the command line.
+    arguments = [word for path in with_files for word in ("--with", str(path))]
+    os.execve(sys.executable, [sys.executable, "-m", "saltport.router", *arguments], environ)
 
 
 @click.command()
-@click.argument("config", type=FILE)
-@WITH
-@AS_JSON
+@click.argument("config", type=FILE_PATH)
+@WITH_FILES
+@JSON_FLAG
 def check(config: Path, with_files: tuple[Path, ...], as_json: bool) -> None:
-    """Tell every fault of a configuration file, with its path in the file. Status 1 if there is any."""
+    """Report every fault of a configuration file with its path in the file. Exit status 1 if there is one."""
     from saltport.router.check import check_file
 
     faults = check_file(config, with_files)
     if as_json:
-        dump({"ok": not faults, "faults": [asdict(fault) for fault in faults]})
+        print_json({"ok": not faults, "faults": [asdict(fault) for fault in faults]})
     else:
         for fault in faults:
             click.echo(f"{config}: {fault}")
@@ -62,7 +65,7 @@
 
 @click.group()
 def config() -> None:
-    """Help with configuration files."""
+    """Commands for configuration files."""
 
 
 @config.command()
@@ -71,7 +74,7 @@
 @click.option("--name", default="r1", show_default=True)
 @click.option("--routers", default=1, show_default=True, type=click.IntRange(1))
 def example(listen: str, discovery: str, name: str, routers: int) -> None:
-    """Print a whole configuration to start from."""
+    """Print a complete example configuration."""
     from saltport.standins.profile import Profile
 
-    dump(Profile().config(name, listen, discovery, routers), indent=True)
+    print_json(Profile().config(name, listen, discovery, routers), indent=True)
--- a/saltport/cli/standins.py
+++ b/saltport/cli/standins.py
@@ -1,4 +1,4 @@
-"""Commands that run stand-ins for cache servers, origin and registry, and their faults."""
+"""Commands that run stand-ins for cache servers, origin and registry, and control their faults."""
 
 from __future__ import annotations
 
@@ -8,29 +8,35 @@
 
 import click
 
-from saltport.cli.common import ADDRESS, AS_JSON, EXIT_USAGE, EXIT_WRONG, FILE, dump, fail
+from saltport.cli.common import ADDRESS_TYPE, EXIT_FAILURE, EXIT_USAGE, FILE_PATH, JSON_FLAG, fail, print_json
 
 if TYPE_CHECKING:
     from saltport.address import Address
 
 
 @click.command()
-@click.option("--seconds", type=click.FloatRange(0, min_open=True), help="End by itself; else at Ctrl-C.")
+@click.option(
+    "--seconds",
+    type=click.FloatRange(0, min_open=True),
+    help="Length of the demo; without it, it runs until Ctrl-C.",
+)
 @click.option("--nodes", default=6, show_default=True, type=click.IntRange(1, 500))
 @click.option("--routers", default=1, show_default=True, type=click.IntRange(1, 50))
 @click.option("--rate", default=60.0, show_default=True, type=click.FloatRange(0, min_open=True))
-@click.option("--fault", metavar="NAME", help="A fault that strikes now and then; see `saltport fault list`.")
+@click.option(
+    "--fault", metavar="NAME", help="A kind of fault to inject repeatedly; see `saltport fault list`."
+)
 @click.option("--seed", default=1, show_default=True)
-@AS_JSON
-def demo(**told: Any) -> None:
-    """Stand-ins, a router and light load on loopback, with nothing else to set up."""
+@JSON_FLAG
+def demo(**options_given: Any) -> None:
+    """Run stand-ins, a router and light load on loopback, without further setup."""
     import uvloop
 
     from saltport.demo import DemoOptions, run_demo
     from saltport.harness import HarnessError
     from saltport.standins.faults import FaultError, checked
 
-    options = DemoOptions(**told)
+    options = DemoOptions(**options_given)
     try:
         if options.fault is not None:
             checked(options.fault, {})
@@ -38,7 +44,7 @@
     except FaultError as error:
         fail(str(error), EXIT_USAGE)
     except (HarnessError, OSError) as error:
-        fail(str(error), EXIT_WRONG)
+        fail(str(error), EXIT_FAILURE)
     except KeyboardInterrupt:
         status = 1
     sys.exit(status)
@@ -47,13 +53,17 @@
 @click.command()
 @click.option("--nodes", default=8, show_default=True, type=click.IntRange(1))
 @click.option(
-    "--router", "routers", multiple=True, default=("r1",), help="A router's name; one registry each."
+    "--router",
+    "routers",
+    multiple=True,
+    default=("r1",),
+    help="The name of a router, which gets its own registry; may be given again.",
 )
-@click.option("--control", default=0, help="The control socket's port; 0: any.")
+@click.option("--control", default=0, help="The port of the control socket; 0: any free port.")
 @click.option("--seed", default=1, show_default=True)
-@click.option("--ledger", type=FILE, help="Write the fleet's ledger.")
+@click.option("--ledger", type=FILE_PATH, help="Write the fleet's ledger to this file.")
 def standins(nodes: int, routers: tuple[str, ...], control: int, seed: int, ledger: Path | None) -> None:
-    """Run a fleet of stand-ins; the first line tells the addresses as JSON."""
+    """Run a fleet of stand-ins; the first line of output is a JSON object with their addresses."""
     import uvloop
 
     from saltport.standins.__main__ import serve
@@ -63,15 +73,15 @@
     try:
         uvloop.run(serve(nodes, list(routers), seed, control, Ledger("fleet", ledger), Profile()))
     except OSError as error:
-        fail(str(error), EXIT_WRONG)
+        fail(str(error), EXIT_FAILURE)
 
 
 @click.group()
 def fault() -> None:
-    """Faults on a running fleet of stand-ins, through its control socket."""
+    """Control the faults of a running fleet of stand-ins through its control socket."""
 
 
-_CONTROL = click.option("--control", type=ADDRESS, required=True, help="The fleet's control socket.")
+_CONTROL = click.option("--control", type=ADDRESS_TYPE, required=True, help="The fleet's control socket.")
 
 
 def _call(control: Address, do: str, **fields: Any) -> None:
@@ -88,21 +98,21 @@
             await client.close()
 
     try:
-        dump(asyncio.run(call()), indent=True)
+        print_json(asyncio.run(call()), indent=True)
     except FaultError as error:
         fail(str(error), EXIT_USAGE)
     except OSError as error:
-        fail(f"{control[0]}:{control[1]}: {error.strerror or error}", EXIT_WRONG)
+        fail(f"{control[0]}:{control[1]}: {error.strerror or error}", EXIT_FAILURE)
 
 
 @fault.command("list")
-@AS_JSON
+@JSON_FLAG
 def list_faults(as_json: bool) -> None:
-    """Name every fault there is."""
+    """List all kinds of faults."""
     from saltport.standins.faults import KINDS
 
     if as_json:
-        dump({name: {"target": kind.target, "about": kind.about} for name, kind in KINDS.items()})
+        print_json({name: {"target": kind.target, "about": kind.about} for name, kind in KINDS.items()})
     else:
         for name, kind in KINDS.items():
             click.echo(f"{name:14} {kind.target:9} {kind.about}")
@@ -112,26 +122,32 @@
 @_CONTROL
 @click.argument("kind")
 @click.argument("target", default="")
-@click.option("--figure", "figures", multiple=True, metavar="NAME=VALUE", help="May be given again.")
+@click.option(
+    "--figure",
+    "figures",
+    multiple=True,
+    metavar="NAME=VALUE",
+    help="A parameter of the fault; may be given again.",
+)
 def strike(control: Address, kind: str, target: str, figures: tuple[str, ...]) -> None:
-    """Begin a fault now."""
-    told: dict[str, Any] = {}
+    """Start a fault now."""
+    parsed: dict[str, Any] = {}
     for figure in figures:
         name, sign, value = figure.partition("=")
         if not sign:
             fail(f"--figure: expected NAME=VALUE, got {figure!r}", EXIT_USAGE)
         try:
-            told[name] = float(value)
+            parsed[name] = float(value)
         except ValueError:
-            told[name] = value
-    _call(control, "strike", kind=kind, target=target, figures=told)
+            parsed[name] = value
+    _call(control, "strike", kind=kind, target=target, figures=parsed)
 
 
 @fault.command()
 @_CONTROL
 @click.argument("target")
 def mend(control: Address, target: str) -> None:
-    """End the fault of a target."""
+    """End the fault on a target."""
     _call(control, "mend", target=target)
 
 
@@ -141,12 +157,12 @@
 @click.option("--seconds", default=30.0, show_default=True, type=click.FloatRange(0, min_open=True))
 @click.option("--kind", "kinds", multiple=True, help="Only these kinds; may be given again.")
 def play(control: Address, seed: int, seconds: float, kinds: tuple[str, ...]) -> None:
-    """Play a seeded schedule of faults, from now."""
+    """Start a schedule of faults that is drawn from the seed."""
     _call(control, "play", seed=seed, seconds=seconds, kinds=list(kinds))
 
 
 @fault.command()
 @_CONTROL
 def state(control: Address) -> None:
-    """Tell how every stand-in is."""
+    """Show the state of every stand-in."""
     _call(control, "state")
--- a/saltport/cli/status.py
+++ b/saltport/cli/status.py
@@ -1,4 +1,4 @@
-"""The state of a router in lines for people, a function for each part of it."""
+"""The state of a router formatted as lines of text, with one function for each part."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 from typing import Any
 
 TOP_KEYS = 10
-OLD_COUNTS = ("spread", "writes voided")
-"""Counts under the names of the version before; they stand under their present ones too."""
+DEPRECATED_COUNTS = ("spread", "writes voided")
+"""Counts under the names of an earlier version, which are also listed under their current names."""
 
 State = dict[str, Any]
-"""A router's answer at /state, or a part of it."""
+"""A router's answer at /state, or a part of that answer."""
 
 
 def status_lines(state: State) -> Iterator[str]:
-    """All of it."""
+    """Return the lines for a router's complete state."""
     yield from _router(state)
     yield from _given_up(state["given_up"])
     yield from _tenants(state["tenants"])
@@ -33,13 +33,13 @@
         f"{state['owed']} requests open, list generation {state['generation']}: "
         f"{state['caches']} caches, {state['origins']} origins"
     )
-    yield f"out by hand: {', '.join(state['out']) or 'none'}"
+    yield f"in maintenance: {', '.join(state['out']) or 'none'}"
     lag = state["lag"]
-    yield f"longest turn of the loop {lag['longest_ms']:.1f} ms, {lag['stalls']} over 5 ms"
+    yield f"longest event loop iteration {lag['longest_ms']:.1f} ms, {lag['stalls']} over 5 ms"
 
 
 def _given_up(rows: list[State]) -> Iterator[str]:
-    yield "given up: none" if not rows else "given up, in 10 s, in 60 s, since the start:"
+    yield "given up: none" if not rows else "given up (last 10 s, last 60 s, since the start):"
     for row in rows:
         tenant, reason = row["name"]
         yield f"  {row['last_10_s']:7} {row['last_60_s']:7} {row['total']:9}  {tenant}: {reason}"
@@ -60,7 +60,7 @@
     return (
         f"overload: {admits if overload['on'] else 'not watched'}; "
         f"loop busy {overload['loop_busy_share']:.0%}, "
-        f"what comes lies unread for {overload['loop_delay_ms']:.1f} ms; shed {shed or 'nothing'}"
+        f"incoming data waits {overload['loop_delay_ms']:.1f} ms to be read; shed {shed or 'nothing'}"
     )
 
 
@@ -72,7 +72,7 @@
     for name, server in list(limits["servers"].items())[:TOP_KEYS]:
         yield (
             f"  {name}: {server['out']} out of {server['limit'] or 'no limit'}, "
-            f"keeps {server['weight_factor']:.0%}, work {server['work_ms']:.1f} ms, "
+            f"weight {server['weight_factor']:.0%}, work {server['work_ms']:.1f} ms, "
             f"waiting {server['waiting_ms']:.1f} ms"
         )
 
@@ -87,10 +87,10 @@
 
 def _hot_keys(hot_keys: State) -> Iterator[str]:
     if not hot_keys["on"]:
-        yield "hot keys: not told apart"
+        yield "hot keys: detection off"
         return
     invalidations = hot_keys["invalidations"]
-    counts = {what: count for what, count in hot_keys["counts"].items() if what not in OLD_COUNTS}
+    counts = {what: count for what, count in hot_keys["counts"].items() if what not in DEPRECATED_COUNTS}
     yield (
         f"hot keys: {hot_keys['replicated']} replicated, {hot_keys['watched']} watched, "
         f"{sum(hot_keys['counted'].values())} counted; {hot_keys['copied_bytes']} bytes of further copies, "
@@ -103,21 +103,21 @@
 
 def _hot_key(key: State) -> str:
     share = f", {key['share']:.1%} of all" if key["share"] is not None else ""
-    held = f", {key['held']} of {key['copies']} nodes" if key["copies"] > 1 else ""
-    why = f" ({'cooling; ' if key['releasing'] else ''}{key['why']})" if key["why"] else ""
+    filled = f", {key['held']} of {key['copies']} nodes" if key["copies"] > 1 else ""
+    why = f" ({'releasing; ' if key['releasing'] else ''}{key['why']})" if key["why"] else ""
     return (
         f"  {key['key']}: {key['reads_per_s']:.1f} (+{key['error_per_s']:.1f}) reads a second "
-        f"of {key['tenant']}{share}{held}{why}"
+        f"of {key['tenant']}{share}{filled}{why}"
     )
 
 
 def _outliers(outliers: State) -> Iterator[str]:
-    panic = "; PANIC: nobody is believed bad" if outliers["panic"] else ""
+    panic = "; PANIC: ejection suspended" if outliers["panic"] else ""
     yield f"ejected: {outliers['ejected']} of {outliers['listed']}{panic}"
     for name, server in sorted(outliers["servers"].items()):
         yield (
             f"  {name}: {server['state']}{' (kept in)' if server['kept_in'] else ''}"
             f"{', ' + server['reason'] if server['reason'] else ''}, {server['failures_in_a_row']} in a row, "
             f"{server['failures']} of {server['attempts']} failed, {server['ejections']} ejections, "
-            f"{server['ejected_for_s']:.1f} s to go"
+            f"{server['ejected_for_s']:.1f} s left"
         )
--- a/saltport/cli/zones.py
+++ b/saltport/cli/zones.py
@@ -1,4 +1,4 @@
-"""Commands for zones: where reads go, evacuation and return, and a plan that is held as it is."""
+"""Commands for zones: the current plan, evacuation and return of a zone, and freezing of the plan."""
 
 from __future__ import annotations
 
@@ -7,34 +7,34 @@
 
 import click
 
-from saltport.cli.common import AS_JSON, EXIT_WRONG, ROUTER, ask, fail, show
+from saltport.cli.common import EXIT_FAILURE, JSON_FLAG, ROUTER_ARGUMENT, call_router, fail, print_report
 
 if TYPE_CHECKING:
     from saltport.address import Address
 
-ORDER_S = 8.0  # in which an owner answers, or nobody does
+ORDER_TIMEOUT_S = 8.0
 
 
 @click.command()
-@ROUTER
-@AS_JSON
+@ROUTER_ARGUMENT
+@JSON_FLAG
 def zones(router: Address, as_json: bool) -> None:
-    """Show where reads go by zones, by which plan, and what its owner sees."""
+    """Show the distribution of reads over zones, the plan behind it, and the evidence of the plan's owner."""
     from saltport.failover.formatting import format_view
 
-    show("failover", ask(router, "/zones"), format_view, as_json)
+    print_report("failover", call_router(router, "/zones"), format_view, as_json)
 
 
-def _ordered(router: Address, path: str, wait_s: float) -> None:
-    """Give an order and wait for the owner's answer; status 1: it was refused, or none came."""
-    number = str(ask(router, path, "PUT")["order"])
-    end = time.monotonic() + ORDER_S
-    while (answer := ask(router, "/zones")["orders"].get(number)) is None:
+def _send_order(router: Address, path: str, wait_s: float) -> None:
+    """Send an order and wait for the owner's answer; exit status 1 if it is refused or not answered."""
+    number = str(call_router(router, path, "PUT")["order"])
+    end = time.monotonic() + ORDER_TIMEOUT_S
+    while (answer := call_router(router, "/zones")["orders"].get(number)) is None:
         if time.monotonic() > end:
-            fail("no answer of the owner", EXIT_WRONG)
+            fail("no answer from the owner", EXIT_FAILURE)
         time.sleep(0.1)
     if answer != "done":
-        fail(answer, EXIT_WRONG)
+        fail(answer, EXIT_FAILURE)
     time.sleep(wait_s)
     click.echo("done")
 
@@ -44,39 +44,41 @@
     default=30.0,
     show_default=True,
     type=click.FloatRange(0, 3600),
-    help="Seconds that it may take.",
+    help="Seconds over which the reads are moved.",
+)
+_WAIT = click.option(
+    "--wait", is_flag=True, help="Wait until all reads are moved, not only until the move has begun."
 )
-_WAIT = click.option("--wait", is_flag=True, help="Until the way is over, not only until it has begun.")
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 @click.argument("zone")
 @_OVER
-@click.option("--force", is_flag=True, help="Also where the others have no room for all.")
+@click.option("--force", is_flag=True, help="Evacuate even if the other zones lack the capacity.")
 @_WAIT
 def evacuate(router: Address, zone: str, over: float, force: bool, wait: bool) -> None:
-    """Send no reads to a zone any more, at all routers, until `saltport return`."""
+    """Stop sending reads to a zone, at all routers, until `saltport return`."""
     from saltport.admin.client import zone_path
 
-    _ordered(router, zone_path(zone, "evacuate", over, force), over if wait else 0.0)
+    _send_order(router, zone_path(zone, "evacuate", over, force), over if wait else 0.0)
 
 
 @click.command("return")
-@ROUTER
+@ROUTER_ARGUMENT
 @click.argument("zone")
 @_OVER
 @_WAIT
 def return_(router: Address, zone: str, over: float, wait: bool) -> None:
-    """Send reads to an evacuated zone again, step by step."""
+    """Gradually send reads to an evacuated zone again."""
     from saltport.admin.client import zone_path
 
-    _ordered(router, zone_path(zone, "return", over, False), over if wait else 0.0)
+    _send_order(router, zone_path(zone, "return", over, False), over if wait else 0.0)
 
 
 @click.command()
-@ROUTER
+@ROUTER_ARGUMENT
 @click.argument("what", type=click.Choice(["freeze", "thaw"]))
 def failover(router: Address, what: str) -> None:
-    """Freeze the plan as it is, whatever the evidence says, or thaw it."""
-    _ordered(router, f"/failover/{what}", 0.0)
+    """Freeze the current plan regardless of new observations, or thaw it."""
+    _send_order(router, f"/failover/{what}", 0.0)
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line as a user meets it: help, exit statuses, JSON, and what `run` does not import."""
+"""The command line: help, exit statuses, JSON output, and the modules that `run` does not import."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from saltport.cli import cli
 from tests.sockets import ROOT, TIMEOUT_S, eventually, free_port, is_ready
 
-LONG_S = 60.0
+DEMO_TIMEOUT_S = 60.0
 
 
 def call(*words: str) -> Result:
@@ -33,28 +33,28 @@
     )  # fmt: skip
 
 
-def verbs(group: Any, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
+def command_paths(group: Any, path: tuple[str, ...] = ()) -> list[tuple[str, ...]]:
     found = [path]
     for name, command in getattr(group, "commands", {}).items():
-        found += verbs(command, (*path, name))
+        found += command_paths(command, (*path, name))
     return found
 
 
-@pytest.mark.parametrize("path", verbs(cli), ids=" ".join)
-def test_every_verb_has_help(path: tuple[str, ...]) -> None:
+@pytest.mark.parametrize("path", command_paths(cli), ids=" ".join)
+def test_every_command_has_help(path: tuple[str, ...]) -> None:
     result = call(*path, "--help")
     assert result.exit_code == 0
     assert "Usage:" in result.output
 
 
-def test_example_is_found_good_and_a_bad_file_is_told_whole(tmp_path: Path) -> None:
+def test_example_has_no_faults_and_all_faults_of_a_bad_file_are_reported(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     path.write_text(call("config", "example").output)
     good = call("check", str(path))
     assert (good.exit_code, good.output) == (0, f"{path}: good\n")
-    told = json.loads(path.read_text())
-    told["listen"], told["settings"]["classes"][0]["aimNs"] = "here", -1
-    path.write_text(json.dumps(told))
+    config = json.loads(path.read_text())
+    config["listen"], config["settings"]["classes"][0]["aimNs"] = "here", -1
+    path.write_text(json.dumps(config))
     bad = call("check", str(path), "--json")
     assert bad.exit_code == 1
     faults = json.loads(bad.output)["faults"]
@@ -75,18 +75,18 @@
         ["fault", "strike", "kill"],
     ],
 )
-def test_wrong_command_lines_end_with_2(words: list[str]) -> None:
+def test_invalid_command_lines_exit_with_2(words: list[str]) -> None:
     assert call(*words).exit_code == 2
 
 
-def test_a_load_on_nobody_ends_with_1_and_in_json() -> None:
-    nobody = f"127.0.0.1:{free_port()}"
-    result = call("load", "--router", nobody, "--seconds", "0.2", "--retries", "0", "--json")
+def test_a_load_on_a_closed_port_exits_with_1_and_prints_json() -> None:
+    closed_address = f"127.0.0.1:{free_port()}"
+    result = call("load", "--router", closed_address, "--seconds", "0.2", "--retries", "0", "--json")
     assert result.exit_code == 1
     assert json.loads(result.stdout)["served"] == 0
 
 
-def test_control_that_is_not_there_ends_with_1() -> None:
+def test_an_unreachable_control_socket_exits_with_1() -> None:
     assert call("fault", "state", "--control", f"127.0.0.1:{free_port()}").exit_code == 1
 
 
@@ -98,14 +98,14 @@
 def test_run_starts_a_router_and_says_when_its_port_is_taken(tmp_path: Path) -> None:
     path = tmp_path / "config.json"
     port = free_port()
-    told = json.loads(call("config", "example", "--discovery", f"127.0.0.1:{free_port()}").output)
-    told["known"] = {"generation": 1, "reset": True, "instances": []}
-    path.write_text(json.dumps(told))
+    config = json.loads(call("config", "example", "--discovery", f"127.0.0.1:{free_port()}").output)
+    config["known"] = {"generation": 1, "reset": True, "instances": []}
+    path.write_text(json.dumps(config))
     router = spawn("run", str(path), "--listen", f"127.0.0.1:{port}", "--name", "x")
     try:
         eventually(lambda: is_ready(port) or router.poll() is not None, "the router is ready")
         image = Path(f"/proc/{router.pid}/cmdline").read_bytes().split(b"\0")
-        assert b"saltport.router" in image  # the command line has left the process
+        assert b"saltport.router" in image  # the router has replaced the command line in the process
         second = spawn("run", str(path), "--listen", f"127.0.0.1:{port}")
         _, errors = second.communicate(timeout=TIMEOUT_S)
         assert second.returncode == 1
@@ -119,20 +119,24 @@
 
 
 def test_a_router_imports_nothing_that_it_does_not_need() -> None:
-    heavy = ["click", "jsonschema", "hdrh", "plotext", "saltport.standins", "saltport.load", "saltport.cli",
-             "saltport.audit", "saltport.simulator", "saltport.downstream.access_log"]  # fmt: skip
-    code = f"import sys, saltport.router.__main__; print([m for m in {heavy!r} if m in sys.modules])"
-    told = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert told.stdout == "[]\n"
+    unneeded = [
+        "click", "jsonschema", "hdrh", "plotext", "saltport.standins", "saltport.load", "saltport.cli",
+        "saltport.audit", "saltport.simulator", "saltport.downstream.access_log",
+    ]  # fmt: skip
+    code = f"import sys, saltport.router.__main__; print([m for m in {unneeded!r} if m in sys.modules])"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout == "[]\n"
 
 
 def demo_lines(process: subprocess.Popen[str]) -> tuple[Any, Any, str]:
-    output, errors = process.communicate(timeout=LONG_S)
+    output, errors = process.communicate(timeout=DEMO_TIMEOUT_S)
     lines = output.splitlines()
     return json.loads(lines[0]), json.loads(lines[-1]), errors
 
 
-def test_demo_tells_addresses_first_and_totals_and_verdict_last() -> None:
+def test_demo_prints_addresses_first_and_totals_and_verdict_last() -> None:
     process = spawn("demo", "--seconds", "2", "--nodes", "4", "--rate", "40", "--fault", "slow", "--json")
     first, last, errors = demo_lines(process)
     assert process.returncode == 0, errors
@@ -147,7 +151,7 @@
     found = []
     for stat in Path("/proc").glob("[0-9]*/stat"):
         with contextlib.suppress(OSError):
-            # After the name, which stands in brackets: the state and the parent.
+            # The state and the parent follow the process name, which is in parentheses.
             if int(stat.read_text().rpartition(")")[2].split()[1]) == pid:
                 found.append(int(stat.parent.name))
     return found
@@ -162,31 +166,31 @@
 
 
 @pytest.mark.parametrize("interrupts", [1, 2, 3])
-def test_demo_ends_clean_on_ctrl_c(interrupts: int) -> None:
+def test_demo_leaves_no_process_on_ctrl_c(interrupts: int) -> None:
     process = spawn("demo", "--nodes", "3", "--rate", "30", "--json")
     assert process.stdout is not None
     first = json.loads(process.stdout.readline())
     assert first["routers"]
-    begun = children(process.pid)
-    assert len(begun) == 2  # the fleet and a router
+    started = children(process.pid)
+    assert len(started) == 2  # the fleet and a router
     for _ in range(interrupts):
         process.send_signal(signal.SIGINT)
         time.sleep(0.05)
-    output, errors = process.communicate(timeout=LONG_S)
+    output, errors = process.communicate(timeout=DEMO_TIMEOUT_S)
     assert "Traceback" not in errors, errors
     assert process.returncode in (0, 1)
     assert "audit" in json.loads(output.splitlines()[-1])
-    assert not [pid for pid in begun if alive(pid)]
+    assert not [pid for pid in started if alive(pid)]
 
 
-def test_a_fleet_is_driven_from_another_terminal(tmp_path: Path) -> None:
+def test_a_fleet_is_controlled_from_another_process(tmp_path: Path) -> None:
     ledger = tmp_path / "fleet.jsonl"
     fleet = spawn("standins", "--nodes", "3", "--ledger", str(ledger))
     try:
         assert fleet.stdout is not None
         control = json.loads(fleet.stdout.readline())["control"]
-        struck = call("fault", "strike", "--control", control, "slow", "n001", "--figure", "factor=3")
-        assert json.loads(struck.output)["fault"]["figures"] == {"factor": 3.0}
+        started = call("fault", "strike", "--control", control, "slow", "n001", "--figure", "factor=3")
+        assert json.loads(started.output)["fault"]["figures"] == {"factor": 3.0}
         state = json.loads(call("fault", "state", "--control", control).output)
         assert state["nodes"]["n001"]["fault"] == "slow"
         assert call("fault", "mend", "--control", control, "n001").exit_code == 0
