--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,10 +1,10 @@
-"""Pytest plugin: tests that fail for a known fault, listed in KNOWN-RED.txt, neither fail a run nor hide.
+"""Pytest plugin for known failures: tests listed in KNOWN-RED.txt may fail without failing the run.
 
-Each line of the file is `test id | cause | issue`; the cause may name a command and a seed. The list is
-kept short; blank lines and lines that begin with `#` don't count. Listed tests still run, as strict
-expected failures: one that passes again fails the run, so that its line gets removed. Only a fourth field
-`flaky` lets a test pass and fail. A run of the whole suite fails if a listed id matches no test; a run of
-some files doesn't judge that. Every run prints the list with what came of it.
+Each line of the file is `test id | cause | issue`; the cause may name a command and a seed. Blank lines and
+lines that begin with `#` are ignored. The list should stay short. Listed tests still run, as strict expected
+failures: one that passes again fails the run, so that its line gets removed. Only a test with a fourth field
+`flaky` may either pass or fail. A run of the whole suite fails if a listed id matches no test; a run of some
+files does not check that. Every run prints the list with the outcome of each test.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Read the list; raises `pytest.UsageError` with the line that is wrong."""
+    """Parse the list; raises `pytest.UsageError` with the invalid line."""
     lines = [line.strip() for line in text.splitlines()]
     listed = [_parse_line(line) for line in lines if line and not line.startswith("#")]
     if len({known.test_id for known in listed}) < len(listed):
@@ -51,10 +51,10 @@
 
 
 class KnownRedPlugin:
-    """Marks the listed tests, checks that they exist and prints what came of them."""
+    """Marks the listed tests, checks that they exist and prints their outcomes."""
 
     def __init__(self, listed: Sequence[KnownRed], whole_suite: bool) -> None:
-        """`whole_suite`: whether this run collects all tests there are."""
+        """`whole_suite`: whether this run collects all tests of the project."""
         self._listed = {known.test_id: known for known in listed}
         self._whole_suite = whole_suite
         self._collected: set[str] = set()
@@ -62,8 +62,8 @@
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_collection_modifyitems(self, items: list[pytest.Item]) -> None:
-        """Expect listed tests to fail. First of all hooks, so that deselected tests count as found."""
-        self._note_collected(item.nodeid for item in items)
+        """Mark listed tests as expected failures; runs first, so that deselected tests count as found."""
+        self._record_collected(item.nodeid for item in items)
         for item in items:
             known = self._listed.get(item.nodeid)
             if known is not None:
@@ -72,14 +72,14 @@
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, ids: Sequence[str]) -> None:
-        """Under xdist the workers collect, and the controller judges and prints."""
-        self._note_collected(ids)
+        """Record the tests that an xdist worker collected, for the controller's check and report."""
+        self._record_collected(ids)
 
-    def _note_collected(self, ids: Iterable[str]) -> None:
+    def _record_collected(self, ids: Iterable[str]) -> None:
         self._collected.update(self._listed.keys() & set(ids))
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Keep a listed test's outcome: of its three phases the one that says most."""
+        """Record a listed test's outcome: the most informative one of its three phases."""
         if report.nodeid not in self._listed:
             return
         expected = hasattr(report, "wasxfail")
@@ -105,7 +105,7 @@
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """Print each listed test with its cause, its issue and what came of it."""
+        """Print each listed test with its outcome, cause and issue."""
         if not self._listed:
             return
         terminalreporter.section(f"known red: {len(self._listed)} in {FILE_NAME}")
@@ -116,14 +116,14 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the list; a list that is wrong ends the run before any test."""
+    """Read the list; an invalid list ends the run before any test."""
     file = config.rootpath / FILE_NAME
     listed = parse(file.read_text()) if file.exists() else []
     config.pluginmanager.register(KnownRedPlugin(listed, _is_whole_suite(config)), "known-red-list")
 
 
 def _is_whole_suite(config: pytest.Config) -> bool:
-    """Whether the arguments are the configured test paths; under xdist the workers get them spelled out."""
-    whole = {(config.rootpath / path).resolve() for path in config.getini("testpaths")}
-    asked = {(config.invocation_params.dir / Path(argument)).resolve() for argument in config.args}
-    return bool(whole) and asked in (whole, {config.rootpath.resolve()})
+    """Whether the run covers the configured test paths, which xdist workers get as explicit arguments."""
+    suite_paths = {(config.rootpath / path).resolve() for path in config.getini("testpaths")}
+    requested = {(config.invocation_params.dir / Path(argument)).resolve() for argument in config.args}
+    return bool(suite_paths) and requested in (suite_paths, {config.rootpath.resolve()})
--- a/tests/test_harness.py
+++ b/tests/test_harness.py
@@ -1,4 +1,4 @@
-"""A real router between stand-ins: faults within a value, deaths in mid-answer, restarts under load."""
+"""A router process between stand-ins: nodes killed in the middle of an answer, and restarts under load."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 from saltport.standins.ledger import Ledger, read_ledger
 from saltport.standins.profile import Profile, quick
 
-PATIENCE_S = 60.0
+SCENE_TIMEOUT_S = 60.0
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
 QUICK = quick(Profile(), 20)
 
@@ -31,12 +31,12 @@
     rate: float = 80,
     **more: Any,
 ) -> tuple[dict[str, Any], Verdict, list[dict[str, Any]]]:
-    """Run a scene beside a load; returns the report, the verdict and the clients' tries."""
+    """Run a scene under load; return the report, the verdict and the clients' tries."""
 
     async def run() -> tuple[dict[str, Any], Ledger, Harness]:
         harness = Harness(folder, profile, 4, 1, seed=5)
         plan = LoadPlan((Step(0, rate),), seconds, seed=5, **more)
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(SCENE_TIMEOUT_S):
             async with harness:
                 load = asyncio.get_running_loop().create_task(run_load(harness, plan))
                 await scene(harness)
@@ -48,8 +48,10 @@
     return summary, harness.audit([ledger], GENEROUS), tries
 
 
-def test_a_node_killed_while_its_value_streams_is_told_to_the_client_and_comes_back(tmp_path: Path) -> None:
-    """Half of the values are long and leave their nodes slowly: the kill strikes in the middle of them."""
+def test_a_node_killed_in_the_middle_of_a_value_is_reported_to_the_client_and_restarts(
+    tmp_path: Path,
+) -> None:
+    """Half of the values are long and sent slowly, so that the kill happens in the middle of them."""
 
     async def scene(harness: Harness) -> None:
         for node in harness.addresses["nodes"]:
@@ -62,18 +64,20 @@
         for node in harness.addresses["nodes"]:
             await harness.control.call("mend", target=node)
 
-    long = replace(QUICK, large_share=0.5)
-    summary, verdict, tries = play(tmp_path, scene, long, keys=50, zipf=0.0)
+    large_values = replace(QUICK, large_share=0.5)
+    summary, verdict, tries = play(tmp_path, scene, large_values, keys=50, zipf=0.0)
     assert verdict.violations == []
     assert {"cut", "served"} <= {record["answer"] for record in tries}
     assert summary["served"] > 0
-    # The nodes are back on their ports, empty: what is asked there later is a miss that the origin fills.
+    # The nodes run again on their ports, with empty caches: requests to them miss and the origin fills them.
     fleet = list(read_ledger(tmp_path / "fleet.jsonl"))
-    back = max(record["t"] for record in fleet if record["kind"] == "cold")
-    assert [r for r in fleet if r["kind"] == "attempt" and r["t"] > back and r["node"].startswith("n")]
+    restarted_at = max(record["t"] for record in fleet if record["kind"] == "cold")
+    assert [
+        r for r in fleet if r["kind"] == "attempt" and r["t"] > restarted_at and r["node"].startswith("n")
+    ]
 
 
-def test_a_router_restarted_during_load_loses_only_what_it_held(tmp_path: Path) -> None:
+def test_a_router_restarted_under_load_loses_only_its_open_requests(tmp_path: Path) -> None:
     async def scene(harness: Harness) -> None:
         (router,) = harness.router_processes
         await asyncio.sleep(0.5)
@@ -86,27 +90,27 @@
     summary, verdict, _ = play(tmp_path, scene, seconds=5.0)
     assert verdict.violations == []
     states = [r["state"] for r in read_ledger(tmp_path / "harness.jsonl") if r["kind"] == "router"]
-    once, killed, ended = ["ready"], ["killed", "exited"], ["terminated", "exited"]
-    assert states == [*once, *killed, *once, *ended, *once, *ended]
+    started, killed, ended = ["ready"], ["killed", "exited"], ["terminated", "exited"]
+    assert states == [*started, *killed, *started, *ended, *started, *ended]
     assert summary["served"] > 0
 
 
-def test_a_router_that_crashes_is_told(tmp_path: Path) -> None:
+def test_a_router_that_crashes_is_reported(tmp_path: Path) -> None:
     async def scene(harness: Harness) -> None:
         (router,) = harness.router_processes
         assert router.process is not None
-        router.process.terminate()  # not through the harness: nobody wanted it to end
+        router.process.terminate()  # not through the harness, which therefore did not expect the end
         await router.process.wait()
 
     _, verdict, _ = play(tmp_path, scene, seconds=1.0, retries=0)
     assert "answers" in {violation.rule for violation in verdict.violations}
 
 
-def test_a_reserved_port_is_one_process_s_that_names_it_and_nobody_else_s() -> None:
-    with reserve_port() as held:
-        address = held.getsockname()
+def test_a_reserved_port_is_available_only_to_a_process_that_names_it() -> None:
+    with reserve_port() as reservation:
+        address = reservation.getsockname()
         with socket.socket() as other, pytest.raises(OSError, match="in use"):
-            other.bind(address)  # as the kernel does for whoever asks for any port, or connects
+            other.bind(address)  # as the kernel does to assign a port to a socket
         with socket.create_server(address), socket.create_connection(address) as connection:
             assert connection.getpeername() == address
 
@@ -119,14 +123,14 @@
             for address in (router.address, router.admin):
                 with socket.socket() as other, pytest.raises(OSError, match="in use"):
                     other.bind(address)
-            reserved = {held.getsockname() for held in harness._reserved}
+            reserved = {reservation.getsockname() for reservation in harness._reserved}
             assert {router.address, router.admin} <= reserved
             assert await harness.start_router(router)
 
     uvloop.run(run())
 
 
-def test_what_does_not_start_is_told_and_leaves_nothing_running(tmp_path: Path) -> None:
+def test_a_failed_start_is_reported_and_leaves_no_process_running(tmp_path: Path) -> None:
     async def run() -> None:
         harness = Harness(tmp_path, replace(Profile(), classes=()), 2, 1)
         with pytest.raises(HarnessError, match="r1 did not start"):
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""Which package may import which: what stands below it in one order, so that no two need one another."""
+"""The allowed imports between packages: each may import only those below it in one order, without cycles."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
     "soak",
     "cli",
 ]
-"""Packages and modules of saltport, the lowest first."""
-ALONE = {"dissemination": {"address", "decisions", "owners", "peers", "structures"}}
-"""Those that may import less than all that stands below."""
+"""The packages and modules of saltport, from the lowest layer to the highest."""
+RESTRICTED = {"dissemination": {"address", "decisions", "owners", "peers", "structures"}}
+"""Packages that may import only these of the packages below them."""
 
 
 def modules() -> dict[str, Path]:
-    """Each module of saltport by its full name."""
+    """Return the path of each module of saltport by its full name."""
     found = {}
     for path in (ROOT / "saltport").rglob("*.py"):
         parts = path.relative_to(ROOT).with_suffix("").parts
@@ -57,7 +57,7 @@
 
 
 def imported(tree: ast.AST, known: dict[str, Path]) -> Iterator[str]:
-    """The modules of saltport that a module imports anywhere, also for its types alone."""
+    """Yield the modules of saltport that a module imports anywhere, also for type checking only."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names if alias.name in known)
@@ -73,13 +73,13 @@
 
 
 def package_of(module: str) -> str:
-    """The name in ORDER: a package, or a module that stands beside the packages."""
+    """Return the name in ORDER for a module: its package, or the module itself if it is in no package."""
     parts = module.split(".")
     return parts[1] if len(parts) > 1 else "version"
 
 
 def misplaced(order: list[str], imports: dict[str, set[str]]) -> list[str]:
-    """Imports of what does not stand below; programs (`__main__`) join what they like."""
+    """Return the imports that are not allowed; entry points (`__main__`) may import any module."""
     rank = {package: number for number, package in enumerate(order)}
     return [
         f"{module} imports {other}"
@@ -89,12 +89,12 @@
         if package_of(other) != package_of(module)
         and (
             rank[package_of(other)] > rank[package_of(module)]
-            or package_of(other) not in ALONE.get(package_of(module), rank)
+            or package_of(other) not in RESTRICTED.get(package_of(module), rank)
         )
     ]
 
 
-def test_no_modules_import_one_another() -> None:
+def test_imports_have_no_cycle() -> None:
     sorter = TopologicalSorter(graph())
     try:
         sorter.prepare()
@@ -102,13 +102,13 @@
         pytest.fail(f"a cycle of imports: {' -> '.join(error.args[1])}")
 
 
-def test_packages_import_only_what_stands_below() -> None:
+def test_packages_import_only_lower_packages() -> None:
     imports = graph()
     assert {package_of(module) for module in imports} - {"__main__"} <= set(ORDER)
     assert misplaced(ORDER, imports) == []
 
 
-def test_an_import_of_what_stands_above_is_found() -> None:
+def test_an_import_of_a_higher_package_is_found() -> None:
     imports = {"saltport.wire.resp": {"saltport.router.host"}, "saltport.router.host": {"saltport.wire.resp"}}
     assert misplaced(ORDER, imports) == ["saltport.wire.resp imports saltport.router.host"]
     assert misplaced(ORDER, {"saltport.dissemination.log": {"saltport.wire.resp"}}) == [
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: it lets just these pass over, and only as long as they fail."""
+"""The list of tests that are known to fail: only these may fail, and only as long as they do."""
 
 from __future__ import annotations
 
@@ -39,28 +39,28 @@
 
 @pytest.fixture(autouse=True)
 def few_plugins(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Importing the plugins that are installed takes longer than all the small suite."""
+    """Don't load installed plugins: their import takes longer than the whole small suite."""
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
 
 
 @pytest.fixture
 def suite(pytester: pytest.Pytester) -> Suite:
-    """Run in this process: quick."""
+    """A suite that runs in this process, which is fast."""
     return Suite(pytester, ())
 
 
 @pytest.fixture(params=[(), ("-p", "xdist", "-n", "1")], ids=["one process", "xdist"])
 def each_suite(request: pytest.FixtureRequest, pytester: pytest.Pytester) -> Suite:
-    """Once in this process, and once with workers, as the whole suite runs."""
+    """A suite that runs in this process, and one with xdist workers, as the project's own suite runs."""
     return Suite(pytester, request.param)
 
 
 class Suite:
-    """A small suite beside its list."""
+    """A small test suite with its list of known failures."""
 
     def __init__(self, pytester: pytest.Pytester, distribution: tuple[str, ...]) -> None:
         self._pytester, self._distribution = pytester, distribution
-        self.spread = bool(distribution)
+        self.distributed = bool(distribution)
         plugin = Path(__file__).with_name("known_red.py").read_text()
         pytester.makepyfile(known_red=plugin)
         pytester.makeini("[pytest]\ntestpaths = tests\npythonpath = .")
@@ -80,10 +80,10 @@
     assert "known red" not in result.stdout.str()
 
 
-def test_a_listed_test_that_fails_is_passed_over_and_printed(each_suite: Suite) -> None:
+def test_a_listed_test_that_fails_is_tolerated_and_printed(each_suite: Suite) -> None:
     result = each_suite.run("# comment", BAD, "")
     assert result.ret == pytest.ExitCode.OK
-    result.assert_outcomes(passed=2, xfailed=1, skipped=1, deselected=0 if each_suite.spread else 3)
+    result.assert_outcomes(passed=2, xfailed=1, skipped=1, deselected=0 if each_suite.distributed else 3)
     result.stdout.fnmatch_lines(
         [
             "*known red: 1 in KNOWN-RED.txt*",
@@ -92,7 +92,7 @@
     )
 
 
-def test_only_the_listed_test_is_passed_over(suite: Suite) -> None:
+def test_only_the_listed_test_is_tolerated(suite: Suite) -> None:
     result = suite.run(BAD, arguments=())
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=3, xfailed=1, failed=1, errors=1, skipped=1)
@@ -110,7 +110,9 @@
     result = each_suite.run(BAD, GOOD)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.stdout.fnmatch_lines(["*test_good: PASSES AGAIN*"])
-    result.assert_outcomes(passed=1, xfailed=1, failed=1, skipped=1, deselected=0 if each_suite.spread else 3)
+    result.assert_outcomes(
+        passed=1, xfailed=1, failed=1, skipped=1, deselected=0 if each_suite.distributed else 3
+    )
 
 
 def test_a_listed_test_stated_as_flaky_may_pass_and_may_fail(suite: Suite) -> None:
@@ -160,7 +162,7 @@
     assert "passed" not in result.stdout.str()
 
 
-def test_an_absent_list_is_an_empty_one(pytester: pytest.Pytester) -> None:
+def test_a_missing_list_counts_as_empty(pytester: pytest.Pytester) -> None:
     suite = Suite(pytester, ())
     suite.run()
     (pytester.path / FILE_NAME).unlink()
--- a/tests/test_project.py
+++ b/tests/test_project.py
@@ -1,4 +1,4 @@
-"""Limits that the project keeps on itself, and the README's example."""
+"""Limits on the size of the policy modules, and a check of the code names in the documentation."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def _documentation_lines(text: str) -> set[int]:
-    """The numbers of the lines that hold a docstring or a comment and no code."""
+    """Return the numbers of the lines that contain only a docstring or a comment."""
     lines = {at for at, line in enumerate(text.splitlines(), 1) if line.lstrip().startswith("#")}
     for node in ast.walk(ast.parse(text)):
         if (
@@ -27,12 +27,12 @@
     return lines
 
 
-def test_policy_keeps_to_its_size() -> None:
+def test_policy_modules_stay_within_their_size_limits() -> None:
     policy = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["policy"]
     code_lines = 0
     for name in policy:
         text = (ROOT / name).read_text()
-        assert ast.get_docstring(ast.parse(text)), f"{name} does not say what it is for"
+        assert ast.get_docstring(ast.parse(text)), f"{name} has no docstring"
         lines = text.splitlines()
         assert len(lines) <= MAX_POLICY_MODULE_LINES, name
         assert max(map(len, lines)) <= 110, name
@@ -42,7 +42,7 @@
 
 
 def _defined(path: Path) -> set[str]:
-    """Classes, functions and methods of a module, by the names that pages use."""
+    """Return the classes, functions and methods of a module, named as in the documentation."""
     names = set()
     for node in ast.parse(path.read_text()).body:
         if isinstance(node, ast.ClassDef | ast.FunctionDef):
@@ -53,7 +53,7 @@
     return names
 
 
-def test_names_in_the_walk_through_the_code_are_there() -> None:
+def test_code_names_in_the_reading_guide_exist() -> None:
     page = (ROOT / "docs/design/reading.md").read_text()
     named = re.findall(r"`([a-z_/]+\.py)::([A-Za-z_.]+)`", page)
     assert len(named) > 20
