--- a/saltport/audit.py
+++ b/saltport/audit.py
@@ -220,9 +220,8 @@
             and not self.attempts[record["id"]]
             and self.lag_allowance(record, record["sent"])
         ):
-            self.note(
-                "closed_on_a_client_that_was_late"
-            )  # the router closed the connection before the late client sent its request
+            # The router closed the connection before the late client sent its request.
+            self.note("closed_on_a_client_that_was_late")
         elif answer == "none" and self.begun_in_time(record, due):
             self.note("begun_in_time_and_not_finished")
         else:
@@ -291,22 +290,23 @@
         """Check that no try was served an older version than one whose write was answered before the try."""
         versions = {record["id"]: record.get("version") for record in self.by_kind["effect"]}
         written: dict[str, list[tuple[int, int]]] = defaultdict(list)  # by key: time of the answer, version
-        for record in sorted(self.tries.values(), key=lambda history: int(history["t"])):
+        for record in sorted(self.tries.values(), key=lambda answered: int(answered["t"])):
             version = versions.get(record["id"])
             if record["answer"] == "served" and version is not None:
-                history = written[record["key"]]
-                history.append((record["t"], max(version, history[-1][1] if history else 0)))
+                answered = written[record["key"]]
+                answered.append((record["t"], max(version, answered[-1][1] if answered else 0)))
         checked = 0
         for record in self.tries.values():
             if record["answer"] != "served" or record.get("version") is None or record["key"] not in written:
                 continue
-            history = written[record["key"]]
-            place = bisect_right(history, (record["sent"], 1 << 62)) - 1
+            answered = written[record["key"]]
+            place = bisect_right(answered, (record["sent"], 1 << 62)) - 1
             checked += place >= 0
-            if place >= 0 and record["version"] < history[place][1]:
-                late = (record["sent"] - history[place][0]) / MS
+            if place >= 0 and record["version"] < answered[place][1]:
+                late = (record["sent"] - answered[place][0]) / MS
                 what = (
-                    f"version {record['version']} of {record['key']}, {late:.0f} ms after {history[place][1]}"
+                    f"version {record['version']} of {record['key']}, "
+                    f"{late:.0f} ms after {answered[place][1]}"
                 )
                 self.add_violation("stale", record, f"{record['id']}: served with {what} was answered")
         self.verdict.checked["stale"] = checked
--- a/saltport/nemesis/history.py
+++ b/saltport/nemesis/history.py
@@ -169,9 +169,9 @@
                 if settled and not stopped and sample.quorum_state == "majority":
                     claims[sample.router in span.side] = sample
             if len(claims) == 2:
-                one, other = claims.values()
-                what = f"{one.router} and {other.router} report a majority on two sides of a partition"
-                yield Violation("one_majority", max(one.at, other.at), what)
+                first, second = claims.values()
+                what = f"{first.router} and {second.router} report a majority on two sides of a partition"
+                yield Violation("one_majority", max(first.at, second.at), what)
 
     def last_samples(self) -> dict[str, Sample]:
         """Return the last sample of each router."""
--- a/saltport/nemesis/runner.py
+++ b/saltport/nemesis/runner.py
@@ -173,15 +173,15 @@
         quorum_state = peers["quorum"]["state"] if peers["state"] == "member" else peers["state"]
         sample = Sample(self.now(), router.name, process.pid, peers["view"]["digest"], quorum_state, members)
         self.history.samples.append(sample)
-        owned = await _fetch(router, "/owners") if self.voters else None
-        if owned is not None:
-            self.owner_reports[router.name] = owned
-            for piece, epoch in owned.get("holds", {}).items():
-                self.history.ownership.append(OwnershipSample(owned["now_ns"], router.name, piece, epoch))
-        zoned = await _fetch(router, "/zones") if self.failover else None
-        if zoned is not None and process is router.process:
-            self.zone_reports[router.name] = zoned
-            if plan := zoned.get("plan"):
+        owners = await _fetch(router, "/owners") if self.voters else None
+        if owners is not None:
+            self.owner_reports[router.name] = owners
+            for piece, epoch in owners.get("holds", {}).items():
+                self.history.ownership.append(OwnershipSample(owners["now_ns"], router.name, piece, epoch))
+        zones = await _fetch(router, "/zones") if self.failover else None
+        if zones is not None and process is router.process:
+            self.zone_reports[router.name] = zones
+            if plan := zones.get("plan"):
                 content = str([plan["why"], plan["way_s"], plan["bad"], plan["out"]])
                 self.history.plans.append(
                     PlanSample(
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -53,10 +53,10 @@
 class KnownRedPlugin:
     """Marks the listed tests, checks that they exist and prints their outcomes."""
 
-    def __init__(self, listed: Sequence[KnownRed], whole_suite: bool) -> None:
-        """`whole_suite`: whether this run collects all tests of the project."""
+    def __init__(self, listed: Sequence[KnownRed], full_suite: bool) -> None:
+        """`full_suite`: whether this run collects all tests of the project."""
         self._listed = {known.test_id: known for known in listed}
-        self._whole_suite = whole_suite
+        self._full_suite = full_suite
         self._collected: set[str] = set()
         self._outcomes: dict[str, str] = {}
 
@@ -94,7 +94,7 @@
             self._outcomes.setdefault(report.nodeid, "skipped")
 
     def _missing(self) -> list[str]:
-        if not self._whole_suite:
+        if not self._full_suite:
             return []
         return [test_id for test_id in self._listed if test_id not in self._collected]
 
@@ -119,10 +119,10 @@
     """Read the list; an invalid list ends the run before any test."""
     file = config.rootpath / FILE_NAME
     listed = parse(file.read_text()) if file.exists() else []
-    config.pluginmanager.register(KnownRedPlugin(listed, _is_whole_suite(config)), "known-red-list")
+    config.pluginmanager.register(KnownRedPlugin(listed, _is_full_suite(config)), "known-red-list")
 
 
-def _is_whole_suite(config: pytest.Config) -> bool:
+def _is_full_suite(config: pytest.Config) -> bool:
     """Whether the run covers the configured test paths, which xdist workers get as explicit arguments."""
     suite_paths = {(config.rootpath / path).resolve() for path in config.getini("testpaths")}
     requested = {(config.invocation_params.dir / Path(argument)).resolve() for argument in config.args}
--- a/tests/nemesis/test_owner_processes.py
+++ b/tests/nemesis/test_owner_processes.py
@@ -118,7 +118,8 @@
         await wait_until("another router leads", lambda: leader(nemesis) not in ("", first))
         await nemesis.start(first)
         await nemesis.wait_until_agreed()
-        # The leader and one other are cut off: the five go on working, the two lose their pieces in time.
+        # The leader and one other are cut off: the five go on working, and the two own nothing beyond
+        # their leases.
         old = leader(nemesis)
         small = [old, next(name for name in nemesis.others([old]))]
         before = {piece: earlier for piece, (_, earlier) in owners(nemesis).items()}
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -37,10 +37,10 @@
     }  # fmt: skip
 
 
-def listing(at: int, whole: bool = True, **states: str) -> Record:
+def listing(at: int, is_full: bool = True, **states: str) -> Record:
     addresses = {"n1": NODE, "n2": OTHER, "origin": ORIGIN}
     listed = {name: [state, addresses[name]] for name, state in states.items()}
-    return {"kind": "told", "t": at, "router": "r1", "whole": whole, "states": listed, "writer": "fleet"}
+    return {"kind": "told", "t": at, "router": "r1", "whole": is_full, "states": listed, "writer": "fleet"}
 
 
 def effect(request: str, at: int, **more: Any) -> Record:
@@ -61,10 +61,10 @@
         client_try("a", S), attempt("a", S + MS),
         client_try("w", S, cls="yank"), attempt("w", S + MS, ORIGIN, cls="yank"), effect("w", S + 5 * MS),
         client_try("o", S, cls="once"), attempt("o", S + MS, ORIGIN, cls="once"), effect("o", S + 5 * MS),
-        listing(2 * S, whole=False, n1="draining"),
+        listing(2 * S, is_full=False, n1="draining"),
         client_try("b", 2 * S, t=2 * S + 350 * MS), attempt("b", 2 * S + 300 * MS),
         client_try("c", 3 * S), attempt("c", 3 * S + MS, OTHER),
-        listing(4 * S, whole=False, n1="up"),
+        listing(4 * S, is_full=False, n1="up"),
         {"kind": "cold", "t": 4 * S, "node": NODE, "cores": 1, "cold_from": 0.4, "cold_ms": 6000,
          "multiple": 4.0, "fall_ms": 2000, "writer": "fleet"},
         client_try("d", 5 * S), attempt("d", 5 * S + MS),
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The allowed imports between packages: each may import only those below it in one order, without cycles."""
+"""The allowed imports between packages: each imports only lower ones in a fixed order, without cycles."""
 
 from __future__ import annotations
 
--- a/tests/test_soak_shutdown.py
+++ b/tests/test_soak_shutdown.py
@@ -21,7 +21,7 @@
 from tests.faults.system_calls import Call, SystemCalls
 
 SEEDS = int(os.environ.get("SALTPORT_SOAK_SEEDS", "8"))
-SECONDS = 9.0
+SOAK_S = 9.0
 IDLE_CONNECTIONS, SCARCE_SOCKETS = 140, 200
 # A machine that is busy with other tests may stall a router for longer than the audit's default of 50 ms.
 GENEROUS = Limits(3_000, 3_000, 3_000, 3_000)
@@ -53,7 +53,7 @@
     calls = SystemCalls(folder)
     idle_connections = IDLE_CONNECTIONS if seed % 3 == 0 else 0
     soak = Soak(
-        SECONDS, nodes=12, routers=3, rate=60, seed=seed, fault_every_s=0.6, restart_every_s=1.2,
+        SOAK_S, nodes=12, routers=3, rate=60, seed=seed, fault_every_s=0.6, restart_every_s=1.2,
         work_divisor=4, keys=300, deadline_divisor=1.0 if seed % 2 else 4.0,
         idle_connections=idle_connections, sockets=SCARCE_SOCKETS if idle_connections else 1024,
         environ=calls.environ,
