--- a/saltport/harness.py
+++ b/saltport/harness.py
@@ -30,7 +30,7 @@
 
 START_TIMEOUT_S = 30.0
 SHUTDOWN_TIMEOUT_S = 10.0
-LONGEST_DEADLINE_S, KILL_SLACK_S = 3.0, 0.7  # PROTOCOL allows SIGKILL no sooner after SIGTERM
+LONGEST_DEADLINE_S, KILL_SLACK_S = 3.0, 0.7  # PROTOCOL: SIGKILL comes this long after SIGTERM at least
 SIGNAL_INTERVAL_S = 0.02
 SIGNAL_SERIES = (
     (signal.SIGTERM,),
@@ -59,7 +59,7 @@
 
 
 def free_port(host: str = "127.0.0.1") -> int:
-    """Return a port that is free now; another process may take it before the caller uses it."""
+    """Return a port that is free now; another process may take it first, so the caller must retry."""
     with socket.create_server((host, 0)) as listener:
         return int(listener.getsockname()[1])
 
