--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,8 +1,9 @@
-"""What a starved router serves in time, with and without shedding: `python -m benchmarks.overload`.
+"""Compares a throttled router with and without shedding: `python -m benchmarks.overload`.
 
-The router gets a fifth of the time (SIGSTOP for 40 ms of every 50) before loopback nodes that answer at once,
-all hits. Its capacity so is measured with a closed loop; then tenant `public` asks for a third of that and
-`municipal` for more and more, open loop, latency from the intended start. One run after the other.
+The router is throttled to a fifth of the CPU time (SIGSTOP for 40 ms of every 50 ms). Nodes on loopback answer
+every request immediately with a hit. A closed loop measures the router's capacity. Then tenant `public` sends
+a third of that rate and `municipal` an increasing multiple of it, both in an open loop; latency counts from
+the intended start of a request.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 import orjson
 import uvloop
 
-from benchmarks.relay import KEYS, VALUE, _child, _ClientRun
+from benchmarks.relay import KEY_COUNT, VALUE, _ClosedLoop, _start_child
 from saltport.address import Address
 from saltport.admin.client import ask
 from saltport.harness import environment, free_port
@@ -32,87 +33,89 @@
 from saltport.standins.profile import Profile
 from saltport.wire.resp import command
 
-CONNECTIONS = 160  # of each tenant, each with one request at a time, as build machines have it
+CONNECTIONS_PER_TENANT = 160  # each carries one request at a time, as the connections of a build machine do
 DEADLINE_MS = 2000
-REST_S = 5.0
+RECOVERY_S = 5.0
 RUN_S, STOP_S = 0.010, 0.040
-START_S = 30.0
-FEATURES = "[overload]\ntarget_ms = {target}\n"
+START_TIMEOUT_S = 30.0
+FEATURES_TOML = "[overload]\ntarget_ms = {target}\n"
 
 
 class _Tenant:
-    """A tenant's clients: a request takes a connection that is free, or waits for one."""
+    """A tenant's connections. A request takes an idle connection, or waits until one is idle."""
 
     def __init__(self, name: str, aim_s: float) -> None:
         self.name, self._aim_s = name, aim_s
-        self.free: list[_Client] = []
+        self.free: list[_ClientConnection] = []
         self.waiting: deque[tuple[float, int]] = deque()
-        self.ends: Counter[str] = Counter()
-        self.took: list[float] = []
+        self.outcomes: Counter[str] = Counter()
+        self.latencies_s: list[float] = []
 
-    def ask(self, at: float, number: int) -> None:
-        self.ends["asked"] += 1
-        self.waiting.append((at, number))
-        self.go_on()
+    def enqueue(self, intended_at: float, number: int) -> None:
+        self.outcomes["asked"] += 1
+        self.waiting.append((intended_at, number))
+        self.send_waiting()
 
-    def go_on(self) -> None:
+    def send_waiting(self) -> None:
         now = time.perf_counter()
         while self.waiting and self.free:
-            at, number = self.waiting.popleft()
-            left_ms = DEADLINE_MS - int((now - at) * 1000)
-            if left_ms <= 0:
-                self.ends["never sent"] += 1
+            intended_at, number = self.waiting.popleft()
+            remaining_ms = DEADLINE_MS - int((now - intended_at) * 1000)
+            if remaining_ms <= 0:
+                self.outcomes["never sent"] += 1
             else:
-                self.free.pop().ask(at, number, left_ms)
+                self.free.pop().send(intended_at, number, remaining_ms)
 
-    def told(self, client: _Client, at: float, kind: bytes) -> None:
-        latency = time.perf_counter() - at
+    def record_reply(self, client: _ClientConnection, intended_at: float, reply_type: bytes) -> None:
+        latency = time.perf_counter() - intended_at
         in_time = latency <= self._aim_s
-        if kind == b"$":
-            self.took.append(latency)
-            self.ends["in time" if in_time else "late"] += 1
+        if reply_type == b"$":
+            self.latencies_s.append(latency)
+            self.outcomes["in time" if in_time else "late"] += 1
         else:
-            self.ends["refused" if in_time else "refused late"] += 1
+            self.outcomes["refused" if in_time else "refused late"] += 1
         self.free.append(client)
-        self.go_on()
+        self.send_waiting()
 
 
-class _Client(asyncio.Protocol):
-    """One connection."""
+class _ClientConnection(asyncio.Protocol):
+    """One client connection of a tenant, with at most one request under way."""
 
     def __init__(self, tenant: _Tenant) -> None:
         self._tenant = tenant
-        self._left = b""
-        self._at = 0.0
+        self._received = b""
+        self._intended_at = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
-    def ask(self, at: float, number: int, left_ms: int) -> None:
-        self._at = at
-        info = b"c=fetch,t=%b,d=%d" % (self._tenant.name.encode(), left_ms)
-        key = b"pkg-%d" % (number % KEYS)
+    def send(self, intended_at: float, number: int, remaining_ms: int) -> None:
+        self._intended_at = intended_at
+        info = b"c=fetch,t=%b,d=%d" % (self._tenant.name.encode(), remaining_ms)
+        key = b"pkg-%d" % (number % KEY_COUNT)
         self.transport.write(command(b"KV.GET", key, b"%016x" % number, info))
 
     def data_received(self, data: bytes) -> None:
-        self._left += data
-        if self._left.endswith(b"\r\n") and (self._left[:1] != b"$" or len(self._left) > len(VALUE)):
-            kind, self._left = self._left[:1], b""
-            self._tenant.told(self, self._at, kind)
+        self._received += data
+        if self._received.endswith(b"\r\n") and (
+            self._received[:1] != b"$" or len(self._received) > len(VALUE)
+        ):
+            reply_type, self._received = self._received[:1], b""
+            self._tenant.record_reply(self, self._intended_at, reply_type)
 
     def connection_lost(self, exc: Exception | None) -> None:
         if self in self._tenant.free:
             self._tenant.free.remove(self)
 
 
-def _tail(took: list[float]) -> dict[str, int]:
-    if len(took) < 2:
+def _percentiles(latencies_s: list[float]) -> dict[str, int]:
+    if len(latencies_s) < 2:
         return {}
-    hundredths = statistics.quantiles(took, n=100)
+    hundredths = statistics.quantiles(latencies_s, n=100)
     return {"p50_ms": round(hundredths[49] * 1000), "p99_ms": round(hundredths[98] * 1000)}
 
 
-async def _starve(process: asyncio.subprocess.Process) -> None:
+async def _throttle(process: asyncio.subprocess.Process) -> None:
     while True:
         process.send_signal(signal.SIGSTOP)
         await asyncio.sleep(STOP_S)
@@ -120,76 +123,87 @@
         await asyncio.sleep(RUN_S)
 
 
-async def _play(address: Address, rates: dict[str, float], seconds: float, aim_s: float) -> dict[str, Any]:
-    """Open loop at these rates; returns what became of each tenant's requests."""
+async def _run_open_loop(
+    address: Address, rates: dict[str, float], seconds: float, aim_s: float
+) -> dict[str, Any]:
+    """Send requests in an open loop at these rates; return the counts of outcomes of each tenant."""
     loop = asyncio.get_running_loop()
     tenants = {name: _Tenant(name, aim_s) for name in rates}
     transports = []
     for tenant in tenants.values():
-        for _ in range(CONNECTIONS):
-            made = await loop.create_connection(lambda tenant=tenant: _Client(tenant), *address)  # type: ignore[misc]
-            tenant.free.append(made[1])
-            transports.append(made[0])
+        for _ in range(CONNECTIONS_PER_TENANT):
+            connection = await loop.create_connection(
+                lambda tenant=tenant: _ClientConnection(tenant),  # type: ignore[misc]
+                *address,
+            )
+            tenant.free.append(connection[1])
+            transports.append(connection[0])
     rng, number = random.Random(1), 0
-    begin = time.perf_counter()
-    due = dict.fromkeys(rates, begin)
-    while (now := time.perf_counter()) < begin + seconds:
+    started_at = time.perf_counter()
+    due_at = dict.fromkeys(rates, started_at)
+    while (now := time.perf_counter()) < started_at + seconds:
         for name, rate in rates.items():
-            while due[name] <= now:
+            while due_at[name] <= now:
                 number += 1
-                tenants[name].ask(due[name], number)
-                due[name] += rng.expovariate(rate)
+                tenants[name].enqueue(due_at[name], number)
+                due_at[name] += rng.expovariate(rate)
         await asyncio.sleep(0.001)
     await asyncio.sleep(DEADLINE_MS / 1000 + 0.5)
     for transport in transports:
         transport.close()
-    return {name: {**tenant.ends, **_tail(tenant.took)} for name, tenant in tenants.items()}
+    return {name: {**tenant.outcomes, **_percentiles(tenant.latencies_s)} for name, tenant in tenants.items()}
 
 
-async def compare(seconds: float, target_ms: int, say: Callable[[str], None]) -> list[dict[str, Any]]:
-    """Play all of it without and with shedding; returns a row for each."""
+async def compare(seconds: float, target_ms: int, report_line: Callable[[str], None]) -> list[dict[str, Any]]:
+    """Run all rates without and with shedding; return one row of results for each run."""
     rows = []
     profile = Profile()
     for target in (0, target_ms):
-        held: list[asyncio.subprocess.Process] = []
+        processes: list[asyncio.subprocess.Process] = []
         with tempfile.TemporaryDirectory(prefix="saltport-overload-") as folder:
             try:
-                nodes, told = await _child("-m", "benchmarks.relay", "--role", "nodes")
-                held.append(nodes)
+                nodes, description = await _start_child("-m", "benchmarks.relay", "--role", "nodes")
+                processes.append(nodes)
                 listen = ("127.0.0.1", free_port())
                 admin = ("127.0.0.1", free_port())
                 config = Path(folder) / "config.json"
-                facts = profile.config("r1", "{}:{}".format(*listen), told["registry"], 1)
-                facts["admin_addr"] = "{}:{}".format(*admin)
-                config.write_bytes(orjson.dumps(facts))
-                aim_s = next(c["aimNs"] for c in facts["settings"]["classes"] if c["name"] == "fetch") / 1e9
-                more = Path(folder) / "features.toml"
-                more.write_text(FEATURES.format(folder=folder, target=target))
+                settings = profile.config("r1", "{}:{}".format(*listen), description["registry"], 1)
+                settings["admin_addr"] = "{}:{}".format(*admin)
+                config.write_bytes(orjson.dumps(settings))
+                aim_s = (
+                    next(c["aimNs"] for c in settings["settings"]["classes"] if c["name"] == "fetch") / 1e9
+                )
+                features = Path(folder) / "features.toml"
+                features.write_text(FEATURES_TOML.format(folder=folder, target=target))
                 router = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "saltport.router", "--with", str(more),
+                    sys.executable, "-m", "saltport.router", "--with", str(features),
                     env={**environment(), "LB_CONFIG": str(config)},
                 )  # fmt: skip
-                held.append(router)
-                if not await wait_ready(listen, START_S):
+                processes.append(router)
+                if not await wait_ready(listen, START_TIMEOUT_S):
                     raise RuntimeError("the router did not start")
-                await _ClientRun(5000).play(listen, 32)
-                starving = asyncio.get_running_loop().create_task(_starve(router))
-                capacity = (await _ClientRun(8000).play(listen, 128))["per_s"]
-                await asyncio.sleep(REST_S)  # the closed loop was an overload too
-                for times in (0.2, 1.5, 3.0):
-                    rates = {"public": capacity / 3, "municipal": capacity * times}
-                    ends = await _play(listen, rates, seconds, aim_s)
-                    rows.append({"target_ms": target, "capacity_per_s": capacity, "municipal": times, **ends})
-                    say(f"target {target} ms, capacity {capacity} a second, municipal {times} times that:")
-                    for tenant, end in ends.items():
-                        say(f"    {tenant}: {end}")
-                starving.cancel()
+                await _ClosedLoop(5000).run(listen, 32)
+                throttling = asyncio.get_running_loop().create_task(_throttle(router))
+                capacity = (await _ClosedLoop(8000).run(listen, 128))["per_s"]
+                await asyncio.sleep(RECOVERY_S)  # the closed loop overloads the router as well
+                for multiple in (0.2, 1.5, 3.0):
+                    rates = {"public": capacity / 3, "municipal": capacity * multiple}
+                    outcomes = await _run_open_loop(listen, rates, seconds, aim_s)
+                    rows.append(
+                        {"target_ms": target, "capacity_per_s": capacity, "municipal": multiple, **outcomes}
+                    )
+                    report_line(
+                        f"target {target} ms, capacity {capacity} a second, municipal {multiple} times that:"
+                    )
+                    for tenant, counts in outcomes.items():
+                        report_line(f"    {tenant}: {counts}")
+                throttling.cancel()
                 router.send_signal(signal.SIGCONT)
                 state = await asyncio.to_thread(ask, admin, "/state")
-                say(f"    {state['overload']}, given up {state['given_up']}")
-                say(f"    ejected {cast(dict[str, Any], state['outliers'])['ejected']}")
+                report_line(f"    {state['overload']}, given up {state['given_up']}")
+                report_line(f"    ejected {cast(dict[str, Any], state['outliers'])['ejected']}")
             finally:
-                for process in held:
+                for process in processes:
                     if process.returncode is None:
                         with suppress(ProcessLookupError):
                             process.send_signal(signal.SIGCONT)
@@ -199,15 +213,15 @@
 
 
 def main() -> int:
-    """Run it."""
+    """Run the benchmark from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=10.0, help="for each rate")
+    parser.add_argument("--seconds", type=float, default=10.0, help="duration of the run at each rate")
     parser.add_argument("--target-ms", type=int, default=30)
     parser.add_argument("--json", action="store_true")
-    told = parser.parse_args()
-    say = (lambda line: print(line, file=sys.stderr)) if told.json else print
-    rows = uvloop.run(compare(told.seconds, told.target_ms, say))
-    if told.json:
+    arguments = parser.parse_args()
+    report_line = (lambda line: print(line, file=sys.stderr)) if arguments.json else print
+    rows = uvloop.run(compare(arguments.seconds, arguments.target_ms, report_line))
+    if arguments.json:
         print(orjson.dumps(rows).decode())
     return 0
 
--- a/benchmarks/scale/data_path.py
+++ b/benchmarks/scale/data_path.py
@@ -28,7 +28,7 @@
 import orjson
 import uvloop
 
-from benchmarks.relay import TICKS, cpu_s
+from benchmarks.relay import CLOCK_TICKS_PER_S, cpu_s
 from benchmarks.scale.stand_ins import Load, machine_load, memory_kb, router, servers_apart
 from saltport.wire.resp import MAX_VALUE_BYTES
 
@@ -99,7 +99,7 @@
 
 def kernel_s(pid: int) -> float:
     """CPU seconds of a process within the kernel."""
-    return int(Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[12]) / TICKS
+    return int(Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[12]) / CLOCK_TICKS_PER_S
 
 
 def minor_faults(pid: int) -> int:
