--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,9 +1,9 @@
 """Compares a throttled router with and without shedding: `python -m benchmarks.overload`.
 
-The router is throttled to a fifth of the CPU time (SIGSTOP for 40 ms of every 50 ms). Nodes on loopback answer
-every request immediately with a hit. A closed loop measures the router's capacity. Then tenant `public` sends
-a third of that rate and `municipal` an increasing multiple of it, both in an open loop; latency counts from
-the intended start of a request.
+The router is throttled to a fifth of the CPU time (SIGSTOP for 40 ms of every 50 ms). Nodes on loopback
+answer every request immediately with a hit. A closed loop measures the router's capacity. Then tenant
+`public` sends a third of that rate and `municipal` an increasing multiple of it, both in an open loop;
+latency counts from the intended start of a request.
 """
 
 from __future__ import annotations
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -82,7 +82,9 @@
             world.run(until=max(begun + int(at * NS_PER_S), world.now))
             world.pause(who, int(PAUSE_S * NS_PER_S))
         world.run(until=begun + 60 * NS_PER_S)
-    return told(minutes, len(world.told("died", since)), (world.sent - before) / members / minutes / 60)
+    return told(
+        minutes, len(world.events_of_kind("died", since)), (world.sent - before) / members / minutes / 60
+    )
 
 
 def _beats(form: str, members: int, minutes: int, seed: int) -> int:
@@ -150,10 +152,13 @@
         begin()
         world.run(seconds)
         stand = dict(Counter(str(agent.views.quorum) for agent in world.agents.values()))
-        died, sent = len(world.told("died", since)), world.sent
+        died, sent = len(world.events_of_kind("died", since)), world.sent
         world.cuts.clear()
         agreed = world.until_agreed(60)
-        each, views = (world.sent - sent) // members, len(world.told("view", since)) / len(world.agents)
+        each, views = (
+            (world.sent - sent) // members,
+            len(world.events_of_kind("view", since)) / len(world.agents),
+        )
         yield f"{what}: {stand}, {died} deaths, {views:.1f} views each; agreed {agreed:.2f} s, {each} bytes"
         world.run(15)
     fresh = World(members, seed)
--- a/benchmarks/peers_world.py
+++ b/benchmarks/peers_world.py
@@ -1,4 +1,7 @@
-"""Membership in virtual time: N agents, links that lose and cut, pauses, deaths and restarts, by seed."""
+"""Membership in virtual time: agents over links with loss and partitions, with pauses, deaths and restarts.
+
+The same seed gives the same run.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +17,22 @@
 from saltport.peers.settings import NS_PER_MS, NS_PER_S, PeerSettings
 from saltport.standins.fleet import ZONES
 
-DELAY = (NS_PER_MS, 6 * NS_PER_MS)
+DELAY_RANGE_NS = (NS_PER_MS, 6 * NS_PER_MS)
 
 Cut = Callable[[int, int, int], bool]
-"""Whether nothing gets from one place to another at this time."""
+"""Whether the link from the first place to the second is cut at this time."""
 
 
 class Seen(NamedTuple):
-    """What a router believed of another, and when."""
+    """A membership event, with its time and the router that reported it."""
 
     at: int
     by: str
-    told: MembershipEvent
+    event: MembershipEvent
 
 
 class World:
-    """All routers and the links between them."""
+    """All agents and the links between them, driven by virtual time."""
 
     def __init__(
         self, count: int, seed: int, settings: PeerSettings | None = None, agent: type[Agent] = Agent
@@ -43,111 +46,116 @@
         self.seen: list[Seen] = []
         self.places = list(range(count))
         self._events: list[tuple[int, int, int, int, Packet | None, Agent | None]] = []
-        self._count = 0
+        self._event_number = 0
 
-    # Acts
+    # Actions
 
     def start(self, place: int, clock: int = 1_000, name: str | None = None) -> Agent:
-        """A process comes up at this place; `clock` gives its start number."""
+        """Start an agent at this place and return it; `clock` is its incarnation."""
         agent = self._agent(
             Identity(name or f"r{place}", clock, place, ZONES[place % len(ZONES)]), self.places,
             self.settings, random.Random(self.rng.getrandbits(32)), self.now,
         )  # fmt: skip
         self.agents[place] = agent
         self.paused.pop(place, None)
-        self._push(self.now + self.rng.randrange(100 * NS_PER_MS), place, whose=agent)
+        self._push(self.now + self.rng.randrange(100 * NS_PER_MS), place, agent_to_tick=agent)
         return agent
 
     def start_all(self, within: int = 300 * NS_PER_MS) -> None:
-        """All of them, spread over so long."""
-        begun = self.now
+        """Start the agents of all places in random order, spread over `within` nanoseconds."""
+        started_at = self.now
         for place in sorted(self.places, key=lambda _: self.rng.random()):
-            self.run(until=begun + self.rng.randrange(within) // len(self.places))
+            self.run(until=started_at + self.rng.randrange(within) // len(self.places))
             self.start(place)
 
     def kill(self, place: int) -> None:
-        """A process ends without a word."""
+        """End a process without notice."""
         del self.agents[place]
 
     def leave(self, place: int) -> None:
-        """A process says that it goes, and ends."""
+        """Let a process announce that it leaves, and end it."""
         agent = self.agents[place]
         for _ in range(2):
             agent.leave(self.now)
-            self._carry(place)
+            self._send_packets(place)
         del self.agents[place]
 
     def pause(self, place: int, length: int) -> None:
-        """A process stands still; what comes meanwhile waits for it."""
+        """Pause a process for `length` nanoseconds; packets that arrive meanwhile are delivered later."""
         self.paused[place] = self.now + length
 
     # Time
 
     def _push(
-        self, at: int, place: int, source: int = -1, packet: Packet | None = None, whose: Agent | None = None
+        self,
+        at: int,
+        place: int,
+        source: int = -1,
+        packet: Packet | None = None,
+        agent_to_tick: Agent | None = None,
     ) -> None:
-        """A packet arrives at a place; or it is this agent's turn, if it is there still."""
-        self._count += 1
-        heapq.heappush(self._events, (at, self._count, place, source, packet, whose))
+        """Schedule the arrival of a packet, or the next tick of an agent if it still runs by then."""
+        self._event_number += 1
+        heapq.heappush(self._events, (at, self._event_number, place, source, packet, agent_to_tick))
 
-    def _carry(self, place: int) -> None:
+    def _send_packets(self, place: int) -> None:
         agent, rng, now = self.agents[place], self.rng, self.now
         for to, packet in agent.take_packets():
             lost = not isinstance(to, int) or rng.random() < self.loss
             if isinstance(to, int) and not lost and not any(cut(place, to, now) for cut in self.cuts):
-                self._push(now + rng.randrange(*DELAY), to, place, packet)
-        for told in agent.take_events():
-            self.seen.append(Seen(now, agent.name, told))
+                self._push(now + rng.randrange(*DELAY_RANGE_NS), to, place, packet)
+        for event in agent.take_events():
+            self.seen.append(Seen(now, agent.name, event))
 
     def run(self, seconds: float = 0.0, until: int | None = None) -> None:
-        """Let time pass."""
+        """Run for this many seconds, or until this time."""
         end = self.now + int(seconds * NS_PER_S) if until is None else until
         events = self._events
         while events and events[0][0] <= end:
-            at, _, place, source, packet, whose = heapq.heappop(events)
+            at, _, place, source, packet, agent_to_tick = heapq.heappop(events)
             self.now = max(at, self.now)
             agent = self.agents.get(place)
-            if agent is None or (packet is None and whose is not agent):
+            if agent is None or (packet is None and agent_to_tick is not agent):
                 continue
-            wakes = self.paused.get(place, 0)
-            if wakes > self.now:
-                self._push(wakes, place, source, packet, whose)
+            resumes_at = self.paused.get(place, 0)
+            if resumes_at > self.now:
+                self._push(resumes_at, place, source, packet, agent_to_tick)
                 continue
             if packet is None:
                 agent.tick(self.now)
-                self._push(agent.due, place, whose=agent)
+                self._push(agent.due, place, agent_to_tick=agent)
             else:
                 agent.receive(packet, source, self.now)
-            self._carry(place)
+            self._send_packets(place)
         self.now = max(end, self.now)
 
-    # What was seen
+    # Observations
 
-    def told(self, what: str, since: int = 0) -> list[Seen]:
-        """All that was told of this kind."""
-        return [seen for seen in self.seen if seen.told.kind == what and seen.at >= since]
+    def events_of_kind(self, kind: str, since: int = 0) -> list[Seen]:
+        """Return the observed events of this kind since this time."""
+        return [seen for seen in self.seen if seen.event.kind == kind and seen.at >= since]
 
-    def agree(self) -> bool:
-        """Whether all that run hold the same view: just those that run."""
+    def views_agree(self) -> bool:
+        """Whether the view of each running agent lists exactly the running agents."""
         live = {agent.name for agent in self.agents.values()}
         return all({record.name for record in agent.members.live()} == live for agent in self.agents.values())
 
     def until_agreed(self, seconds: float) -> float:
-        """Seconds until all agree; infinite if they don't in time."""
-        begun = self.now
-        while not self.agree():
-            if self.now - begun >= seconds * NS_PER_S:
+        """Run until all views agree; return the seconds that it took, infinite if they do not in time."""
+        started_at = self.now
+        while not self.views_agree():
+            if self.now - started_at >= seconds * NS_PER_S:
                 return math.inf
             self.run(0.05)
-        return (self.now - begun) / NS_PER_S
+        return (self.now - started_at) / NS_PER_S
 
     @property
     def sent(self) -> int:
-        """Bytes that all have sent."""
+        """Return the payload bytes that all running agents have sent."""
         return sum(agent.send_queue.bytes for agent in self.agents.values())
 
     def bytes_per_s(self, seconds: float) -> float:
-        """Bytes that a router sends, the mean over all while so long passes."""
+        """Run for this many seconds; return the bytes per second that an agent sends, as a mean over all."""
         before = self.sent
         self.run(seconds)
         return (self.sent - before) / seconds / max(len(self.agents), 1)
--- a/benchmarks/scale/configuration.py
+++ b/benchmarks/scale/configuration.py
@@ -1,7 +1,7 @@
-"""A change of configuration at one router: `python -m benchmarks.scale.configuration`.
+"""Measures a configuration reload at one router: `python -m benchmarks.scale.configuration`.
 
-The file is read, compared and taken as after SIGHUP, by a host that knows 680 servers, for so many tenants.
-Nothing carries the file to the router: that is not measured here.
+As after SIGHUP, the file is read, compared and applied, by a host that knows 680 servers, for different
+numbers of tenants. The distribution of the file to the router is not measured.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 import orjson
 
 from benchmarks.scale import fit
-from benchmarks.scale.discovery import SERVERS, entry
+from benchmarks.scale.discovery import SERVER_COUNT, server_entry
 from saltport.lifecycle.reload import plan_reload
 from saltport.membership.listing import read_listing
 from saltport.membership.start_times import StartTimes
@@ -25,25 +25,25 @@
 from saltport.router.host import RouterHost
 from saltport.upstream.pool import Pool
 
-CHANGES_A_DAY = 7_400
-CHANGES = 40
+CHANGES_PER_DAY = 7_400
+CHANGE_COUNT = 40
 
 
 @dataclass(frozen=True, slots=True)
-class Reload:
-    """One change, taken by one router."""
+class ReloadCost:
+    """Cost of one change for one router."""
 
     tenants: int
     file_bytes: int
     cpu_ms: float
     longest_hold_ms: float
     refused_ms: float
-    """Of a file that can't be used: the old one stays."""
+    """CPU time to refuse an invalid file; the old configuration stays in use."""
     cpu_percent_at_7400_a_day: float
     cpu_percent_at_7400_an_hour: float
 
 
-def _file(tenants: int, number: int) -> bytes:
+def _configuration_file(tenants: int, number: int) -> bytes:
     limits = [
         {"name": f"tenant-{place:04}", "portion": 1 / tenants, "quotaPerS": 100.0 + number}
         for place in range(tenants)
@@ -52,60 +52,64 @@
         {"name": "fetch", "aimNs": 300_000_000, "giveUpNs": 1_000_000_000, "semantics": "retryable"},
         {"name": "push", "aimNs": 500_000_000, "giveUpNs": 1_000_000_000, "semantics": "dedup"},
     ]
-    settings: dict[str, Any] = {"classes": classes, "tenants": limits, "balancers": fit.FLEET}
+    settings: dict[str, Any] = {"classes": classes, "tenants": limits, "balancers": fit.FLEET_ROUTERS}
     return orjson.dumps(
         {"name": "r1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": settings}
     )
 
 
-async def _reload(tenants: int, path: Path) -> Reload:
-    environ = {"LB_CONFIG": str(path)}
-    path.write_bytes(_file(tenants, 0))
-    held = load_config(environ)
+async def _measure_reload(tenants: int, path: Path) -> ReloadCost:
+    environment = {"LB_CONFIG": str(path)}
+    path.write_bytes(_configuration_file(tenants, 0))
+    current = load_config(environment)
     loop = asyncio.get_running_loop()
-    host = RouterHost(loop, held.settings, 1, Pool(loop, 100, 0.5, 10.0), 100)
-    servers = {"generation": 1, "reset": True, "instances": [entry(number) for number in range(SERVERS)]}
+    host = RouterHost(loop, current.settings, 1, Pool(loop, 100, 0.5, 10.0), 100)
+    servers = {
+        "generation": 1,
+        "reset": True,
+        "instances": [server_entry(number) for number in range(SERVER_COUNT)],
+    }
     host.servers_changed(read_listing(servers, StartTimes()))
-    spent, longest = 0.0, 0.0
-    for number in range(1, CHANGES + 1):
-        path.write_bytes(_file(tenants, number))
-        cpu, begun = time.process_time(), time.perf_counter()
-        plan = plan_reload(held, reload_config(environ))
+    cpu_total_s, longest_s = 0.0, 0.0
+    for number in range(1, CHANGE_COUNT + 1):
+        path.write_bytes(_configuration_file(tenants, number))
+        cpu_before_s, started_at = time.process_time(), time.perf_counter()
+        plan = plan_reload(current, reload_config(environment))
         host.apply_settings(plan.config.settings)
-        longest = max(longest, time.perf_counter() - begun)
-        spent += time.process_time() - cpu
+        longest_s = max(longest_s, time.perf_counter() - started_at)
+        cpu_total_s += time.process_time() - cpu_before_s
         if not plan.settings_changed:
-            raise RuntimeError("the change was not seen")
-        held = plan.config
-    each = spent / CHANGES
-    path.write_bytes(_file(tenants, 0).replace(b'"aimNs":300000000', b'"aimNs":"soon"'))
-    begun = time.process_time()
-    for _ in range(CHANGES):
+            raise RuntimeError("the change was not detected")
+        current = plan.config
+    cpu_per_change_s = cpu_total_s / CHANGE_COUNT
+    path.write_bytes(_configuration_file(tenants, 0).replace(b'"aimNs":300000000', b'"aimNs":"soon"'))
+    started_at = time.process_time()
+    for _ in range(CHANGE_COUNT):
         try:
-            reload_config(environ)
+            reload_config(environment)
         except ConfigError:
             continue
-        raise RuntimeError("a bad file was taken")
-    refused = (time.process_time() - begun) / CHANGES
-    return Reload(
-        tenants, path.stat().st_size, each * 1e3, longest * 1e3, refused * 1e3,
-        each * CHANGES_A_DAY / 86_400 * 100, each * CHANGES_A_DAY / 3_600 * 100,
+        raise RuntimeError("an invalid file was accepted")
+    refusal_cpu_s = (time.process_time() - started_at) / CHANGE_COUNT
+    return ReloadCost(
+        tenants, path.stat().st_size, cpu_per_change_s * 1e3, longest_s * 1e3, refusal_cpu_s * 1e3,
+        cpu_per_change_s * CHANGES_PER_DAY / 86_400 * 100, cpu_per_change_s * CHANGES_PER_DAY / 3_600 * 100,
     )  # fmt: skip
 
 
-def reload(tenants: int) -> Reload:
-    """So many tenants."""
+def measure_reload(tenants: int) -> ReloadCost:
+    """Measure reloads of a configuration with this many tenants."""
     with tempfile.TemporaryDirectory(prefix="saltport-scale-") as folder:
-        return asyncio.run(_reload(tenants, Path(folder) / "router.json"))
+        return asyncio.run(_measure_reload(tenants, Path(folder) / "router.json"))
 
 
 @click.command()
-@click.option("--size", "sizes", type=int, multiple=True, default=fit.SIZES, show_default=True)
+@click.option("--size", "sizes", type=int, multiple=True, default=fit.FLEET_SIZES, show_default=True)
 def main(sizes: tuple[int, ...]) -> None:
-    """Measure."""
-    rows = [fit.apart(reload, size) for size in sizes]
-    names = [field.name for field in fields(Reload)[1:5]]
-    click.echo(f"reloads, by tenants\n{fit.table(rows)}\n{fit.fits(rows, 'tenants', names)}")
+    """Run the measurement from the command line."""
+    rows = [fit.run_isolated(measure_reload, size) for size in sizes]
+    names = [field.name for field in fields(ReloadCost)[1:5]]
+    click.echo(f"reloads, by tenants\n{fit.format_table(rows)}\n{fit.format_fits(rows, 'tenants', names)}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/connections.py
+++ b/benchmarks/scale/connections.py
@@ -1,11 +1,11 @@
-"""Connections to many cache servers at one router's rate: how many are open, and how many are made.
+"""Measures open connections and handshakes of one router with many cache servers.
 
     python -m benchmarks.scale.connections --servers 10 --servers 40 --servers 160 --servers 640
 
-The cache servers stand in this process, each on a port of its own, and answer after a pause; the router is
-another. TLS is left out. The model beside the figures takes each further connection to a server as one that
-carries what finds all before it busy (Erlang's loss formula), and that closes after the idle limit: the pool
-hands out the connection that was used last.
+The cache servers run in this process, each on its own port, and reply after a pause; the router is a separate
+process. TLS is not used. A model is reported with the figures: the pool hands out the most recently used
+connection, so the n-th connection to a server carries the requests that find all earlier ones busy (Erlang's
+loss formula), and closes after the idle time-out.
 """
 
 from __future__ import annotations
@@ -29,56 +29,58 @@
     CacheServers,
     Load,
     descriptors,
-    machine_load,
+    load_average,
     memory_kb,
     peak_memory_kb,
-    router,
+    run_router,
 )
 from saltport.standins.profile import Profile
 from saltport.upstream.pool import IDLE_SHARE, MAX_CONNECTIONS_PER_SERVER
 
 RATE_PER_S = 594.0
 PAUSE_MS = (35.0, 64.0)
-SIZE, KEYS = 4_096, 200_000
-MANY_SOCKETS = 8_192
-IDLE_S = Profile().idle_close_ms / 1000 * IDLE_SHARE
+VALUE_BYTES, KEY_COUNT = 4_096, 200_000
+DEFAULT_SOCKET_LIMIT = 8_192
+IDLE_TIMEOUT_S = Profile().idle_close_ms / 1000 * IDLE_SHARE
 
 
 @dataclass(frozen=True, slots=True)
-class Expected:
-    """What the pool's rules give for one router, over all servers."""
+class ExpectedConnections:
+    """Connections of one router to all servers, as the model predicts them."""
 
     open: float
     handshakes_per_s: float
 
 
-def overflow(stage: int, work: float) -> float:
-    """The share of requests that finds the first `stage` connections busy (Erlang's loss formula)."""
+def overflow_share(connections: int, offered_load: float) -> float:
+    """Return the share of requests that find the first `connections` busy (Erlang's loss formula)."""
     blocked = 1.0
-    for taken in range(1, stage + 1):
-        blocked = work * blocked / (taken + work * blocked)
+    for count in range(1, connections + 1):
+        blocked = offered_load * blocked / (count + offered_load * blocked)
     return blocked
 
 
-def expected(servers: int, rate_per_s: float, answer_s: float, idle_s: float = IDLE_S) -> Expected:
-    """Open connections and handshakes of one router whose requests spread evenly over so many servers."""
-    rate = rate_per_s / servers
-    work, is_open, handshakes = rate * answer_s, 0.0, 0.0
-    for stage in range(MAX_CONNECTIONS_PER_SERVER):
-        reaching = rate * overflow(stage, work)
-        gap = math.exp(-reaching * idle_s)  # nothing reached it for as long as it may stand idle
-        handshakes += reaching * gap
-        is_open += 1 - gap
-    return Expected(servers * is_open, servers * handshakes)
+def expected_connections(
+    servers: int, rate_per_s: float, answer_s: float, idle_s: float = IDLE_TIMEOUT_S
+) -> ExpectedConnections:
+    """Return the model's open connections and handshakes, with requests spread evenly over the servers."""
+    server_rate = rate_per_s / servers
+    offered_load, open_connections, handshakes = server_rate * answer_s, 0.0, 0.0
+    for connections in range(MAX_CONNECTIONS_PER_SERVER):
+        overflow_rate = server_rate * overflow_share(connections, offered_load)
+        idle_probability = math.exp(-overflow_rate * idle_s)  # no request during the idle time-out
+        handshakes += overflow_rate * idle_probability
+        open_connections += 1 - idle_probability
+    return ExpectedConnections(servers * open_connections, servers * handshakes)
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One number of servers; connections, descriptors and memory are the router's."""
+    """Figures for one number of servers; connections, descriptors and memory are the router's."""
 
     servers: int
     sockets: int
-    """Descriptors that the router may hold, clients' included (`limits.sockets`)."""
+    """Limit of the router's sockets, with those of clients (`limits.sockets`)."""
     per_s: float
     served: int
     others: int
@@ -86,7 +88,7 @@
     most_at_a_server: int
     handshakes_per_s: float
     first_handshakes: int
-    """Until the measured time began."""
+    """Handshakes before the measured time began."""
     expected_open: float
     expected_handshakes_per_s: float
     descriptors: int
@@ -94,16 +96,16 @@
     cpu_us: float
     load_average: float
     seconds: float
-    """That were measured, behind the warm ones."""
+    """Measured time, without the warm-up."""
     cpu_s: float
-    """Of the process, its start among it."""
+    """CPU seconds of the process, with its start."""
     peak_memory_kb: int
 
 
 def _keys(seed: int, size: int) -> Iterator[bytes]:
     rng = random.Random(seed)
     while True:
-        yield b"%d-%d" % (size, rng.randrange(KEYS))
+        yield b"%d-%d" % (size, rng.randrange(KEY_COUNT))
 
 
 async def measure(
@@ -111,78 +113,88 @@
     seconds: float,
     rate_per_s: float = RATE_PER_S,
     warm_s: float = 8.0,
-    sockets: int = MANY_SOCKETS,
-    size: int = SIZE,
+    sockets: int = DEFAULT_SOCKET_LIMIT,
+    size: int = VALUE_BYTES,
 ) -> Row:
-    """Play one number of servers; `warm_s` should be longer than the idle limit."""
-    caches = CacheServers(PAUSE_MS)
+    """Measure one number of servers; the warm-up of `warm_s` should exceed the idle time-out."""
+    cache_servers = CacheServers(PAUSE_MS)
     with tempfile.TemporaryDirectory(prefix="saltport-connections-") as folder:
-        registry = await caches.listen(servers)
-        async with router(Path(folder), registry, sockets) as (process, address):
+        registry = await cache_servers.listen(servers)
+        async with run_router(Path(folder), registry, sockets) as (process, address):
             load = Load(address, _keys(servers, size))
-            await load.paced(rate_per_s, warm_s)
-            first, before = caches.accepted.total(), cpu_s(process.pid)
-            load.forget()
-            sampled: list[int] = []
-            watch = asyncio.get_running_loop().create_task(_sample(caches, sampled))
-            await load.paced(rate_per_s, seconds)
-            watch.cancel()
-            answer_s = statistics.fmean(load.took)
-            model = expected(servers, rate_per_s, answer_s)
+            await load.run_at_rate(rate_per_s, warm_s)
+            handshakes_before, cpu_before_s = cache_servers.accepted.total(), cpu_s(process.pid)
+            load.reset()
+            open_samples: list[int] = []
+            sampler = asyncio.get_running_loop().create_task(
+                _sample_open_connections(cache_servers, open_samples)
+            )
+            await load.run_at_rate(rate_per_s, seconds)
+            sampler.cancel()
+            answer_s = statistics.fmean(load.latencies_s)
+            model = expected_connections(servers, rate_per_s, answer_s)
             return Row(
                 servers, sockets, rate_per_s, load.served, sum(load.others.values()),
-                round(statistics.fmean(sampled), 1), max(caches.open.values()),
-                round((caches.accepted.total() - first) / seconds, 2), first,
+                round(statistics.fmean(open_samples), 1), max(cache_servers.open.values()),
+                round((cache_servers.accepted.total() - handshakes_before) / seconds, 2), handshakes_before,
                 round(model.open, 1), round(model.handshakes_per_s, 2),
                 descriptors(process.pid), memory_kb(process.pid),
-                round((cpu_s(process.pid) - before) * 1e6 / load.served, 1), machine_load(),
+                round((cpu_s(process.pid) - cpu_before_s) * 1e6 / load.served, 1), load_average(),
                 seconds, cpu_s(process.pid), peak_memory_kb(process.pid),
             )  # fmt: skip
 
 
-async def _sample(caches: CacheServers, sampled: list[int]) -> None:
+async def _sample_open_connections(cache_servers: CacheServers, samples: list[int]) -> None:
     while True:
-        sampled.append(caches.open.total())
+        samples.append(cache_servers.open.total())
         await asyncio.sleep(0.1)
 
 
 def fleet(
     routers: int, servers: int, requests_per_s: float, answer_s: float, reached: int
 ) -> dict[str, float]:
-    """The model at a fleet's size, each router's requests going to `reached` of the servers."""
-    one = expected(reached, requests_per_s / routers, answer_s)
-    asking = routers * reached / servers
+    """Return the model's figures for a fleet whose routers each use `reached` of the servers."""
+    router_model = expected_connections(reached, requests_per_s / routers, answer_s)
+    routers_per_server = routers * reached / servers
     return {
-        "reached": reached, "routers_at_a_server": round(asking, 1),
-        "open_at_a_router": round(one.open, 1), "open_at_a_server": round(one.open * routers / servers, 1),
-        "handshakes_per_s_router": round(one.handshakes_per_s, 2),
-        "handshakes_per_s_server": round(one.handshakes_per_s * routers / servers, 2),
-        "handshakes_per_s_fleet": round(one.handshakes_per_s * routers, 1),
-    }  # fmt: skip
-
-
-async def _all(numbers: Sequence[int], seconds: float, sockets: int, size: int) -> None:
-    for servers in numbers:
+        "reached": reached,
+        "routers_at_a_server": round(routers_per_server, 1),
+        "open_at_a_router": round(router_model.open, 1),
+        "open_at_a_server": round(router_model.open * routers / servers, 1),
+        "handshakes_per_s_router": round(router_model.handshakes_per_s, 2),
+        "handshakes_per_s_server": round(router_model.handshakes_per_s * routers / servers, 2),
+        "handshakes_per_s_fleet": round(router_model.handshakes_per_s * routers, 1),
+    }
+
+
+async def _all(server_counts: Sequence[int], seconds: float, sockets: int, size: int) -> None:
+    for servers in server_counts:
         row = await measure(servers, seconds, sockets=sockets, size=size)
         print(orjson.dumps(asdict(row)).decode(), flush=True)
 
 
 def main() -> int:
-    """Run it."""
+    """Run the measurement from the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--servers", type=int, action="append")
     parser.add_argument("--seconds", type=float, default=15.0)
-    parser.add_argument("--sockets", type=int, default=MANY_SOCKETS, help="the router's limits.sockets")
-    parser.add_argument("--size", type=int, default=SIZE, help="bytes of a value")
+    parser.add_argument(
+        "--sockets", type=int, default=DEFAULT_SOCKET_LIMIT, help="the router's limits.sockets"
+    )
+    parser.add_argument("--size", type=int, default=VALUE_BYTES, help="length of a value in bytes")
     parser.add_argument("--fleet", action="store_true", help="only the model, at the fleet's size")
-    told = parser.parse_args()
-    if told.fleet:
+    arguments = parser.parse_args()
+    if arguments.fleet:
         for answer_s in (0.005, 0.05):
-            for reached in (680, 62, 19, 9):  # all, a region's, a zone's, a site's
+            for reached in (680, 62, 19, 9):  # all servers, those of a region, of a zone, of a site
                 row = fleet(1_600, 680, 950_000, answer_s, reached)
                 print(orjson.dumps({"answer_s": answer_s, **row}).decode())
     else:
-        uvloop.run(_all(told.servers or [10, 40, 160, 640], told.seconds, told.sockets, told.size))
+        uvloop.run(
+            _all(
+                arguments.servers or [10, 40, 160, 640], arguments.seconds, arguments.sockets, arguments.size
+            )
+        )
     return 0
 
 
--- a/benchmarks/scale/failover.py
+++ b/benchmarks/scale/failover.py
@@ -1,8 +1,9 @@
-"""Failover's plans at fleet size: `python -m benchmarks.scale.failover [options]`.
+"""Measures failover plans at fleet size: `python -m benchmarks.scale.failover [options]`.
 
-All routers' real agents in virtual time, without a data path: each reports the reads that a router of the
-fleet would see, one owns the plans. In calm, and as one zone falls silent; and how long a plan and a report
-are at more zones than a datagram holds. Steps of 10 ms, in which each message arrives.
+The real agents of all routers run in virtual time without a data path. Each reports the reads that a router
+of the fleet would see, and one owns the plans. Measured are an idle fleet, the silence of one zone, and the
+sizes of a plan and a report up to more zones than fit in a datagram. Virtual time advances in steps of 10 ms;
+each message arrives in the next step.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 import click
 
 from benchmarks.scale import fit
-from benchmarks.scale.hollow import CARRIED
+from benchmarks.scale.hollow import MESSAGE_OVERHEAD_BYTES
 from saltport.decisions.interface import NS_PER_S
 from saltport.decisions.topology import MAX_ZONES, Evidence, Topology, ZoneCount
 from saltport.failover.agent import Agent
@@ -24,16 +25,16 @@
 from saltport.failover.settings import FailoverSettings
 from saltport.peers.link import MAX_PAYLOAD_BYTES
 
-STEP, TURN = NS_PER_S // 100, 10  # of a world, and a turn of an agent in steps
-READS = 297  # of a router in the time of a report: 594 a second
-ABROAD = 20  # and of them in another zone
-SETTLE_S, CALM_S, SILENT_S = 6, 4, 12
+STEP_NS, STEPS_PER_TICK = NS_PER_S // 100, 10  # step of virtual time, and steps between two ticks of an agent
+READS_PER_REPORT = 297  # reads of a router in one report interval, at 594 a second
+READS_PER_OTHER_ZONE = 20  # of these, reads in each other zone
+SETTLE_S, IDLE_S, SILENT_S = 6, 4, 12
 SILENT_ZONE = 1
 
 
 @dataclass(frozen=True, slots=True)
-class Plans:
-    """What the owner of the plans and a follower cost a second, bytes both ways; times of a plan, seconds."""
+class PlanCosts:
+    """Costs per second of the plans' owner and of a follower, bytes in both directions; times in seconds."""
 
     routers: int
     owner_bytes_per_s: float
@@ -42,16 +43,17 @@
     follower_bytes_per_s: float
     follower_cpu_percent: float
     decided: float
-    """From a zone's silence to the first plan that avoids it."""
+    """From the silence of a zone to the first plan that avoids it."""
     half: float
-    """From that plan until so many follow it, or a later one."""
+    """From that plan until half of the routers follow it or a later one."""
     most: float
+    """The same for 99% of the routers."""
     all: float
 
 
 @dataclass(frozen=True, slots=True)
-class Sizes:
-    """Of one message, bytes, against what a carried datagram holds."""
+class MessageSizes:
+    """Sizes of a plan and a report in bytes, and the largest size that fits in a datagram."""
 
     zones: int
     plan: int
@@ -59,32 +61,32 @@
     most: int = MAX_PAYLOAD_BYTES
 
 
-class CountedAgent(Agent):
-    """Adds up its messages and its processor time."""
+class MeteredAgent(Agent):
+    """An agent that counts its messages, their bytes on the wire and its CPU time."""
 
-    bytes = datagrams = spent = 0
+    bytes = datagrams = cpu_ns = 0
 
-    def count(self, message: Message) -> None:
-        """It was sent, or came."""
+    def count_message(self, message: Message) -> None:
+        """Count a message that was sent or received."""
         self.datagrams += 1
-        self.bytes += fit.udp_bytes(len(encode(message)) + 1 + CARRIED, 1)
+        self.bytes += fit.udp_bytes(len(encode(message)) + 1 + MESSAGE_OVERHEAD_BYTES, 1)
 
     def tick(self, live_routers: Any, now: int) -> None:
-        """Time has passed."""
-        begun = time.thread_time_ns()
+        """Run the periodic work."""
+        started_at = time.thread_time_ns()
         super().tick(live_routers, now)
-        self.spent += time.thread_time_ns() - begun
+        self.cpu_ns += time.thread_time_ns() - started_at
 
     def receive(self, sender: str, message: Message, now: int) -> None:
-        """Take a message."""
-        self.count(message)
-        begun = time.thread_time_ns()
+        """Count and handle a message."""
+        self.count_message(message)
+        started_at = time.thread_time_ns()
         super().receive(sender, message, now)
-        self.spent += time.thread_time_ns() - begun
+        self.cpu_ns += time.thread_time_ns() - started_at
 
 
 class Fleet:
-    """All agents; the first one owns the plans."""
+    """All agents in virtual time; the first one owns the plans."""
 
     def __init__(self, routers: int, loss: float = 0.0, zones: int = MAX_ZONES) -> None:
         self.rng, self.loss, self.now = random.Random(1), loss, NS_PER_S
@@ -92,108 +94,127 @@
         settings = FailoverSettings()
         self.names = [f"r{place}" for place in range(routers)]
         self.agents = [
-            CountedAgent(
+            MeteredAgent(
                 name, Topology(names, names[place % zones], names), settings, random.Random(place), self.now,
                 (lambda _: 1) if place == 0 else (lambda _: None),
             )
             for place, name in enumerate(self.names)
         ]  # fmt: skip
         self.places = {name: place for place, name in enumerate(self.names)}
-        self.silent = False
-        self._arriving: list[tuple[str, int, Message]] = []
+        self.is_zone_silent = False
+        self._in_transit: list[tuple[str, int, Message]] = []
         self._step = 0
 
-    def _found(self, zone: int, zones: int) -> Evidence:
-        counts = [ZoneCount(20, 20, ABROAD) for _ in range(zones)]
-        counts[zone].answered = READS - ABROAD * (zones - 1)
-        if self.silent:
-            bad = counts[SILENT_ZONE]
-            bad.answered, bad.silent = 0, bad.answered
-        return Evidence(counts, [[0, 0] for _ in range(zones)], READS)
+    def _evidence(self, zone: int, zones: int) -> Evidence:
+        counts = [ZoneCount(20, 20, READS_PER_OTHER_ZONE) for _ in range(zones)]
+        counts[zone].answered = READS_PER_REPORT - READS_PER_OTHER_ZONE * (zones - 1)
+        if self.is_zone_silent:
+            silent_count = counts[SILENT_ZONE]
+            silent_count.answered, silent_count.silent = 0, silent_count.answered
+        return Evidence(counts, [[0, 0] for _ in range(zones)], READS_PER_REPORT)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
-        for _ in range(int(seconds * NS_PER_S / STEP)):
-            self.now += STEP
+        """Run for this many seconds of virtual time."""
+        for _ in range(int(seconds * NS_PER_S / STEP_NS)):
+            self.now += STEP_NS
             self._step += 1
-            arrived, self._arriving = self._arriving, []
+            arrived, self._in_transit = self._in_transit, []
             for sender, to, message in arrived:
                 self.agents[to].receive(sender, message, self.now)
-                self._carry(to)
-            for place in range(self._step % TURN, len(self.agents), TURN):
+                self._send_messages(to)
+            for place in range(self._step % STEPS_PER_TICK, len(self.agents), STEPS_PER_TICK):
                 agent = self.agents[place]
                 agent.tick(self.names, self.now)
                 if agent.report_due(self.now):
-                    begun = time.thread_time_ns()
-                    agent.report(self._found(agent.topology.own_zone, len(agent.topology.zones)), self.now)
-                    agent.spent += time.thread_time_ns() - begun
-                self._carry(place)
+                    started_at = time.thread_time_ns()
+                    agent.report(self._evidence(agent.topology.own_zone, len(agent.topology.zones)), self.now)
+                    agent.cpu_ns += time.thread_time_ns() - started_at
+                self._send_messages(place)
 
-    def _carry(self, place: int) -> None:
+    def _send_messages(self, place: int) -> None:
         agent = self.agents[place]
         for to, message in agent.take_messages():
-            agent.count(message)
+            agent.count_message(message)
             if not self.loss or self.rng.random() >= self.loss:
-                self._arriving.append((agent.name, self.places[to], message))
+                self._in_transit.append((agent.name, self.places[to], message))
 
-    def follow(self, age: tuple[int, int]) -> int:
-        """How many have this plan, or a later one."""
-        return sum(a.follower.plan is not None and a.follower.plan.version >= age for a in self.agents)
+    def count_followers(self, version: tuple[int, int]) -> int:
+        """Return the number of agents that have this version of the plan or a later one."""
+        return sum(a.follower.plan is not None and a.follower.plan.version >= version for a in self.agents)
 
 
-def plans(routers: int, loss: float = 0.0) -> Plans:
-    """One size."""
+def measure_plans(routers: int, loss: float = 0.0) -> PlanCosts:
+    """Measure a fleet of this size."""
     fleet = Fleet(routers, loss)
     gc.freeze()
     fleet.run(SETTLE_S)
-    before = [(agent.bytes, agent.datagrams, agent.spent) for agent in fleet.agents]
-    fleet.run(CALM_S)
-    told = [
-        [(now - then) / CALM_S for now, then in zip((a.bytes, a.datagrams, a.spent), held, strict=True)]
-        for a, held in zip(fleet.agents, before, strict=True)
+    counts_by_agent = [(agent.bytes, agent.datagrams, agent.cpu_ns) for agent in fleet.agents]
+    fleet.run(IDLE_S)
+    rates = [
+        [
+            (after - earlier) / IDLE_S
+            for after, earlier in zip(
+                (current.bytes, current.datagrams, current.cpu_ns), counts_before, strict=True
+            )
+        ]
+        for current, counts_before in zip(fleet.agents, counts_by_agent, strict=True)
     ]
-    owner, others = told[0], told[1:]
-    calm = fleet.agents[0].follower.plan
-    assert calm is not None
-    begun, fleet.silent = fleet.now, True
-    decided, known = 0, list[float]()
-    while fleet.now - begun < SILENT_S * NS_PER_S and len(known) < routers:
+    owner, others = rates[0], rates[1:]
+    initial_plan = fleet.agents[0].follower.plan
+    assert initial_plan is not None
+    started_at, fleet.is_zone_silent = fleet.now, True
+    decided_at, follow_delays = 0, list[float]()
+    while fleet.now - started_at < SILENT_S * NS_PER_S and len(follow_delays) < routers:
         fleet.run(0.01)
         plan = fleet.agents[0].follower.plan
         assert plan is not None
-        if not decided and plan.version > calm.version and plan.bad != calm.bad:
-            decided, age = fleet.now, plan.version
-        if decided:
-            known += [(fleet.now - decided) / NS_PER_S] * (fleet.follow(age) - len(known))
-    late = [float("inf")] * (routers - len(known))
-    half, most, longest = (fit.share_of(known + late, share) for share in (0.5, 0.99, 1.0))
-    return Plans(
-        routers, owner[0], owner[1], owner[2] / 1e7, sum(o[0] for o in others) / len(others),
-        sum(o[2] for o in others) / len(others) / 1e7, (decided - begun) / NS_PER_S, half, most, longest,
-    )  # fmt: skip
-
-
-def sizes(zones: int) -> Sizes:
-    """A plan and a report for so many zones, with the numbers of a fleet that has run for a while."""
+        if not decided_at and plan.version > initial_plan.version and plan.bad != initial_plan.bad:
+            decided_at, version = fleet.now, plan.version
+        if decided_at:
+            follow_delays += [(fleet.now - decided_at) / NS_PER_S] * (
+                fleet.count_followers(version) - len(follow_delays)
+            )
+    missing = [float("inf")] * (routers - len(follow_delays))
+    half, most, longest = (fit.quantile(follow_delays + missing, share) for share in (0.5, 0.99, 1.0))
+    return PlanCosts(
+        routers,
+        owner[0],
+        owner[1],
+        owner[2] / 1e7,
+        sum(other[0] for other in others) / len(others),
+        sum(other[2] for other in others) / len(others) / 1e7,
+        (decided_at - started_at) / NS_PER_S,
+        half,
+        most,
+        longest,
+    )
+
+
+def message_sizes(zones: int) -> MessageSizes:
+    """Return the sizes of a plan and a report for this many zones in a long-running fleet."""
     table = bytes(250 if place % (zones + 1) == 0 else 0 for place in range(zones * zones))
     plan = Plan(
         1 << 31, 200_000, 400, "r1599", 5_000, 5_000, 10_000, table, table, bytes(zones), bytes(zones),
         bytes(zones), 0, False, bytes(min(zones, 11)), 0, (1 << zones) - 1, "worse",
     )  # fmt: skip
-    row = ZoneReport(20, 20, READS, 0, 0, 3, 40)
-    report = Report(1 << 31, 1, 200_000, 400, 500, READS, 0, (row,) * zones, ((40, 0),) * min(zones, 11))
-    return Sizes(zones, len(encode(plan)) + 1, len(encode(report)) + 1)
+    row = ZoneReport(20, 20, READS_PER_REPORT, 0, 0, 3, 40)
+    report = Report(
+        1 << 31, 1, 200_000, 400, 500, READS_PER_REPORT, 0, (row,) * zones, ((40, 0),) * min(zones, 11)
+    )
+    return MessageSizes(zones, len(encode(plan)) + 1, len(encode(report)) + 1)
 
 
 @click.command()
-@click.option("--size", "routers", type=int, multiple=True, default=fit.SIZES, show_default=True)
+@click.option("--size", "routers", type=int, multiple=True, default=fit.FLEET_SIZES, show_default=True)
 def main(routers: tuple[int, ...]) -> None:
-    """Measure."""
-    click.echo(f"lengths\n{fit.table([sizes(zones) for zones in (1, 3, 6, 12, 24, 36)])}")
+    """Run the measurement from the command line."""
+    click.echo(f"lengths\n{fit.format_table([message_sizes(zones) for zones in (1, 3, 6, 12, 24, 36)])}")
     for loss in (0.0, 0.05, 0.3):
-        rows = [fit.apart(plans, size, loss) for size in routers]
-        names = [field.name for field in fields(Plans)[1:6]]
-        click.echo(f"plans, {loss:.0%} loss\n{fit.table(rows)}\n{fit.fits(rows, 'routers', names)}")
+        rows = [fit.run_isolated(measure_plans, size, loss) for size in routers]
+        names = [field.name for field in fields(PlanCosts)[1:6]]
+        click.echo(
+            f"plans, {loss:.0%} loss\n{fit.format_table(rows)}\n{fit.format_fits(rows, 'routers', names)}"
+        )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/hollow.py
+++ b/benchmarks/scale/hollow.py
@@ -1,7 +1,7 @@
-"""Hollow routers: real control code on real loopback sockets, without a data path, many in one process.
+"""Hollow routers: control-plane code on real loopback sockets, without a data path, many in one process.
 
-Where a process can't carry them at true speed, their clock runs slower: all that they do takes `factor` times
-as long, figures are told in their time, and the kernel's work for each datagram stays what it is.
+Where one process is too slow for all of them, their clock runs slower by `factor`. Durations are then
+reported in the routers' time; the kernel's work for each datagram is not scaled.
 """
 
 from __future__ import annotations
@@ -29,94 +29,98 @@
 KEY = bytes(range(32))
 SETTINGS = replace(PeerSettings(), max_members=4_096)
 
-CARRIED = ENVELOPE_BYTES + len(encode(Packet("r1599", 1 << 30, 1 << 20, 1_000, 1 << 31, Payload(b""))))
-"""Bytes around a message: the envelope, and a packet with its sender and numbers."""
+MESSAGE_OVERHEAD_BYTES = ENVELOPE_BYTES + len(
+    encode(Packet("r1599", 1 << 30, 1 << 20, 1_000, 1 << 31, Payload(b"")))
+)
+"""Bytes that the envelope and the packet header add to a message."""
 
 
-class WireAgent(Agent):
-    """Without a socket: what comes is sealed and opened on its way, as a socket's datagrams are."""
+class SealingAgent(Agent):
+    """An agent without a socket. It seals and opens each received packet, as a socket would."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self._envelope = Envelope((KEY,))
 
     def receive(self, packet: Packet, source: Place, now: int) -> None:
-        """Take a datagram's content once its envelope was opened."""
+        """Seal and open a packet, then handle it."""
         opened = self._envelope.open(self._envelope.seal(packet))
         if opened is not None:
             super().receive(opened, source, now)
 
 
 class SlowClock:
-    """Stands for the module `time` where links read it."""
+    """Replacement for the module `time` in the link modules: monotonic time runs slower by `factor`."""
 
     CLOCK_BOOTTIME = time.CLOCK_BOOTTIME
 
     def __init__(self, factor: float) -> None:
-        self.factor, self._begun = factor, time.monotonic_ns()
+        self.factor, self._started_at = factor, time.monotonic_ns()
 
     def monotonic_ns(self) -> int:
-        """So many nanoseconds of the routers' time."""
-        return self._begun + int((time.monotonic_ns() - self._begun) / self.factor)
+        """Return the routers' monotonic time in nanoseconds."""
+        return self._started_at + int((time.monotonic_ns() - self._started_at) / self.factor)
 
     def clock_gettime_ns(self, _: int) -> int:
-        """The same: nothing here outlives a sleep of the machine."""
+        """Return the same as `monotonic_ns`; suspension of the machine is not simulated."""
         return self.monotonic_ns()
 
     def time(self) -> float:
-        """Unix time."""
+        """Return the Unix time, which is not slowed."""
         return time.time()
 
 
 class SlowLoop:
-    """An event loop whose timers take so much longer."""
+    """An event loop whose timers take `factor` times as long."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, factor: float) -> None:
         self._loop, self._factor = loop, factor
 
-    def call_later(self, delay: float, callback: Callable[..., object], *more: Any) -> asyncio.TimerHandle:
-        """As the loop's own, in the routers' time."""
-        return self._loop.call_later(delay * self._factor, callback, *more)
+    def call_later(
+        self, delay: float, callback: Callable[..., object], *arguments: Any
+    ) -> asyncio.TimerHandle:
+        """Schedule a callback after a delay in the routers' time."""
+        return self._loop.call_later(delay * self._factor, callback, *arguments)
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self._loop, name)
 
 
 @dataclass(frozen=True, slots=True)
-class Wire:
-    """What passed a router's socket, both ways: datagrams, and bytes with their heads."""
+class Traffic:
+    """Datagrams that a router's socket sent and received, and their bytes with IP and UDP headers."""
 
     datagrams: int
     bytes: int
 
 
 class HollowLink(PeerLink):
-    """A router's peers' socket; it counts what comes, and its own processor time."""
+    """A link to the peers that counts received datagrams and its own CPU time."""
 
-    came = came_bytes = spent = 0
+    received_datagrams = received_bytes = cpu_ns = 0
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take a datagram."""
-        begun = time.thread_time_ns()
-        self.came += 1
-        self.came_bytes += len(data)
+        """Count and handle a datagram."""
+        started_at = time.thread_time_ns()
+        self.received_datagrams += 1
+        self.received_bytes += len(data)
         super().datagram_received(data, addr)
-        self.spent += time.thread_time_ns() - begun
+        self.cpu_ns += time.thread_time_ns() - started_at
 
     def _tick(self) -> None:
-        begun = time.thread_time_ns()
+        started_at = time.thread_time_ns()
         super()._tick()
-        self.spent += time.thread_time_ns() - begun
+        self.cpu_ns += time.thread_time_ns() - started_at
 
-    def wire(self) -> Wire:
-        """So far."""
-        box = self.agent.send_queue
-        datagrams = box.sent + self.came
-        return Wire(datagrams, fit.udp_bytes(box.bytes + self.came_bytes, datagrams))
+    def traffic(self) -> Traffic:
+        """Return the traffic so far."""
+        queue = self.agent.send_queue
+        datagrams = queue.sent + self.received_datagrams
+        return Traffic(datagrams, fit.udp_bytes(queue.bytes + self.received_bytes, datagrams))
 
 
-class Hollows:
-    """A fleet of them, or some of its places, in this process; use within `slowed`."""
+class HollowFleet:
+    """A fleet of hollow routers, or some places of one, in this process; create it within `slow_time`."""
 
     def __init__(
         self,
@@ -126,84 +130,84 @@
         addresses: tuple[Address, ...] = (),
         places: Sequence[int] = (),
     ) -> None:
-        """`addresses`: of the whole fleet, where some of its places are in another process."""
+        """Create the links. `addresses` lists the whole fleet where some places run in another process."""
         self.clock, self.count = clock, count
         self.loop: Any = SlowLoop(asyncio.get_running_loop(), clock.factor)
-        self.addresses = addresses or free_ports(count)
-        self.told: list[tuple[int, str, MembershipEvent]] = []
-        """When, by whom, and what."""
+        self.addresses = addresses or free_addresses(count)
+        self.events: list[tuple[int, str, MembershipEvent]] = []
+        """Time, name of the router that reported it, and membership event."""
         self.links = {f"r{place}": self._link(place, settings) for place in places or range(count)}
 
     def _link(self, place: int, settings: PeerSettings) -> HollowLink:
         name = f"r{place}"
         plan = PeerPlan(self.addresses[place], self.addresses, f"z{place % 36}", (KEY,))
 
-        def tell(told: MembershipEvent) -> None:
-            self.told.append((self.clock.monotonic_ns(), name, told))
+        def record_event(event: MembershipEvent) -> None:
+            self.events.append((self.clock.monotonic_ns(), name, event))
 
-        return HollowLink(self.loop, name, plan, place, lambda: 0, tell, settings)
+        return HollowLink(self.loop, name, plan, place, lambda: 0, record_event, settings)
 
     async def open(self) -> None:
-        """Bind all, which then join one another."""
+        """Open all sockets; the routers then join one another."""
         for link in self.links.values():
             await link.open()
 
     async def run(self, seconds: float) -> None:
-        """Let so much of the routers' time pass."""
+        """Wait for this many seconds of the routers' time."""
         await asyncio.sleep(seconds * self.clock.factor)
 
-    async def until(self, holds: Callable[[], bool], seconds: float) -> bool:
-        """Wait until something holds, at most so long; whether it does."""
+    async def wait_until(self, condition: Callable[[], bool], seconds: float) -> bool:
+        """Wait until a condition holds, at most this long; return whether it does."""
         end = self.clock.monotonic_ns() + int(seconds * 1e9)
-        while not holds():
+        while not condition():
             if self.clock.monotonic_ns() > end:
                 return False
             await self.run(0.05)
         return True
 
     def agents(self) -> list[Agent]:
-        """Of all that run here."""
+        """Return the agents of all routers in this process."""
         return [link.agent for link in self.links.values()]
 
-    def quiet(self) -> bool:
-        """Whether nobody has anything to pass on."""
+    def is_gossip_sent(self) -> bool:
+        """Whether no agent has gossip left to send."""
         return not any(len(agent.send_queue.gossip) for agent in self.agents())
 
-    def agree(self) -> bool:
-        """Whether all hold the same, and know all."""
+    def members_agree(self) -> bool:
+        """Whether all agents have the same member records, with all members among them."""
         agents = self.agents()
         return len({a.members.digest for a in agents}) == 1 and len(agents[0].members) == self.count
 
     async def kill(self, name: str) -> None:
-        """End one without a word."""
+        """Stop a router without notice to its peers."""
         await self.links.pop(name).close(replaced=True)
         self.count -= 1
 
     async def close(self) -> None:
-        """End all."""
+        """Stop all routers."""
         for name in list(self.links):
             await self.kill(name)
 
-    def sent(self) -> tuple[int, int]:
-        """Datagrams, and bytes in them, that all have sent."""
-        boxes = [link.agent.send_queue for link in self.links.values()]
-        return sum(box.sent for box in boxes), sum(box.bytes for box in boxes)
+    def sent_totals(self) -> tuple[int, int]:
+        """Return the numbers of datagrams and payload bytes that all routers have sent."""
+        queues = [link.agent.send_queue for link in self.links.values()]
+        return sum(queue.sent for queue in queues), sum(queue.bytes for queue in queues)
 
 
 @contextmanager
-def slowed(factor: float) -> Iterator[SlowClock]:
-    """Links that are made and driven within read this clock."""
+def slow_time(factor: float) -> Iterator[SlowClock]:
+    """Make links that are created and run within this context read a clock slowed by `factor`."""
     clock = SlowClock(factor)
     with patch.object(peers_link, "time", clock), patch.object(owners_link, "time", clock):
         yield clock
 
 
-def free_ports(count: int) -> tuple[Address, ...]:
-    """Addresses on loopback that nobody has just now."""
-    held = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for one in held:
-        one.bind(("127.0.0.1", 0))
-    addresses = tuple(("127.0.0.1", int(one.getsockname()[1])) for one in held)
-    for one in held:
-        one.close()
+def free_addresses(count: int) -> tuple[Address, ...]:
+    """Return `count` loopback addresses whose UDP ports are free at the moment."""
+    sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for sock in sockets:
+        sock.bind(("127.0.0.1", 0))
+    addresses = tuple(("127.0.0.1", int(sock.getsockname()[1])) for sock in sockets)
+    for sock in sockets:
+        sock.close()
     return addresses
--- a/benchmarks/scale/operators.py
+++ b/benchmarks/scale/operators.py
@@ -1,7 +1,7 @@
-"""What operators' calls on the control state cost a router: `python -m benchmarks.scale.operators`.
+"""Measures the cost of operators' calls for control state: `python -m benchmarks.scale.operators`.
 
-One router's report of its members (`saltport peers`), and of the pieces of work at a voter (`saltport owners`
-holds a row for each), as JSON.
+The call is a router's JSON report of its members (`saltport peers`). `saltport owners`, the report of the
+pieces of work at a voter, has one row for each piece as well.
 """
 
 from __future__ import annotations
@@ -25,32 +25,34 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Call:
-    """One call on one router; the loop is held for all of its time."""
+class CallCost:
+    """Cost of one call at one router; it blocks the event loop for its whole duration."""
 
     members: int
     cpu_ms: float
     wire_bytes: float
 
 
-def peers(members: int) -> Call:
-    """Of a router that knows so many."""
+def measure_peers_report(members: int) -> CallCost:
+    """Measure the report of a router that knows this many members."""
     me = Identity("r0", 1_000, 0, "z0")
     agent = Agent(me, range(members), SETTINGS, random.Random(1), NS_PER_S)
     for place in range(1, members):
         agent.members.merge(Alive(f"r{place}", 1_000, 0, place, f"z{place % 36}"), NS_PER_S)
-    begun = time.process_time()
+    started_at = time.process_time()
     for _ in range(CALLS):
-        told = orjson.dumps(report(agent, 2 * NS_PER_S))
-    return Call(members, (time.process_time() - begun) / CALLS * 1e3, fit.tcp_bytes(len(told)))
+        body = orjson.dumps(report(agent, 2 * NS_PER_S))
+    return CallCost(members, (time.process_time() - started_at) / CALLS * 1e3, fit.tcp_bytes(len(body)))
 
 
 @click.command()
-@click.option("--size", "sizes", type=int, multiple=True, default=fit.SIZES, show_default=True)
+@click.option("--size", "sizes", type=int, multiple=True, default=fit.FLEET_SIZES, show_default=True)
 def main(sizes: tuple[int, ...]) -> None:
-    """Measure."""
-    rows = [fit.apart(peers, size) for size in sizes]
-    click.echo(f"peers\n{fit.table(rows)}\n{fit.fits(rows, 'members', ('cpu_ms', 'wire_bytes'))}")
+    """Run the measurement from the command line."""
+    rows = [fit.run_isolated(measure_peers_report, size) for size in sizes]
+    click.echo(
+        f"peers\n{fit.format_table(rows)}\n{fit.format_fits(rows, 'members', ('cpu_ms', 'wire_bytes'))}"
+    )
 
 
 if __name__ == "__main__":
--- a/benchmarks/scale/stand_ins.py
+++ b/benchmarks/scale/stand_ins.py
@@ -1,6 +1,7 @@
-"""Cache servers that answer at once or after a pause, a paced load, and one router between them.
+"""Stand-in cache servers, a load generator and one router between them, for data-path measurements.
 
-A key says how long its value is: `737000-12` has 737,000 bytes. Used by the measurements of the data path.
+The cache servers reply immediately or after a pause. A key names the length of its value: that of `737000-12`
+has 737,000 bytes.
 """
 
 from __future__ import annotations
@@ -31,191 +32,193 @@
 from saltport.standins.spoil import resp_answer
 from saltport.wire.resp import command
 
-START_S = 60.0
-TICK_S = 0.001
-BACKLOG = 64
-KEY_WORD = 4  # of a command split at its line ends
+START_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.001
+LISTEN_BACKLOG = 64
+KEY_LINE_INDEX = 4  # index of the key in a KV.GET command split into lines
 
 
 @lru_cache(maxsize=16)
-def _answer(size: int) -> bytes:
+def _hit_reply(size: int) -> bytes:
     return resp_answer(b"x" * size, b"hit", b"latency_ms=1.000,queue=0")
 
 
-class CacheServer(asyncio.Protocol):
-    """One connection to a cache server; commands come whole, as they fit one segment."""
+class CacheServerConnection(asyncio.Protocol):
+    """Server side of a connection to a cache server; each command fits in one TCP segment."""
 
     def __init__(self, servers: CacheServers, number: int) -> None:
         self._servers, self._number = servers, number
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Count the handshake."""
+        """Count a new connection."""
         self._transport = cast(asyncio.Transport, transport)
         self._servers.accepted[self._number] += 1
         self._servers.open[self._number] += 1
 
     def data_received(self, data: bytes) -> None:
-        """Answer now or after a pause."""
-        size = int(data.split(b"\r\n")[KEY_WORD].partition(b"-")[0])
-        pause = self._servers.pause_s()
-        if pause:
-            asyncio.get_running_loop().call_later(pause, self._transport.write, _answer(size))
+        """Reply with a value of the requested length, now or after a pause."""
+        size = int(data.split(b"\r\n")[KEY_LINE_INDEX].partition(b"-")[0])
+        draw_pause_s = self._servers.draw_pause_s()
+        if draw_pause_s:
+            asyncio.get_running_loop().call_later(draw_pause_s, self._transport.write, _hit_reply(size))
         else:
-            self._transport.write(_answer(size))
+            self._transport.write(_hit_reply(size))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Count it out."""
+        """Count the connection as closed."""
         self._servers.open[self._number] -= 1
 
 
 class CacheServers:
-    """Any number of cache servers in this process, listed by a registry of their own."""
+    """Cache servers in this process, listed by a registry of their own."""
 
     def __init__(self, pause_ms: tuple[float, float] = (0.0, 0.0), seed: int = 1) -> None:
         self.accepted: Counter[int] = Counter()
-        """Connections taken so far, by server."""
+        """Connections accepted so far, by server."""
         self.open: Counter[int] = Counter()
-        self._low, self._high = pause_ms
+        """Open connections, by server."""
+        self._min_pause_ms, self._max_pause_ms = pause_ms
         self._rng = random.Random(seed)
         self._registry = Registry(Ledger("nodes"))
 
-    def pause_s(self) -> float:
-        """How long the next answer takes, in seconds."""
-        return self._rng.uniform(self._low, self._high) / 1000 if self._high else 0.0
+    def draw_pause_s(self) -> float:
+        """Return a random pause in seconds before a reply."""
+        return self._rng.uniform(self._min_pause_ms, self._max_pause_ms) / 1000 if self._max_pause_ms else 0.0
 
     async def listen(self, count: int) -> str:
-        """Start so many servers; returns the registry's address."""
+        """Start this many servers; return the registry's address."""
         loop = asyncio.get_running_loop()
         for number in range(count):
             server = await loop.create_server(
-                lambda number=number: CacheServer(self, number),  # type: ignore[misc]
-                "127.0.0.1", 0, backlog=BACKLOG,
+                lambda number=number: CacheServerConnection(self, number),  # type: ignore[misc]
+                "127.0.0.1", 0, backlog=LISTEN_BACKLOG,
             )  # fmt: skip
             address = server.sockets[0].getsockname()
             self._registry.change(entry_of(f"n{number}", address, "std-1c", "up", "a", 0, 0))
         return "{}:{}".format(*self._registry.listen("r1"))
 
 
-class Client(asyncio.Protocol):
-    """One connection of the load, with at most one request on it."""
+class ClientConnection(asyncio.Protocol):
+    """A connection of the load generator, with at most one request under way."""
 
     def __init__(self, load: Load) -> None:
         self._load = load
-        self._left = 0  # bytes of the value under way, with its line end
-        self._head = b""
-        self._size = 0
+        self._remaining_bytes = 0  # bytes of the value that are still to come, with its line end
+        self._header = b""
+        self._value_size = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
-    def ask(self, key: bytes, request: bytes) -> None:
-        """Send one read."""
-        self._size, self._asked_at = int(key.partition(b"-")[0]), time.perf_counter()
-        self._transport.write(command(b"KV.GET", key, request, b"c=fetch,t=public,d=5000"))
+    def send_read(self, key: bytes, request_id: bytes) -> None:
+        """Send one read request."""
+        self._value_size, self._sent_at = int(key.partition(b"-")[0]), time.perf_counter()
+        self._transport.write(command(b"KV.GET", key, request_id, b"c=fetch,t=public,d=5000"))
 
     def data_received(self, data: bytes) -> None:
-        """Count the answer's bytes; what is not the value that was asked for counts by its first word."""
-        if self._left:
-            self._left -= len(data)
+        """Receive and count a reply; one other than the requested value is counted by its first word."""
+        if self._remaining_bytes:
+            self._remaining_bytes -= len(data)
         else:
-            self._head += data
-            line, end, rest = self._head.partition(b"\r\n")
+            self._header += data
+            line, end, rest = self._header.partition(b"\r\n")
             if not end:
                 return
-            self._head = b""
-            if line != b"$%d" % self._size:
+            self._header = b""
+            if line != b"$%d" % self._value_size:
                 self._load.others[line.split()[0].decode("ascii", "replace")] += 1
-                self._load.free(self)
+                self._load.release(self)
                 return
-            self._left = self._size + 2 - len(rest)
-        if self._left < 0:
+            self._remaining_bytes = self._value_size + 2 - len(rest)
+        if self._remaining_bytes < 0:
             self._load.others["too long"] += 1
-        if self._left <= 0:
-            self._left = 0
+        if self._remaining_bytes <= 0:
+            self._remaining_bytes = 0
             self._load.served += 1
-            self._load.bytes += self._size
-            self._load.took.append(time.perf_counter() - self._asked_at)
-            self._load.free(self)
+            self._load.bytes += self._value_size
+            self._load.latencies_s.append(time.perf_counter() - self._sent_at)
+            self._load.release(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """A connection that ends under way is counted."""
-        self._load.gone(self, bool(self._left or self._head))
+        """Report the end of the connection, and whether a reply was incomplete."""
+        self._load.connection_ended(self, bool(self._remaining_bytes or self._header))
 
 
 @dataclass
 class Load:
-    """Reads at a rate, or as fast as they are answered; clients open a connection when all are busy."""
+    """Load generator that reads at a rate, or in a closed loop; it opens connections when all are busy."""
 
     address: Address
     keys: Iterator[bytes]
-    most_connections: int = 512
+    max_connections: int = 512
     served: int = 0
     bytes: int = 0
     others: Counter[str] = field(default_factory=Counter)
-    took: list[float] = field(default_factory=list)
+    """Replies other than the requested value by first word, and connections that ended early (`cut`)."""
+    latencies_s: list[float] = field(default_factory=list)
     late: int = 0
     """Requests that were due while all connections were busy."""
-    _idle: deque[Client] = field(default_factory=deque)
-    _held: int = 0
-    _asked: int = 0
+    _idle: deque[ClientConnection] = field(default_factory=deque)
+    _connection_count: int = 0
+    _sent_count: int = 0
 
-    def free(self, client: Client) -> None:
-        """A connection can carry another request."""
+    def release(self, client: ClientConnection) -> None:
+        """Mark a connection as idle."""
         self._idle.append(client)
 
-    def gone(self, client: Client, under_way: bool) -> None:
-        """A connection has ended."""
-        self._held -= 1
-        self.others["cut"] += under_way
+    def connection_ended(self, client: ClientConnection, is_busy: bool) -> None:
+        """Remove a connection that has ended."""
+        self._connection_count -= 1
+        self.others["cut"] += is_busy
         if client in self._idle:
             self._idle.remove(client)
 
     async def connect(self, count: int) -> None:
-        """Open so many connections."""
+        """Open this many more connections, up to the limit."""
         loop = asyncio.get_running_loop()
-        for _ in range(min(count, self.most_connections - self._held)):
-            self._held += 1
-            _, client = await loop.create_connection(lambda: Client(self), *self.address)
+        for _ in range(min(count, self.max_connections - self._connection_count)):
+            self._connection_count += 1
+            _, client = await loop.create_connection(lambda: ClientConnection(self), *self.address)
             self._idle.append(client)
 
-    def _ask(self) -> None:
-        self._asked += 1
-        self._idle.popleft().ask(next(self.keys), b"%016x" % (os.getpid() << 32 | self._asked))
-
-    async def closed_loop(self, requests: int, connections: int) -> None:
-        """So many requests, the next on each connection when the one before is answered."""
-        await self.connect(connections - self._held)
-        left, end = requests, self.served + sum(self.others.values()) + requests
-        while self.served + sum(self.others.values()) < end:
-            while left and self._idle:
-                left -= 1
-                self._ask()
-            await asyncio.sleep(0 if self._idle else TICK_S)
-
-    async def paced(self, per_s: float, seconds: float) -> None:
-        """Requests at a constant rate, whatever becomes of those before."""
+    def _send_read(self) -> None:
+        self._sent_count += 1
+        self._idle.popleft().send_read(next(self.keys), b"%016x" % (os.getpid() << 32 | self._sent_count))
+
+    async def run_closed_loop(self, requests: int, connections: int) -> None:
+        """Send this many requests; each connection sends the next when the last one is answered."""
+        await self.connect(connections - self._connection_count)
+        remaining, target_count = requests, self.served + sum(self.others.values()) + requests
+        while self.served + sum(self.others.values()) < target_count:
+            while remaining and self._idle:
+                remaining -= 1
+                self._send_read()
+            await asyncio.sleep(0 if self._idle else POLL_INTERVAL_S)
+
+    async def run_at_rate(self, per_s: float, seconds: float) -> None:
+        """Send requests at a constant rate, whether or not earlier ones have been answered."""
         loop = asyncio.get_running_loop()
-        begun, asked = loop.time(), 0
-        while (passed := loop.time() - begun) < seconds:
-            due = int(passed * per_s) - asked
+        started_at, sent = loop.time(), 0
+        while (elapsed_s := loop.time() - started_at) < seconds:
+            due = int(elapsed_s * per_s) - sent
             if due > len(self._idle):
                 await self.connect(due - len(self._idle))
             for _ in range(min(due, len(self._idle))):
-                asked += 1
-                self._ask()
-            self.late += max(int((loop.time() - begun) * per_s) - asked > due, 0)
-            await asyncio.sleep(TICK_S)
+                sent += 1
+                self._send_read()
+            self.late += max(int((loop.time() - started_at) * per_s) - sent > due, 0)
+            await asyncio.sleep(POLL_INTERVAL_S)
 
-    def forget(self) -> None:
-        """Count anew."""
+    def reset(self) -> None:
+        """Reset all counts."""
         self.served = self.bytes = self.late = 0
         self.others.clear()
-        self.took.clear()
+        self.latencies_s.clear()
 
 
 @asynccontextmanager
-async def router(
+async def run_router(
     folder: Path,
     registry: str,
     sockets: int = 8192,
@@ -223,25 +226,25 @@
     log: Path | None = None,
     environ: Mapping[str, str] | None = None,
 ) -> AsyncIterator[tuple[Any, Address]]:
-    """A router as the platform starts it; yields its process and its address.
+    """Run a router process; yield the process and its address.
 
-    `profile`: it runs under cProfile, and leaves the figures there when it ends. `log`: what it logs.
-    `environ`: variables that only it gets.
+    With `profile` it runs under cProfile and writes the profile to this file when it ends. `log` is the file
+    for its log. `environ` are additional environment variables.
     """
     listen = ("127.0.0.1", free_port())
-    told = Profile().config("r1", "{}:{}".format(*listen), registry, 1)
-    told["limits"]["sockets"] = sockets
+    settings = Profile().config("r1", "{}:{}".format(*listen), registry, 1)
+    settings["limits"]["sockets"] = sockets
     config = folder / "config.json"
-    config.write_bytes(orjson.dumps(told))
-    words = ["-m", "cProfile", "-o", str(profile)] if profile else []
-    with open(log or os.devnull, "wb") as kept:
+    config.write_bytes(orjson.dumps(settings))
+    profiler_arguments = ["-m", "cProfile", "-o", str(profile)] if profile else []
+    with open(log or os.devnull, "wb") as log_file:
         process = await asyncio.create_subprocess_exec(
-            sys.executable, *words, "-m", "saltport.router",
+            sys.executable, *profiler_arguments, "-m", "saltport.router",
             env={**environment(), **(environ or {}), "LB_CONFIG": str(config)},
-            stderr=kept if log else None,
+            stderr=log_file if log else None,
         )  # fmt: skip
     try:
-        if not await wait_ready(listen, START_S):
+        if not await wait_ready(listen, START_TIMEOUT_S):
             raise RuntimeError("the router did not start")
         yield process, listen
     finally:
@@ -251,52 +254,52 @@
 
 
 @asynccontextmanager
-async def servers_apart(count: int) -> AsyncIterator[str]:
-    """Cache servers in a process of their own, which answer at once; yields the registry's address."""
+async def run_cache_servers(count: int) -> AsyncIterator[str]:
+    """Run cache servers that reply immediately in a separate process; yield the registry's address."""
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "benchmarks.scale.stand_ins", "--servers", str(count),
         env=environment(), stdout=asyncio.subprocess.PIPE,
     )  # fmt: skip
     try:
         assert process.stdout is not None
-        yield (await asyncio.wait_for(process.stdout.readline(), START_S)).decode().strip()
+        yield (await asyncio.wait_for(process.stdout.readline(), START_TIMEOUT_S)).decode().strip()
     finally:
         process.terminate()
         await process.wait()
 
 
 def memory_kb(pid: int) -> int:
-    """Resident memory of a process."""
+    """Return the resident memory of a process."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.split("VmRSS:")[1].split()[0])
 
 
 def peak_memory_kb(pid: int) -> int:
-    """The most resident memory that a process has had."""
+    """Return the peak resident memory of a process."""
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.split("VmHWM:")[1].split()[0])
 
 
 def descriptors(pid: int) -> int:
-    """Open descriptors of a process."""
+    """Return the number of open descriptors of a process."""
     return len(os.listdir(f"/proc/{pid}/fd"))
 
 
-def machine_load() -> float:
-    """The machine's load average of the last minute, to be stated beside a figure."""
+def load_average() -> float:
+    """Return the machine's load average over one minute, to be reported with each figure."""
     return round(os.getloadavg()[0], 1)
 
 
-async def _serve(count: int) -> None:
+async def _run_servers(count: int) -> None:
     print(await CacheServers().listen(count), flush=True)
     await asyncio.Event().wait()
 
 
 def main() -> int:
-    """Play cache servers until the process is ended."""
+    """Run the cache servers until the process is ended."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--servers", type=int, default=8)
-    uvloop.run(_serve(parser.parse_args().servers))
+    uvloop.run(_run_servers(parser.parse_args().servers))
     return 0
 
 
--- a/tests/peers/test_world.py
+++ b/tests/peers/test_world.py
@@ -31,7 +31,7 @@
 
 
 def died(world: World, since: int) -> list[tuple[str, str]]:
-    return [(seen.by, seen.told.name) for seen in world.told("died", since)]
+    return [(seen.by, seen.event.name) for seen in world.events_of_kind("died", since)]
 
 
 @pytest.mark.parametrize(("count", "bound"), [(2, None), (3, 4.0), (12, 3.2), (40, 3.6)])
@@ -47,7 +47,7 @@
     assert world.until_agreed(10) <= bound
     world.start(1, clock=2_000)
     assert world.until_agreed(10) < 2
-    assert {seen.told.name for seen in world.told("restarted")} == {"r1"}
+    assert {seen.event.name for seen in world.events_of_kind("restarted")} == {"r1"}
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -95,7 +95,7 @@
     assert {place: str(agent.views.quorum) for place, agent in world.agents.items()} == {
         place: "minority" if place < 4 else "majority" for place in range(12)
     }
-    views = Counter(seen.by for seen in world.told("view", since))
+    views = Counter(seen.by for seen in world.events_of_kind("view", since))
     assert max(views[f"r{place}"] for place in range(4, 12)) <= 3
     world.cuts.clear()
     assert world.until_agreed(10) < 5
@@ -185,7 +185,7 @@
     since = world.now
     world.pause(place, 10 * NS_PER_S)
     world.run(20)
-    assert [seen.told.detail for seen in world.told("paused", since)] == ["10.0 s"]
+    assert [seen.event.detail for seen in world.events_of_kind("paused", since)] == ["10.0 s"]
     declared_here = [name for by, name in died(world, since) if by == accuser.name]
     assert set(declared_here) <= {"r2"}  # no other router, even if not heard during the pause
     assert world.until_agreed(10) < 1
@@ -239,7 +239,7 @@
     twin = world.start(4, clock=500, name="r1")
     world.run(8)
     assert world.agents[1].state is MemberState.DISPLACED
-    assert world.told("displaced")
+    assert world.events_of_kind("displaced")
     assert twin.me.start > 1_000
     assert {agent.members.records["r1"].place for place, agent in world.agents.items() if place != 1} == {4}
 
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -1,4 +1,4 @@
-"""The data path's measurements in small: every read is answered whole, and their arithmetic is exact."""
+"""Small runs of the data-path measurements: every read is answered in full, and their formulas are exact."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 import numpy
 import pytest
 
-from benchmarks.scale.connections import expected, fleet, overflow
+from benchmarks.scale.connections import expected_connections, fleet, overflow_share
 from benchmarks.scale.connections import measure as measure_connections
-from benchmarks.scale.data_path import busiest, fit, measure, share_over, skew, zipf_shares
+from benchmarks.scale.data_path import busiest_share, fit_line, measure, share_longer_than, skew, zipf_shares
 from saltport.upstream.pool import MAX_CONNECTIONS_PER_SERVER
 from saltport.wire.resp import MAX_VALUE_BYTES
 from tests.sockets import MISS, Peer, bulk, get, hit, http_answer, run_router
@@ -21,7 +21,7 @@
 
 
 def test_reads_of_short_and_long_values_are_answered_whole() -> None:
-    costs = asyncio.run(measure(1, [4_096, 737_000], most=100))  # raises on any other answer
+    costs = asyncio.run(measure(1, [4_096, 737_000], max_requests=100))  # raises on any other reply
     assert [len(rounds) for rounds in costs.values()] == [1, 1]
 
 
@@ -33,10 +33,10 @@
     origin = Peer(lambda _, message: http_answer(200, TOO_LONG), is_http=True)
     with run_router(tmp_path, {"s1": cache}, origin=origin) as router:
         client = router.client()
-        for key in ("long", "missing"):  # too long at the cache, and at the origin
+        for key in ("long", "missing"):  # too long at the cache server and at the origin
             answer = client.ask(get(f"id-{key}", key))
             assert answer.startswith((b"-BUSY", b"-ERR")), answer
-            assert client.ask(bulk(b"PING")) == b"+PONG"  # nothing of it lies on the connection
+            assert client.ask(bulk(b"PING")) == b"+PONG"  # no byte of the value was sent to the client
         assert b"/missing" in [message[1] for message in origin.seen]
 
 
@@ -49,28 +49,28 @@
 
 
 def test_overflow_is_erlang_s_loss_formula() -> None:
-    assert [overflow(stage, 1.0) for stage in (0, 1, 2)] == pytest.approx([1.0, 1 / 2, 1 / 5])
-    assert overflow(3, 2.0) == pytest.approx((8 / 6) / (1 + 2 + 2 + 8 / 6))
+    assert [overflow_share(stage, 1.0) for stage in (0, 1, 2)] == pytest.approx([1.0, 1 / 2, 1 / 5])
+    assert overflow_share(3, 2.0) == pytest.approx((8 / 6) / (1 + 2 + 2 + 8 / 6))
 
 
 def test_a_busy_server_keeps_its_connections_and_an_idle_one_has_a_handshake_each_time() -> None:
-    busy = expected(servers=1, rate_per_s=1000.0, answer_s=0.001, idle_s=6.0)
+    busy = expected_connections(servers=1, rate_per_s=1000.0, answer_s=0.001, idle_s=6.0)
     assert 1.0 <= busy.open <= MAX_CONNECTIONS_PER_SERVER
-    idle = expected(servers=1000, rate_per_s=1.0, answer_s=0.001, idle_s=6.0)
+    idle = expected_connections(servers=1000, rate_per_s=1.0, answer_s=0.001, idle_s=6.0)
     assert idle.handshakes_per_s == pytest.approx(1.0, rel=0.01)
     assert idle.open == pytest.approx(6.0, rel=0.01)
 
 
 def test_the_fleet_s_connections_add_up() -> None:
-    told = fleet(routers=1_600, servers=680, requests_per_s=950_000, answer_s=0.05, reached=680)
-    assert told["open_at_a_router"] * 1_600 == pytest.approx(told["open_at_a_server"] * 680, rel=0.001)
+    figures = fleet(routers=1_600, servers=680, requests_per_s=950_000, answer_s=0.05, reached=680)
+    assert figures["open_at_a_router"] * 1_600 == pytest.approx(figures["open_at_a_server"] * 680, rel=0.001)
 
 
 def test_a_fit_finds_a_line_and_tells_of_a_bend() -> None:
-    straight = fit({size: 100 + 0.5 * size for size in (10, 100, 1_000, 10_000)})
+    straight = fit_line({size: 100 + 0.5 * size for size in (10, 100, 1_000, 10_000)})
     assert (straight.base, straight.slope) == pytest.approx((100, 0.5))
     assert straight.residual < 1e-9
-    assert fit({10: 100.0, 100: 100.0, 1_000: 100.0, 10_000: 10_000.0}).residual > 0.1
+    assert fit_line({10: 100.0, 100: 100.0, 1_000: 100.0, 10_000: 10_000.0}).residual > 0.1
 
 
 @pytest.mark.parametrize("exponent", [0.8, 1.0, 1.2])
@@ -84,7 +84,7 @@
 def test_the_share_of_long_values_is_that_of_a_sample() -> None:
     sigma, mean = 1.0, 737_000.0
     sample = numpy.random.default_rng(1).lognormal(math.log(mean) - sigma**2 / 2, sigma, 200_000)
-    assert share_over(MAX_VALUE_BYTES, mean, sigma) == pytest.approx(
+    assert share_longer_than(MAX_VALUE_BYTES, mean, sigma) == pytest.approx(
         (sample > MAX_VALUE_BYTES).mean(), rel=0.05
     )
 
@@ -92,7 +92,7 @@
 def test_the_busiest_router_has_at_least_the_hottest_object_and_an_even_share() -> None:
     rng = numpy.random.default_rng(1)
     shares = zipf_shares(1.0, 100_000, 1_000)
-    assert busiest(shares, 50, rng) >= max(shares[0], 1 / 50)
-    assert busiest(shares, 1, rng) == pytest.approx(1.0)
-    small = [skew(exponent, objects=100_000, trials=3) for exponent in (0.8, 1.0, 1.2)]
-    assert sorted(small, key=lambda told: told.by_key_fleet) == small
+    assert busiest_share(shares, 50, rng) >= max(shares[0], 1 / 50)
+    assert busiest_share(shares, 1, rng) == pytest.approx(1.0)
+    estimates = [skew(exponent, objects=100_000, trials=3) for exponent in (0.8, 1.0, 1.2)]
+    assert sorted(estimates, key=lambda estimate: estimate.by_key_fleet) == estimates
