--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""What is measured and is no test: each module runs by one command."""
+"""Benchmarks: each module is run as a command."""
--- a/benchmarks/scale/__init__.py
+++ b/benchmarks/scale/__init__.py
@@ -1,1 +1,1 @@
-"""Scale measurements: what each part costs at fleet size."""
+"""Scale measurements: the cost of each component at fleet size."""
--- a/benchmarks/scale/__main__.py
+++ b/benchmarks/scale/__main__.py
@@ -1,4 +1,4 @@
-"""All of them, one after the other, each in a process of its own: `python -m benchmarks.scale [NAME ...]`."""
+"""Runs scale measurements in sequence, each in its own process: `python -m benchmarks.scale [NAME ...]`."""
 
 from __future__ import annotations
 
@@ -9,25 +9,25 @@
 
 import click
 
-HERE = Path(__file__).parent
+FOLDER = Path(__file__).parent
 
 
-def names() -> list[str]:
-    """The modules that measure: those that have a command."""
-    return sorted(path.stem for path in HERE.glob("[a-z]*.py") if "@click.command" in path.read_text())
+def measurement_names() -> list[str]:
+    """Return the names of the measurement modules: those that define a command."""
+    return sorted(path.stem for path in FOLDER.glob("[a-z]*.py") if "@click.command" in path.read_text())
 
 
 @click.command()
 @click.argument("only", nargs=-1)
 def main(only: tuple[str, ...]) -> None:
-    """Measure all, or these; the status is 1 if one of them failed."""
+    """Run all measurements or the named ones; the exit status is 1 if one failed."""
     failed = []
-    for name in only or names():
+    for name in only or measurement_names():
         click.echo(f"== {name}")
-        begun = time.monotonic()
-        ended = subprocess.run([sys.executable, "-m", f"benchmarks.scale.{name}"], check=False)
-        click.echo(f"== {name}: status {ended.returncode} after {time.monotonic() - begun:.0f} s")
-        if ended.returncode:
+        started_at = time.monotonic()
+        process = subprocess.run([sys.executable, "-m", f"benchmarks.scale.{name}"], check=False)
+        click.echo(f"== {name}: status {process.returncode} after {time.monotonic() - started_at:.0f} s")
+        if process.returncode:
             failed.append(name)
     if failed:
         sys.exit(1)
--- a/benchmarks/scale/dissemination_plain.py
+++ b/benchmarks/scale/dissemination_plain.py
@@ -1,8 +1,8 @@
-"""The two plain forms that dissemination in levels is compared with, in the same world, for purges alone.
+"""Two simpler protocols for purges, which dissemination in levels is compared with in the same simulation.
 
-Star: the origin of a purge tells each router, and repeats it until each has acknowledged. Gossip: who is
-new to a purge tells it to a few others at random, some times over. Neither orders what it carries: only
-arrival is compared.
+Star: the router that submits a purge sends it to each router, and repeats it until all have acknowledged.
+Gossip: a router that receives a new purge forwards it several times to a few random others. Neither orders
+the records, so only their arrival is compared.
 """
 
 from __future__ import annotations
@@ -22,24 +22,24 @@
     DisseminationSettings,
 )
 
-HEADERS = ENVELOPE_BYTES + UDP_IP_HEADER_BYTES
-HEAD = 4  # bytes of a message besides its records
-RECORD_HEAD = 2 + 6  # length; origin and sequence, by which a repeated one is known
-STAR_RETRY = 400 * NS_PER_MS
-GOSSIP_INTERVAL = 200 * NS_PER_MS
+OVERHEAD_BYTES = ENVELOPE_BYTES + UDP_IP_HEADER_BYTES
+MESSAGE_HEADER_BYTES = 4  # without the records
+RECORD_HEADER_BYTES = 2 + 6  # length; origin and sequence number, to recognize duplicates
+STAR_RETRY_NS = 400 * NS_PER_MS
+GOSSIP_INTERVAL_NS = 200 * NS_PER_MS
 GOSSIP_FANOUT = 3
 GOSSIP_REPEATS = 4  # times log10 of the number of routers (SWIM, section 4.1)
 
 
-class Told(NamedTuple):
-    """Records, or the acknowledgement of them."""
+class RecordsMessage(NamedTuple):
+    """A message with records, or with the acknowledgement of them."""
 
     records: tuple[bytes, ...]
     acknowledged: bool = False
 
 
-class PlainRouter:
-    """What both forms share: arrivals, each counted once."""
+class BaselineRouter:
+    """Base of the routers of both protocols: it records the first arrival of each record."""
 
     def __init__(self, node: int, routers: int, rng: random.Random) -> None:
         self.node, self.routers, self.rng = node, routers, rng
@@ -49,15 +49,19 @@
         self._out: list[Outgoing] = []
 
     def take_datagrams(self) -> list[Outgoing]:
-        """Datagrams to be sent."""
-        out, self._out = self._out, []
-        return out
-
-    def _send(self, target: int, told: Told) -> None:
-        size = HEADERS + HEAD + sum(len(r) + RECORD_HEAD for r in told.records if not told.acknowledged)
-        self._out.append(Outgoing(target, told, size + 6 * told.acknowledged))  # type: ignore[arg-type]
-
-    def _take(self, record: bytes) -> bool:
+        """Return the datagrams to send."""
+        datagrams, self._out = self._out, []
+        return datagrams
+
+    def _send(self, target: int, message: RecordsMessage) -> None:
+        size = (
+            OVERHEAD_BYTES
+            + MESSAGE_HEADER_BYTES
+            + sum(len(r) + RECORD_HEADER_BYTES for r in message.records if not message.acknowledged)
+        )
+        self._out.append(Outgoing(target, message, size + 6 * message.acknowledged))  # type: ignore[arg-type]
+
+    def _record_arrival(self, record: bytes) -> bool:
         if record in self._seen:
             return False
         self._seen.add(record)
@@ -65,126 +69,137 @@
         return True
 
     def submit(self, record: bytes, now: int) -> None:
-        """This router makes a purge."""
+        """Submit a purge at this router."""
         raise NotImplementedError
 
-    def receive(self, source: int, message: Told, now: int) -> None:
-        """Take a datagram."""
+    def receive(self, source: int, message: RecordsMessage, now: int) -> None:
+        """Handle a datagram."""
         raise NotImplementedError
 
     def tick(self, now: int) -> None:
-        """Do what is due."""
+        """Run the work that is due."""
         raise NotImplementedError
 
 
-class StarRouter(PlainRouter):
-    """Everybody is told by the origin."""
+class StarRouter(BaselineRouter):
+    """A router that sends its own purges to all others until they acknowledge."""
 
     def __init__(self, node: int, routers: int, rng: random.Random) -> None:
         super().__init__(node, routers, rng)
-        self._open: dict[bytes, set[int]] = {}
+        self._unacknowledged: dict[bytes, set[int]] = {}
 
     def submit(self, record: bytes, now: int) -> None:
-        """Tell all."""
-        self._take(record)
-        self._open[record] = set(range(self.routers)) - {self.node}
+        """Send a purge to all routers."""
+        self._record_arrival(record)
+        self._unacknowledged[record] = set(range(self.routers)) - {self.node}
         self.tick(now)
 
-    def receive(self, source: int, message: Told, now: int) -> None:
-        """A purge or an acknowledgement."""
+    def receive(self, source: int, message: RecordsMessage, now: int) -> None:
+        """Handle a purge or an acknowledgement."""
         (record,) = message.records
         if message.acknowledged:
-            self._open.get(record, set()).discard(source)
+            self._unacknowledged.get(record, set()).discard(source)
             return
-        self._take(record)
-        self._send(source, Told(message.records, acknowledged=True))
+        self._record_arrival(record)
+        self._send(source, RecordsMessage(message.records, acknowledged=True))
 
     def tick(self, now: int) -> None:
-        """Tell all that haven't acknowledged."""
-        self._open = {record: left for record, left in self._open.items() if left}
-        for record, left in self._open.items():
-            for node in left:
-                self._send(node, Told((record,)))
-        self.due = now + STAR_RETRY if self._open else None
+        """Send each purge to all routers that have not acknowledged it."""
+        self._unacknowledged = {
+            record: remaining for record, remaining in self._unacknowledged.items() if remaining
+        }
+        for record, remaining in self._unacknowledged.items():
+            for node in remaining:
+                self._send(node, RecordsMessage((record,)))
+        self.due = now + STAR_RETRY_NS if self._unacknowledged else None
 
 
-class GossipRouter(PlainRouter):
-    """Everybody tells what is new to some others."""
+class GossipRouter(BaselineRouter):
+    """A router that forwards new purges to random others."""
 
     def __init__(self, node: int, routers: int, rng: random.Random) -> None:
         super().__init__(node, routers, rng)
-        self._hot: dict[bytes, int] = {}
+        self._send_counts: dict[bytes, int] = {}
         self._repeats = GOSSIP_REPEATS * math.ceil(math.log10(routers))
 
     def submit(self, record: bytes, now: int) -> None:
-        """Begin to tell it."""
-        self._learn((record,), now)
+        """Start to forward a purge."""
+        self._accept((record,), now)
 
-    def receive(self, source: int, message: Told, now: int) -> None:
-        """Rumours."""
-        self._learn(message.records, now)
+    def receive(self, source: int, message: RecordsMessage, now: int) -> None:
+        """Accept the purges of a message."""
+        self._accept(message.records, now)
 
-    def _learn(self, records: tuple[bytes, ...], now: int) -> None:
+    def _accept(self, records: tuple[bytes, ...], now: int) -> None:
         for record in records:
-            if self._take(record):
-                self._hot[record] = 0
-        if self._hot and self.due is None:
-            self.due = now + self.rng.randrange(GOSSIP_INTERVAL)
+            if self._record_arrival(record):
+                self._send_counts[record] = 0
+        if self._send_counts and self.due is None:
+            self.due = now + self.rng.randrange(GOSSIP_INTERVAL_NS)
 
     def tick(self, now: int) -> None:
-        """Tell those that were told least often, as many as fit."""
+        """Send the least often sent purges to random routers, as many as fit in a message."""
         for _ in range(GOSSIP_FANOUT):
-            chosen, room = [], MAX_MESSAGE_BYTES - HEAD
-            for record in sorted(self._hot, key=self._hot.__getitem__):
-                if len(record) + RECORD_HEAD <= room:
-                    room -= len(record) + RECORD_HEAD
+            chosen, remaining_bytes = [], MAX_MESSAGE_BYTES - MESSAGE_HEADER_BYTES
+            for record in sorted(self._send_counts, key=self._send_counts.__getitem__):
+                if len(record) + RECORD_HEADER_BYTES <= remaining_bytes:
+                    remaining_bytes -= len(record) + RECORD_HEADER_BYTES
                     chosen.append(record)
-                    self._hot[record] += 1
+                    self._send_counts[record] += 1
             if chosen:
-                self._send(self.rng.randrange(self.routers), Told(tuple(chosen)))
-        self._hot = {record: told for record, told in self._hot.items() if told < self._repeats}
-        self.due = now + GOSSIP_INTERVAL if self._hot else None
+                self._send(self.rng.randrange(self.routers), RecordsMessage(tuple(chosen)))
+        self._send_counts = {
+            record: count for record, count in self._send_counts.items() if count < self._repeats
+        }
+        self.due = now + GOSSIP_INTERVAL_NS if self._send_counts else None
 
 
-Maker = Callable[[int, int, random.Random], PlainRouter]
-star: Maker = StarRouter
-gossip: Maker = GossipRouter
+RouterFactory = Callable[[int, int, random.Random], BaselineRouter]
+star: RouterFactory = StarRouter
+gossip: RouterFactory = GossipRouter
 
 
-class PlainWorld(World):
-    """The same links, with routers of a plain form and without voters."""
+class BaselineWorld(World):
+    """The same simulation with routers of a simpler protocol and without voters."""
 
     def __init__(
-        self, make: Maker, fleet: Fleet, seed: int, settings: DisseminationSettings, loss: float
+        self,
+        create_router: RouterFactory,
+        fleet: Fleet,
+        seed: int,
+        settings: DisseminationSettings,
+        loss: float,
     ) -> None:
         super().__init__(fleet, seed, settings, loss)
-        self._make = make
-        self._plain: dict[int, PlainRouter] = {}
+        self._create_router = create_router
+        self._routers: dict[int, BaselineRouter] = {}
 
     def start_all(self) -> None:
-        """All routers."""
+        """Start all routers."""
         for node in range(self.fleet.routers):
-            self._plain[node] = self._make(node, self.fleet.routers, random.Random(self.rng.getrandbits(32)))
-            held: Node = self._plain[node]
-            self.nodes[node] = held
+            self._routers[node] = self._create_router(
+                node, self.fleet.routers, random.Random(self.rng.getrandbits(32))
+            )
+            router: Node = self._routers[node]
+            self.nodes[node] = router
 
     def submit(self, node: int, topic: int, body: bytes) -> None:
-        """A router makes a purge."""
-        self.history.made(topic, body, self.now)
-        self._plain[node].submit(body, self.now)
-        self._after(node)
-
-    def _after(self, node: int) -> None:
-        held = self._plain[node]
-        for record in held.arrived:
+        """Submit a purge at a router."""
+        self.history.submitted(topic, body, self.now)
+        self._routers[node].submit(body, self.now)
+        self._process_output(node)
+
+    def _process_output(self, node: int) -> None:
+        router = self._routers[node]
+        for record in router.arrived:
             self.history.arrived(1, record, self.now)
-        held.arrived.clear()
-        super()._after(node)
+        router.arrived.clear()
+        super()._process_output(node)
 
     def acknowledged(self) -> int:
-        """Nobody counts."""
+        """Return 0: these protocols do not count acknowledgements at a coordinator."""
         return 0
 
     def finish(self) -> list[str]:
-        """Routers that never got a record."""
+        """Return a fault for each record that some router never received."""
         return self.history.finish_unordered(self.fleet.routers)
--- a/tests/dissemination/test_history.py
+++ b/tests/dissemination/test_history.py
@@ -30,7 +30,7 @@
 def check_history(*applied_texts: str, at: int = 10) -> list[str]:
     history = History()
     for letter in "abcd":
-        history.made(1, letter.encode(), 1)
+        history.submitted(1, letter.encode(), 1)
     history.start(0, 0)
     history.committed(1, 1, [b"a", b"b"], 2)
     history.committed(1, 2, [b"c"], 3)
@@ -64,12 +64,12 @@
     history.committed(1, 1, [b"a", b"b"], 2)
     history.committed(1, 2, [b"c"], 3)
     history.start(0, 5)
-    history.loaded(0, 1, 1)
+    history.snapshot_loaded(0, 1, 1)
     history.applied(0, records("c"), 9)
     assert history.finish() == []
-    history.loaded(0, 1, 1)
+    history.snapshot_loaded(0, 1, 1)
     assert "went back" in history.faults[0]
-    history.loaded(0, 1, 7)
+    history.snapshot_loaded(0, 1, 7)
     assert "isn't committed" in history.faults[1]
 
 
@@ -77,9 +77,9 @@
     history = History()
     history.start(0, 0)
     history.committed(1, 1, [b"a"], 100)
-    history.serves(0, 1, 150, 50)
+    history.check_freshness(0, 1, 150, 50)
     assert history.faults == []
-    history.serves(0, 1, 151, 50)
+    history.check_freshness(0, 1, 151, 50)
     assert "serves topic 1 without 1" in history.faults[0]
 
 
@@ -87,27 +87,27 @@
     history = History()
     history.start(0, 0)
     history.start(1, 0)
-    history.excuse(1, 5_000_000_000)
-    history.made(1, b"a", 1_000_000_000)
+    history.exclude_until(1, 5_000_000_000)
+    history.submitted(1, b"a", 1_000_000_000)
     history.committed(1, 1, [b"a"], 1_100_000_000)
     history.applied(0, records("a"), 2_000_000_000)
     history.applied(1, records("a"), 5_400_000_000)
     assert history.slowest() == 1.0
-    assert (history.delays.total, history.late.percentile(1)) == (1, 0.4)
+    assert (history.delays.total, history.catch_up_delays.percentile(1)) == (1, 0.4)
 
 
 def test_a_returned_router_counts_as_late_until_it_is_caught_up() -> None:
     history = History()
     history.start(0, 0)
-    history.excuse(0, 5_000_000_000)
+    history.exclude_until(0, 5_000_000_000)
     for number, (name, made) in enumerate([(b"a", 4), (b"b", 6), (b"c", 9)], 1):
-        history.made(1, name, made * 1_000_000_000)
+        history.submitted(1, name, made * 1_000_000_000)
         history.committed(1, number, [name], made * 1_000_000_000)
     history.applied(0, records("a"), 8_000_000_000)
     history.applied(0, records("b"), 8_500_000_000)
     history.applied(0, records("c"), 9_100_000_000)
     assert (history.delays.total, history.slowest()) == (1, 0.1)
-    assert (history.late.total, history.late.percentile(1)) == (2, 3.5)
+    assert (history.catch_up_delays.total, history.catch_up_delays.percentile(1)) == (2, 3.5)
 
 
 # Planted defects
@@ -147,7 +147,7 @@
     sim.run(2)
     for step in range(int(seconds * 5)):
         if step == 25:
-            sim.part(0, 6_000_000_000)
+            sim.isolate_region(0, 6_000_000_000)
         sim.submit(1 + step % 3, 1, b"purge %d" % step)
         if 25 < step < 40:
             sim.submit(4 * (step % 3), 1, b"apart %d" % step)
--- a/tests/dissemination/test_world.py
+++ b/tests/dissemination/test_world.py
@@ -123,7 +123,7 @@
     sim = world()
     purges(sim, 16, [1])
     token = purge_state(sim, 2).begin_fetch()
-    sim.part(2, 120 * NS_PER_S)
+    sim.isolate_region(2, 120 * NS_PER_S)
     sim.submit(1, Topic.PURGES, b"object")
     sim.run(5)
     assert {sim.router(node).verdict(Topic.PURGES, sim.now) for node in REGION_2} == {Verdict.STALE}
@@ -134,7 +134,7 @@
     assert purge_state(sim, 2).overtaken(b"object", token)
     assert {sim.router(node).verdict(Topic.PURGES, sim.now) for node in REGION_2} == {Verdict.FRESH}
     assert sim.history.finish() == []
-    assert sim.history.late.total > 340 * len(REGION_2)
+    assert sim.history.catch_up_delays.total > 340 * len(REGION_2)
 
 
 def test_a_region_cut_off_longer_than_the_log_is_retained_loads_a_snapshot() -> None:
@@ -144,7 +144,7 @@
         sim.run(0.1)
     purges(sim, 16, [1])
     token = purge_state(sim, 2).begin_fetch()
-    sim.part(2, 30 * NS_PER_S)
+    sim.isolate_region(2, 30 * NS_PER_S)
     for number in range(40, 160):
         sim.submit(1, Topic.CONFIGURATION, pack_change(f"key{number % 30}", b"%d" % number * 20))
         sim.submit(1, Topic.PURGES, b"p" + pack_change("", b"%d" % number))
@@ -161,7 +161,7 @@
     """The isolated region has the coordinator and a minority of the voters."""
     sim = world()
     purges(sim, 8, [1])
-    sim.part(0, 20 * NS_PER_S)
+    sim.isolate_region(0, 20 * NS_PER_S)
     sim.run(2)
     alone = [b"alone%d" % number for number in range(5)]
     for record in alone:
@@ -186,7 +186,7 @@
     sim = world()
     purges(sim, 8, [1])
     old = sim.leader
-    sim.stop(old, 6 * NS_PER_S)
+    sim.pause(old, 6 * NS_PER_S)
     purges(sim, 80, [1, 2], "during")
     sim.run(5)
     assert sim.epoch == 2
@@ -271,7 +271,7 @@
 def test_half_of_a_site_stopped_for_three_seconds() -> None:
     sim = world()
     for node in SITE_0[:5]:
-        sim.stop(node, 3 * NS_PER_S)
+        sim.pause(node, 3 * NS_PER_S)
     purges(sim, 40, [1])
     sim.run(5)
     assert sim.history.finish() == []
@@ -282,7 +282,7 @@
     """Bounds of stored entries, and of bytes sent in ten seconds, hold during a partition and after it."""
     sim = world()
     settings = sim.settings
-    sim.part(2, 40 * NS_PER_S)
+    sim.isolate_region(2, 40 * NS_PER_S)
     before = list(sim.sent)
     for second in range(60):
         purges(sim, 8, [1, 3], f"s{second}/")
@@ -302,7 +302,7 @@
     """Neighbours repeat the last heartbeat many times, which must not make it count as newer."""
     sim = world()
     purges(sim, 16, [1])
-    sim.part(2, 20 * NS_PER_S)
+    sim.isolate_region(2, 20 * NS_PER_S)
     sim.run(3)
     sim.kill(2)
     sim.start(2)
@@ -330,13 +330,13 @@
                 sim.kill(node)
                 sim.later(rng.random() * 5, partial(restart, sim, node))
             elif what == 1:
-                sim.stop(node, int(rng.random() * 4 * NS_PER_S))
+                sim.pause(node, int(rng.random() * 4 * NS_PER_S))
             elif what == 2 and not sim.cuts:
-                sim.part(rng.randrange(3), int(rng.random() * 8 * NS_PER_S))
+                sim.isolate_region(rng.randrange(3), int(rng.random() * 8 * NS_PER_S))
             elif what == 3:
                 sim.slow[node] = int(rng.random() * 2 * NS_PER_S)
             elif what == 4:
-                sim.stop(sim.leader, int(rng.random() * 5 * NS_PER_S))
+                sim.pause(sim.leader, int(rng.random() * 5 * NS_PER_S))
         sim.submit(4 * rng.randrange(15), rng.choice([1, 2]), pack_change(f"k{step % 9}", b"%d" % step))
         sim.run(0.25)
     sim.slow.clear()
--- a/tests/scale/test_roles.py
+++ b/tests/scale/test_roles.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks.scale import fit
-from benchmarks.scale.__main__ import names
+from benchmarks.scale.__main__ import measurement_names
 from benchmarks.scale.configuration import measure_reload
 from benchmarks.scale.discovery import measure_lists, measure_watches
 from benchmarks.scale.failover import measure_plans, message_sizes
@@ -18,8 +18,10 @@
 
 
 def test_each_measurement_is_found_by_the_one_command() -> None:
-    assert {"membership", "owners", "discovery", "failover", "configuration", "operators"} <= set(names())
-    assert not {"fit", "hollow"} & set(names())
+    assert {"membership", "owners", "discovery", "failover", "configuration", "operators"} <= set(
+        measurement_names()
+    )
+    assert not {"fit", "hollow"} & set(measurement_names())
 
 
 def test_the_leading_voter_is_asked_by_each_owner_and_an_owner_by_nobody_more() -> None:
