--- a/benchmarks/zones_world.py
+++ b/benchmarks/zones_world.py
@@ -1,7 +1,8 @@
-"""Zones and regions in virtual time: real decisions and failover agents, clients that move, zones that go.
+"""Simulates zones and regions in virtual time, with real decision modules and failover agents.
 
-It stands on hot_world.py: nodes of one core, an origin, routers without sockets. Ownership is given: who owns
-the plans is one router at a time, and the next one some seconds after it went; owners/ has its own worlds.
+It extends hot_world.py (nodes with one core, an origin, routers without sockets) by zones that fail and
+clients that move. Ownership of the plans is simulated: one router owns them, and another takes over some
+seconds after its failure.
 """
 
 from __future__ import annotations
@@ -24,15 +25,19 @@
 
 ZONES, REGIONS = ("a", "b", "c"), ("west", "west", "east")
 COSTS = {(0, 1): 2.0, (0, 2): 12.0, (1, 2): 12.0}
-LEASE, TAKEOVER = 3 * S, 4 * S
-VOTERS = 3  # the first routers
-NOTICED = S  # after which clients of a dead router go elsewhere
+LEASE_NS, TAKEOVER_NS = 3 * S, 4 * S
+VOTERS = 3  # routers with the lowest places
+FAILURE_NOTICE_NS = S  # time after which clients of a dead router use another one
 SETTINGS = FailoverSettings()
 COLD_SHARE, COLD_TIME = 0.5, 5 * S
 
 
 class ZonesWorld(World):
-    """`form`: plan, alone, envoy or today; nodes and routers go round the zones, unless `sizes` tells."""
+    """Simulation of three zones; nodes and routers are assigned to zones in turn, nodes also by `spread`.
+
+    `form` is plan (shared plans), alone (each router for itself), envoy (Envoy's rule) or today (no
+    topology).
+    """
 
     def __init__(
         self, form: str = "plan", routers: int = 12, nodes: int = 30, seed: int = 1, capacity: bool = True,
@@ -44,7 +49,7 @@
             name: spread[place] if spread else place % 3 for place, name in enumerate(self.nodes)
         }
         self.zone_of = [place % 3 for place in range(routers)]
-        told = replace(
+        settings = replace(
             self.routers[0].settings, cold_share=COLD_SHARE, cold_time=COLD_TIME,
             tenants=(Tenant("a", 0.7, 0.7 * allowance), Tenant("b", 0.3, 0.3 * allowance)),
         )  # fmt: skip
@@ -53,20 +58,21 @@
         ]
         self.routers = []
         for place, zone in enumerate(self.zone_of):
-            mine = None if form == "today" else self.topologies[zone]
-            self.routers.append(Router(replace(told, topology=mine), seed + place))
-        self.list_all()
-        self.trip = lambda router, server: (
+            topology = None if form == "today" else self.topologies[zone]
+            self.routers.append(Router(replace(settings, topology=topology), seed + place))
+        self.publish_servers()
+        self.round_trip = lambda router, server: (
             MS + int(self._cost(self.zone_of[router], self.zone_of_node[server]))
         )
-        self.choose_router = self._choose
+        self.choose_router = self._choose_router
         self.dead: dict[int, int] = {}
-        self.paths: set[tuple[int, int]] = set()
-        """Cut between zones, one way: routers of the first reach nothing in the second."""
-        self.liar = -1
-        """A router whose own network is bad: it reaches nothing."""
-        self.parted = lambda router, server: (
-            router == self.liar or (self.zone_of[router], self.zone_of_node[server]) in self.paths
+        self.cut_paths: set[tuple[int, int]] = set()
+        """Pairs of zones; requests from routers of the first to nodes of the second are lost."""
+        self.disconnected_router = -1
+        """A router with a faulty network, which reaches no node; -1 for none."""
+        self.is_partitioned = lambda router, server: (
+            router == self.disconnected_router
+            or (self.zone_of[router], self.zone_of_node[server]) in self.cut_paths
         )
         self.loss = 0.0
         self.message_cut: Callable[[int, int], bool] = lambda here, there: False
@@ -75,9 +81,9 @@
         self.fences = [Fence() for _ in range(routers)]
         self.agents: list[Agent] = []
         self.latest = (0, 0)
-        self.made: list[tuple[float, str]] = []
-        """Plans: when, and why."""
-        self.told: list[ZonePlan | None] = [None] * routers
+        self.plans_made: list[tuple[float, str]] = []
+        """Time and reason of each plan."""
+        self.followed_plans: list[ZonePlan | None] = [None] * routers
         self.bytes = 0
         self.seconds: dict[int, Counter[str]] = {}
         self.node_work: dict[int, Counter[str]] = {}
@@ -85,10 +91,13 @@
         if form == "plan":
             for place in range(routers):
                 self.agents.append(self._agent(place))
-                self.at(self._links.randrange(250 * MS), lambda place=place: self._turn(place))  # type: ignore[misc]
+                self.schedule(self._links.randrange(250 * MS), lambda place=place: self._tick_agent(place))  # type: ignore[misc]
         elif form == "envoy":
             for place in range(routers):
-                self.at(self._links.randrange(250 * MS), lambda place=place: self._envoy(place))  # type: ignore[misc]
+                self.schedule(
+                    self._links.randrange(250 * MS),
+                    lambda place=place: self._apply_envoy_rule(place),  # type: ignore[misc]
+                )
 
     def _agent(self, place: int) -> Agent:
         rng = random.Random(self._links.getrandbits(32))
@@ -99,7 +108,7 @@
         )  # fmt: skip
 
     def epoch_of(self, place: int) -> int | None:
-        """The epoch under which a router may decide now."""
+        """Return the epoch under which a router may make plans now, or None."""
         return self.epoch if place == self.owner and self.now < self.owner_until else None
 
     def _cost(self, here: int, there: int) -> float:
@@ -107,132 +116,139 @@
 
     # Agents
 
-    def _turn(self, place: int) -> None:
+    def _tick_agent(self, place: int) -> None:
         agent = self.agents[place]
-        wakes = self.paused.get(place, 0)
-        if place in self.dead or wakes > self.now:
-            self.at(max(wakes - self.now, 250 * MS), lambda: self._turn(place))
+        resumes_at = self.paused.get(place, 0)
+        if place in self.dead or resumes_at > self.now:
+            self.schedule(max(resumes_at - self.now, 250 * MS), lambda: self._tick_agent(place))
             return
         agent.tick([f"r{other}" for other in range(len(self.routers)) if other not in self.dead], self.now)
         replication = self.routers[place].replication
         if agent.report_due(self.now) and isinstance(replication, ZonedReplication):
             agent.report(replication.take_evidence(), self.now)
-        self._carry(place)
-        self.at(100 * MS, lambda: self._turn(place))
+        self._send_messages(place)
+        self.schedule(100 * MS, lambda: self._tick_agent(place))
 
-    def _carry(self, place: int) -> None:
+    def _send_messages(self, place: int) -> None:
         agent = self.agents[place]
         for to, message in agent.take_messages():
             if isinstance(message, Plan) and message.version > self.latest:
                 self.latest = message.version
-                self.made.append((self.now / S, message.reason))
+                self.plans_made.append((self.now / S, message.reason))
             data = encode(message)
             assert len(data) <= MAX_PAYLOAD_BYTES, (len(data), message)
             self.bytes += len(data) + 50
-            other = int(to[1:])
-            if self._links.random() >= self.loss and not self.message_cut(place, other):
-                cost = int(self._cost(self.zone_of[place], self.zone_of[other]))
+            target = int(to[1:])
+            if self._links.random() >= self.loss and not self.message_cut(place, target):
+                cost = int(self._cost(self.zone_of[place], self.zone_of[target]))
                 delay = cost + self._links.randrange(MS, 6 * MS)
-                self.at(delay, lambda other=other, data=data: self._arrive(place, other, decode(data)))  # type: ignore[misc]
-        told = agent.zone_plan(self.now)
-        if told is not None:
-            self._follow(place, told)
-
-    def _follow(self, place: int, told: ZonePlan) -> None:
-        if told != self.told[place]:
-            self.told[place] = told
-            self.tell(place, told)
-
-    def _arrive(self, sender: int, place: int, message: Message) -> None:
-        wakes = self.paused.get(place, 0)
-        if wakes > self.now:
-            self.at(wakes - self.now, lambda: self._arrive(sender, place, message))
+                self.schedule(
+                    delay,
+                    lambda target=target, data=data: self._receive_message(place, target, decode(data)),  # type: ignore[misc]
+                )
+        zone_plan = agent.zone_plan(self.now)
+        if zone_plan is not None:
+            self._follow_plan(place, zone_plan)
+
+    def _follow_plan(self, place: int, zone_plan: ZonePlan) -> None:
+        if zone_plan != self.followed_plans[place]:
+            self.followed_plans[place] = zone_plan
+            self.deliver(place, zone_plan)
+
+    def _receive_message(self, sender: int, place: int, message: Message) -> None:
+        resumes_at = self.paused.get(place, 0)
+        if resumes_at > self.now:
+            self.schedule(resumes_at - self.now, lambda: self._receive_message(sender, place, message))
         elif place not in self.dead:
             self.agents[place].receive(f"r{sender}", message, self.now)
-            self._carry(place)
+            self._send_messages(place)
 
-    def _envoy(self, place: int) -> None:
-        """Localities by Envoy's rule, each router for itself: 1.4 times its healthy part, panic at a half."""
-        router, mine = self.routers[place], self.zone_of[place]
+    def _apply_envoy_rule(self, place: int) -> None:
+        """Set a router's shares by Envoy's rule: 1.4 times a zone's healthy part, panic below one half."""
+        router, own_zone = self.routers[place], self.zone_of[place]
         healthy = [0, 0, 0]
         listed = [0, 0, 0]
         for name, zone in self.zone_of_node.items():
             listed[zone] += name in router.caches.nodes
             healthy[zone] += name in router.caches.nodes and name not in router.outliers.ejected
-        left, shares = 1.0, [0.0, 0.0, 0.0]
-        for zone in self.topologies[mine].zones_by_distance(mine):
+        remaining, shares = 1.0, [0.0, 0.0, 0.0]
+        for zone in self.topologies[own_zone].zones_by_distance(own_zone):
             part = min(1.4 * healthy[zone] / max(listed[zone], 1), 1.0)
-            shares[zone] = min(left, part)
-            left -= shares[zone]
+            shares[zone] = min(remaining, part)
+            remaining -= shares[zone]
         if sum(healthy) * 2 < sum(listed):
-            shares = [float(zone == mine) for zone in range(3)]
-        self._follow(place, ZonePlan(tuple(shares)))
-        self.at(250 * MS, lambda: self._envoy(place))
+            shares = [float(zone == own_zone) for zone in range(3)]
+        self._follow_plan(place, ZonePlan(tuple(shares)))
+        self.schedule(250 * MS, lambda: self._apply_envoy_rule(place))
 
     # Clients
 
-    def _choose(self) -> int:
+    def _choose_router(self) -> int:
         zone = self.rng.choices(range(3), self.weights)[0]
         known = [
-            place for place in range(len(self.routers)) if self.dead.get(place, 1 << 62) > self.now - NOTICED
+            place
+            for place in range(len(self.routers))
+            if self.dead.get(place, 1 << 62) > self.now - FAILURE_NOTICE_NS
         ]
         near = [place for place in known if self.zone_of[place] == zone]
         return self.rng.choice(near or known)
 
     def ask(
-        self, key: str, write: bool = False, tenant: str | None = None, again: Read | None = None,
-        within: int = S,
+        self, key: str, write: bool = False, tenant: str | None = None, retry_of: Read | None = None,
+        timeout: int = S,
     ) -> str:  # fmt: skip
-        """One request; one at a dead router is nobody's."""
-        self.second()["asked"] += again is None
-        router = self._choose()
+        """Send a request; one to a dead router is lost and only counted."""
+        self.current_counts()["asked"] += retry_of is None
+        router = self._choose_router()
         if router in self.dead:
-            self.second()["at a dead router"] += 1
+            self.current_counts()["at a dead router"] += 1
             return ""
         self.choose_router = lambda: router
-        return super().ask(key, write, tenant, again, within)
+        return super().ask(key, write, tenant, retry_of, timeout)
 
-    def second(self) -> Counter[str]:
-        """The figures of this second."""
+    def current_counts(self) -> Counter[str]:
+        """Return the counts of the current second."""
         return self.seconds.setdefault(self.now // S, Counter())
 
     def _served(self, read: Read, version: int) -> None:
         super()._served(read, version)
-        self.second()["in time"] += self.now - read.begun_at <= 300 * MS
+        self.current_counts()["in time"] += self.now - read.first_asked_at <= 300 * MS
 
-    def _end(self, read: Read, what: str) -> None:
-        super()._end(read, what)
-        self.second()[what] += 1
+    def _record_outcome(self, read: Read, name: str) -> None:
+        super()._record_outcome(read, name)
+        self.current_counts()[name] += 1
 
-    def tell(self, router: int, event: object) -> None:
-        """As ever; a dead router hears and does nothing."""
+    def deliver(self, router: int, event: object) -> None:
+        """Pass an event to a router unless it is dead."""
         if router not in getattr(self, "dead", {}):
-            super().tell(router, event)  # type: ignore[arg-type]
+            super().deliver(router, event)  # type: ignore[arg-type]
 
     def _send(self, router: int, send: object) -> None:
-        second = self.second()
+        counts = self.current_counts()
         server = send.server  # type: ignore[attr-defined]
         if server == ORIGIN:
-            second["origin"] += 1
+            counts["origin"] += 1
         else:
-            second["sent"] += 1
-            second["near"] += self.zone_of_node[server] == self.zone_of[router]
+            counts["sent"] += 1
+            counts["near"] += self.zone_of_node[server] == self.zone_of[router]
             self.node_work.setdefault(self.now // S, Counter())[server] += 1
         super()._send(router, send)  # type: ignore[arg-type]
 
-    # Acts
+    # Faults
 
-    def parted_router(self, zone: int) -> None:
-        """One router of a zone reaches nothing any more, and says so."""
-        self.liar = next(p for p, z in enumerate(self.zone_of) if z == zone and p != self.owner)
+    def disconnect_router(self, zone: int) -> None:
+        """Disconnect one router of a zone from all nodes; it still sends reports."""
+        self.disconnected_router = next(
+            p for p, z in enumerate(self.zone_of) if z == zone and p != self.owner
+        )
 
-    def entry(self, name: str, state: object = None, started: int = 0) -> Server:
-        """With this world's zones."""
+    def server_entry(self, name: str, state: object = None, started: int = 0) -> Server:
+        """Return a node's entry in the server list, with the zone of this simulation."""
         zone = ZONES[self.zone_of_node[name]] if hasattr(self, "zone_of_node") else ""
         return Server(name, kind="std", zone=zone, started=started)
 
     def lose_zone(self, zone: int, routers: bool = True) -> None:
-        """Its nodes say nothing any more, and its routers are gone."""
+        """Cut off the nodes of a zone and, with `routers`, end its routers."""
         for name, node in self.nodes.items():
             if self.zone_of_node[name] == zone:
                 node.cut = True
@@ -243,9 +259,9 @@
             self.lose_owner()
 
     def lose_owner(self) -> None:
-        """Its lease ends; some router that lives follows it."""
-        self.owner_until = min(self.owner_until, self.now + LEASE)
-        self.at(TAKEOVER, self._next_owner)
+        """Let the owner's lease end; a live router takes over afterwards."""
+        self.owner_until = min(self.owner_until, self.now + LEASE_NS)
+        self.schedule(TAKEOVER_NS, self._next_owner)
 
     def _next_owner(self) -> None:
         if not self.agents:
@@ -256,36 +272,36 @@
         self.hand_over(self._links.choice(alive))
 
     def hand_over(self, to: int) -> None:
-        """A router owns the plans from now on: voters know it from the record, the others from its plans."""
+        """Make a router the owner of the plans; voters learn its epoch now, the others from its plans."""
         self.owner, self.epoch, self.owner_until = to, self.epoch + 1, 1 << 62
         for voter in range(VOTERS):
             self.fences[voter].admit(LEASE_NAME, self.epoch)
 
-    def bring_back(self, zone: int) -> None:
-        """Cold and empty; routers start anew and know nothing."""
+    def restore_zone(self, zone: int) -> None:
+        """Restore a zone: its nodes are cold and empty, and its routers restart without state."""
         for name, node in self.nodes.items():
             if self.zone_of_node[name] == zone:
                 node.cut, node.slow, node.free_at = False, 1 / COLD_SHARE, self.now
-                node.kept.clear()
-                self.change(self.entry(name, started=self.now))
+                node.stored.clear()
+                self.publish_change(self.server_entry(name, started=self.now))
         for step in range(1, 11):
-            self.at(COLD_TIME * step // 10, lambda step=step: self._warm(zone, step / 10))  # type: ignore[misc]
+            self.schedule(COLD_TIME * step // 10, lambda step=step: self._set_warmth(zone, step / 10))  # type: ignore[misc]
         for place in [place for place in self.dead if self.zone_of[place] == zone]:
             del self.dead[place]
             if self.form == "plan":
                 self.agents[place] = self._agent(place)
-            self.told[place] = None
+            self.followed_plans[place] = None
             self.routers[place] = Router(self.routers[place].settings, place)
-        entries = (*(self.entry(name) for name in self.nodes), Server(ORIGIN, kind=ORIGIN))
+        entries = (*(self.server_entry(name) for name in self.nodes), Server(ORIGIN, kind=ORIGIN))
         for place in range(len(self.routers)):
             if self.zone_of[place] == zone:
-                self.tell(place, ServersChanged(ListKind.FULL, entries))
+                self.deliver(place, ServersChanged(ListKind.FULL, entries))
 
-    def _warm(self, zone: int, part: float) -> None:
+    def _set_warmth(self, zone: int, part: float) -> None:
         for name, node in self.nodes.items():
             if self.zone_of_node[name] == zone:
                 node.slow = 1 / (COLD_SHARE + (1 - COLD_SHARE) * part)
 
     def busiest_share(self, second: int) -> float:
-        """Of the work that came to one node in a second, against the 100 requests that it can do."""
+        """Return the load of the busiest node in a second, as a share of its capacity of 100 requests."""
         return max(self.node_work.get(second, Counter({"": 0})).values()) / 100
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -129,24 +129,24 @@
 
 @pytest.mark.parametrize(("load", "least"), [(0.5, 0.97), (0.8, 0.85)])
 def test_steady_load_below_capacity_is_served_in_time(load: float, least: float) -> None:
-    from benchmarks.overrun import play
+    from benchmarks.overrun import run_simulation
 
-    assert play(load, 8)["in_time"] >= least
+    assert run_simulation(load, 8)["in_time"] >= least
 
 
 def test_first_tries_go_before_marked_retries_beyond_capacity(monkeypatch: pytest.MonkeyPatch) -> None:
-    from benchmarks.overrun import play
+    from benchmarks.overrun import run_simulation
     from saltport.decisions import placement
 
-    yielding = play(1.3, 6)["in_time"]
+    yielding = run_simulation(1.3, 6)["in_time"]
     monkeypatch.setattr(placement, "RETRY_MAX_BUSY_SHARE", 2.0)
-    assert yielding >= 1.2 * play(1.3, 6)["in_time"]
+    assert yielding >= 1.2 * run_simulation(1.3, 6)["in_time"]
 
 
 def test_storm_is_over_soon_after_its_cause() -> None:
-    from benchmarks.overrun import play
+    from benchmarks.overrun import run_simulation
 
-    row = play(0.5, 8, pause=True)
+    row = run_simulation(0.5, 8, pause=True)
     assert row["in_time"] >= 0.9
     assert row["refused"] <= 0.1
 
--- a/tests/decisions/test_timeliness.py
+++ b/tests/decisions/test_timeliness.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from benchmarks.hot_world import MS, Keys, Read, S, World
+from benchmarks.hot_world import MS, KeySource, Read, S, World
 from saltport.decisions import LoopReport, Outcome, Refuse, views
 from saltport.decisions.timeliness import TRIAL_AFTER_FACTOR, Timeliness
 from tests.decisions.helpers import ended, fleet, given_up, only_send, request, sends, settings, started
@@ -111,16 +111,16 @@
 
 def hammered(nodes: int = 12, routers: int = 2, seconds: int = 10) -> tuple[float, float]:
     """Let one tenant retry after 2 ms, seven times with 60 ms left; return the tenants' shares in time."""
-    world = World(nodes, None, 1, routers, work=50 * MS, spread_work=0.3, kept="k")
+    world = World(nodes, None, 1, routers, work=50 * MS, spread_work=0.3, stored_prefix="k")
 
     def again(read: Read) -> None:
-        if read.tenant == "b" and read.tried < 8:
-            within = 60 * MS if read.tried < 7 else S
-            world.at(2 * MS, partial(world.ask, read.key, False, "b", read, within))
+        if read.tenant == "b" and read.attempt_number < 8:
+            within = 60 * MS if read.attempt_number < 7 else S
+            world.schedule(2 * MS, partial(world.ask, read.key, False, "b", read, within))
 
     world.on_refusal = again
 
-    def keys(within: int) -> Keys:
+    def keys(within: int) -> KeySource:
         def draw() -> tuple[Any, ...]:
             tenant = "a" if world.rng.random() < 0.6 else "b"
             return f"k{world.rng.randrange(600)}", False, tenant, None, within if tenant == "b" else S
@@ -128,12 +128,12 @@
         return draw
 
     rate = 0.7 * nodes / 0.05
-    world.play(rate, keys(S), 3)
+    world.run_load(rate, keys(S), 3)
     world.run(world.now + S)
-    world.by.clear()
-    world.play(rate, keys(60 * MS), seconds)
+    world.counts.clear()
+    world.run_load(rate, keys(60 * MS), seconds)
     world.run(world.now + S)
-    quiet, hammering = (world.by[tenant]["served"] / world.by[tenant]["asked"] for tenant in "ab")
+    quiet, hammering = (world.counts[tenant]["served"] / world.counts[tenant]["asked"] for tenant in "ab")
     return quiet, hammering
 
 
--- a/tests/decisions/test_weight_adjustment.py
+++ b/tests/decisions/test_weight_adjustment.py
@@ -96,7 +96,9 @@
 def test_routers_together_send_a_slow_server_no_more_than_it_can_do(routers: int) -> None:
     """Ten servers at half of their capacity; an even share would be 1.5 times what the slow one can serve."""
     work = 50 * MS
-    world = World(10, None, 11, routers, work=work, spread_work=0.3, kept="k", reports=True, queue=5)
+    world = World(
+        10, None, 11, routers, work=work, spread_work=0.3, stored_prefix="k", reports=True, queue_length=5
+    )
     slow, node = next(iter(world.nodes.items()))
     node.slow = 3.0
 
@@ -104,11 +106,11 @@
         return f"k{world.rng.randrange(5_000)}", False
 
     rate = 0.5 * 10 * S / work
-    world.play(rate, keys, 45)
+    world.run_load(rate, keys, 45)
     world.sent.clear()
-    world.play(rate, keys, 45)
+    world.run_load(rate, keys, 45)
     assert world.sent[slow] / 45 <= S / (work * node.slow)
-    assert world.in_time > 0.85 * world.first_tries
+    assert world.in_time > 0.85 * world.first_attempts
 
 
 def test_weight_factor_is_shown_under_its_old_name_too() -> None:
--- a/tests/failover/test_evacuation.py
+++ b/tests/failover/test_evacuation.py
@@ -142,14 +142,14 @@
     scenario = ZonesScenario()
     world = scenario.world
     scenario.run(after_s)
-    world.paths |= {(source, target) for source in range(3) for target in range(3)}
+    world.cut_paths |= {(source, target) for source in range(3) for target in range(3)}
     decider = world.agents[0].decider
     assert decider is not None
     scenario.until(lambda: 0 in decider.doubted, 10)
     number = world.agents[0].order("evacuate", 0, 1_000, False, world.now)
-    world._carry(0)
+    world._send_messages(0)
     assert world.agents[0].order_results[number].text == ""
-    world.paths.clear()
+    world.cut_paths.clear()
     scenario.run(1)
     for _ in range(8):
         scenario.run(1)
--- a/tests/failover/test_plan.py
+++ b/tests/failover/test_plan.py
@@ -93,9 +93,9 @@
 
 def test_zones_output_shows_the_plan_and_the_evidence_of_its_owner() -> None:
     world = ZonesWorld("plan", 3, 6, 1)
-    world.play(100, lambda: ("k",), 6)
+    world.run_load(100, lambda: ("k",), 6)
     world.lose_zone(1, routers=False)
-    world.play(100, lambda: (f"k{world.rng.randrange(50)}",), 6)
+    world.run_load(100, lambda: (f"k{world.rng.randrange(50)}",), 6)
     output = "\n".join(format_view(world.agents[0].view(world.now)))
     for words in (
         "here a: by plan",
--- a/tests/failover/test_world.py
+++ b/tests/failover/test_world.py
@@ -28,12 +28,12 @@
     def run(self, seconds: float) -> float:
         """Simulate some seconds; return the share of the reads in them that were served in time."""
         since = self.world.now // S
-        self.world.play(READS_PER_S, self._keys, seconds)
+        self.world.run_load(READS_PER_S, self._keys, seconds)
         seconds_run = [self.world.seconds[at] for at in range(since, max(self.world.now // S, since + 1))]
         return sum(c["in time"] for c in seconds_run) / max(sum(c["asked"] for c in seconds_run), 1)
 
     def reasons(self) -> list[str]:
-        return [reason for _, reason in self.world.made]
+        return [reason for _, reason in self.world.plans_made]
 
     def rows(self, place: int) -> tuple[tuple[float, ...], ...]:
         plan = self.world.agents[place].follower.plan
@@ -66,8 +66,8 @@
     scenario.run(3)
     assert scenario.run(12) > 0.95
     assert scenario.rows(0)[1][1] == 0
-    before = scenario.world.second()["origin"]
-    scenario.world.bring_back(1)
+    before = scenario.world.current_counts()["origin"]
+    scenario.world.restore_zone(1)
     assert scenario.run(12) > 0.95
     assert scenario.run(10) > 0.97
     assert [reason for reason in scenario.reasons() if reason != "trials end"] == [
@@ -81,7 +81,7 @@
 
 def test_one_router_with_a_bad_network_empties_no_zone() -> None:
     scenario = ZonesScenario()
-    scenario.world.parted_router(1)
+    scenario.world.disconnect_router(1)
     scenario.run(15)
     assert scenario.reasons() == ["new owner"]
     assert scenario.rows(0)[1] == (0, 1, 0)
@@ -100,7 +100,7 @@
     scenario = ZonesScenario(shares=(0.2, 0.7, 0.1))
     scenario.until(lambda: scenario.rows(0)[1][1] < 1)  # zone b lacks capacity and uses a's
     assert scenario.rows(0)[1][0] > 0
-    scenario.world.paths.add((1, 0))
+    scenario.world.cut_paths.add((1, 0))
     scenario.run(8)
     last = scenario.rows(0)
     assert last[1][0] == 0
@@ -113,7 +113,7 @@
     scenario = ZonesScenario()
     world = scenario.world
     world.paused[0] = world.now + 15 * S
-    world.at(S, lambda: world.agents[0].receive("r5", Order(1, "evacuate", 2, 0, True), world.now))
+    world.schedule(S, lambda: world.agents[0].receive("r5", Order(1, "evacuate", 2, 0, True), world.now))
     world.lose_owner()
     scenario.run(10)
     return scenario
@@ -167,7 +167,7 @@
     assert {followed_version_by_router(scenario)[place][0] for place in minority} == {1}
     assert scenario.rows(1)[1][1] == 0  # routers that follow the new owner avoid the lost zone
     scenario.run(12)
-    zone_plan = world.told[3]
+    zone_plan = world.followed_plans[3]
     assert zone_plan is not None
     assert not zone_plan.binding
     world.message_cut = lambda here, there: False
@@ -196,14 +196,14 @@
     def order(at: int, action: str, zone: str, force: bool = False) -> str:
         agent = world.agents[at]
         number = agent.order(action, ZONES.index(zone), 4_000, force, world.now)
-        world._carry(at)
+        world._send_messages(at)
         scenario.until(lambda: number in agent.order_results, 6)
         return agent.order_results[number].text
 
     assert order(7, "evacuate", "b") == ""
     assert scenario.run(6) > 0.98
     assert scenario.rows(7)[1][1] == 0
-    assert scenario.world.second()["near"] < scenario.world.second()["sent"]
+    assert scenario.world.current_counts()["near"] < scenario.world.current_counts()["sent"]
     assert "no room" in order(7, "evacuate", "c")
     world.dead[0] = world.now
     world.lose_owner()
@@ -228,7 +228,7 @@
     scenario = ZonesScenario()
     world = scenario.world
     number = world.agents[0].order("evacuate", 2, 1_000, False, world.now)
-    world._carry(0)
+    world._send_messages(0)
     assert world.agents[0].order_results[number].text == ""
     world.hand_over(next_owner)  # while the plan with the order is on its way to the routers
     scenario.run(5)
@@ -252,14 +252,14 @@
 def test_evidence_by_which_all_zones_are_bad_is_not_believed() -> None:
     scenario = ZonesScenario()
     for zone in range(3):
-        scenario.world.paths |= {(zone, other) for other in range(3)}
+        scenario.world.cut_paths |= {(zone, other) for other in range(3)}
     scenario.run(8)
     decider, plan = scenario.world.agents[0].decider, scenario.world.agents[0].follower.plan
     assert decider is not None
     assert plan is not None
     assert decider.doubted == (0, 1, 2)
     assert plan.refused == bytes(3)  # reads are still sent: only they can show that the zones have recovered
-    scenario.world.paths.clear()
+    scenario.world.cut_paths.clear()
     scenario.run(14)
     assert scenario.run(4) > 0.98
     scenario.until(lambda: scenario.rows(0) == ((1, 0, 0), (0, 1, 0), (0, 0, 1)))
--- a/tests/hotkeys/test_world.py
+++ b/tests/hotkeys/test_world.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from benchmarks.hot_world import HOT, ORIGIN, Keys, S, World, mixed
+from benchmarks.hot_world import HOT, ORIGIN, KeySource, S, World, mixed_keys
 from saltport.decisions import Fill, HotKeySettings, Server, ServerState
 
 READS, WRITES = HotKeySettings(Fill.READS), HotKeySettings(Fill.WRITES)
@@ -24,18 +24,18 @@
 ) -> World:
     """Return a world in which half of all reads have been of one key for a second."""
     world = World(nodes, hot_keys, **more)  # type: ignore[arg-type]
-    play(world, mixed(world.rng, 0.0, OTHERS), warm_s, rate)
-    play(world, mixed(world.rng, 0.5, OTHERS), 1, rate)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), warm_s, rate)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1, rate)
     world.clear()
     return world
 
 
-def play(world: World, keys: Keys, seconds: float, rate: float = 1_000) -> None:
-    world.play(rate, keys, seconds)
+def play(world: World, keys: KeySource, seconds: float, rate: float = 1_000) -> None:
+    world.run_load(rate, keys, seconds)
 
 
 def changes(world: World) -> int:
-    counts = world.hot_view()["counts"]
+    counts = world.hot_keys_view()["counts"]
     return int(counts.get("replicated", 0)) + int(counts.get("released", 0))
 
 
@@ -49,89 +49,91 @@
 def test_half_of_all_reads_on_one_key_overruns_no_node(hot_keys: HotKeySettings, most_fetches: int) -> None:
     world = replicated_world(hot_keys)
     if hot_keys is READS:
-        play(world, mixed(world.rng, 0.5, OTHERS), 1)  # each fetch fills two nodes, one fetch after another
+        play(
+            world, mixed_keys(world.rng, 0.5, OTHERS), 1
+        )  # each fetch fills two nodes, one fetch after another
         world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 5)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 5)
     assert world.busiest() <= 2.0
     assert 10 <= world.copies() <= 15, (
         "with fewer than ten of 30 equal nodes, each exceeds twice its fair share"
     )
-    assert len(world.sent_of[HOT]) <= 15
+    assert len(world.sent_by_key[HOT]) <= 15
     assert world.fetches[HOT] <= most_fetches
 
 
 def test_without_replication_the_key_goes_to_every_node() -> None:
     """The baseline: shows that the tests of replication can fail."""
     world = replicated_world(None)
-    play(world, mixed(world.rng, 0.5, OTHERS), 5)
-    assert len(world.sent_of[HOT]) == 30
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 5)
+    assert len(world.sent_by_key[HOT]) == 30
 
 
 def test_copies_by_plain_writes_cost_no_fetch() -> None:
     world = World(30, WRITES)
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
     world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 4)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 4)
     # The first read, and reads at the next node while the slot's own is overloaded and no copy exists yet.
     assert world.fetches[HOT] <= 3
-    assert world.copied >= 10
+    assert world.copies_made >= 10
 
 
 def test_copies_by_reads_cost_a_fetch_for_two() -> None:
     world = World(30, READS)
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
     world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 4)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 4)
     assert world.fetches[HOT] <= 1 + -(-(world.copies() - 1) // 2) + 3
 
 
 @pytest.mark.parametrize("hot_keys", [WRITES, READS])
 def test_neighbours_in_the_slot_stay_where_they_are(hot_keys: HotKeySettings) -> None:
     world, key = replicated_world(hot_keys), neighbour(HOT)
-    hot = mixed(world.rng, 0.5, OTHERS)
+    hot = mixed_keys(world.rng, 0.5, OTHERS)
     play(world, lambda: (key, False) if world.rng.random() < 0.01 else hot(), 4)
-    assert sum(world.sent_of[key].values()) > 20
+    assert sum(world.sent_by_key[key].values()) > 20
     # One node, except for reads that found it overloaded at the start.
-    assert world.sent_of[key].most_common(1)[0][1] >= 0.95 * sum(world.sent_of[key].values())
+    assert world.sent_by_key[key].most_common(1)[0][1] >= 0.95 * sum(world.sent_by_key[key].values())
 
 
 def test_cooled_key_is_back_on_one_node_within_a_minute() -> None:
     world = replicated_world(WRITES, rate=300)
-    play(world, mixed(world.rng, 0.0, OTHERS), 60, rate=300)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 60, rate=300)
     assert world.copies() == 1
     assert changes(world) == 2
     assert [line for line in world.logs if "on one node again" in line]
     world.clear()
-    play(world, mixed(world.rng, 0.01, OTHERS), 5, rate=300)
-    assert len(world.sent_of[HOT]) == 1
+    play(world, mixed_keys(world.rng, 0.01, OTHERS), 5, rate=300)
+    assert len(world.sent_by_key[HOT]) == 1
 
 
 def test_cooled_key_is_released_without_any_request() -> None:
     world = replicated_world(READS)
     world.run(world.now + 60 * S)
-    play(world, mixed(world.rng, 0.0, OTHERS), 1)
-    assert world.hot_view()["replicated"] == 0
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 1)
+    assert world.hot_keys_view()["replicated"] == 0
 
 
 def test_flicker_of_two_seconds_changes_state_at_most_twice_a_minute() -> None:
     world = World(30, WRITES)
-    play(world, mixed(world.rng, 0.0, OTHERS), 2, rate=400)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2, rate=400)
     for step in range(30):
-        play(world, mixed(world.rng, 0.5 if step % 2 == 0 else 0.0, OTHERS), 2, rate=400)
+        play(world, mixed_keys(world.rng, 0.5 if step % 2 == 0 else 0.0, OTHERS), 2, rate=400)
     assert changes(world) <= 2
 
 
 def test_ten_thousand_equally_warm_keys_are_all_left_alone() -> None:
     world = World(30, READS)
-    play(world, mixed(world.rng, 0.0, 10_000), 20)
+    play(world, mixed_keys(world.rng, 0.0, 10_000), 20)
     assert changes(world) == 0
-    assert world.hot_view()["counted"]["a"] <= 2 * READS.capacity
+    assert world.hot_keys_view()["counted"]["a"] <= 2 * READS.capacity
 
 
 def test_once_only_scan_at_five_times_the_load_evicts_nothing_hot() -> None:
     world = replicated_world(WRITES, rate=400)
     number = 0
-    hot = mixed(world.rng, 0.5, OTHERS)
+    hot = mixed_keys(world.rng, 0.5, OTHERS)
 
     def scanned() -> tuple[str, bool]:
         nonlocal number
@@ -142,14 +144,14 @@
     assert world.copies() > 1, "a twelfth of all reads is still 2.5 fair shares"
     assert changes(world) == 1
     assert world.copies() <= 15
-    assert world.hot_view()["top"][0]["key"] == HOT
+    assert world.hot_keys_view()["top"][0]["key"] == HOT
 
 
 def test_value_of_four_mebibytes_is_not_copied_by_plain_writes_and_that_is_logged() -> None:
     world = World(30, WRITES, sizes={HOT: 4 << 20})
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
-    play(world, mixed(world.rng, 0.5, OTHERS), 4)
-    assert world.copied == 0
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 4)
+    assert world.copies_made == 0
     assert world.copies() == 1
     assert [line for line in world.logs if "4194304 bytes" in line]
 
@@ -157,48 +159,48 @@
 def test_budget_of_bytes_bounds_the_copies() -> None:
     hot_keys = HotKeySettings(Fill.READS, max_bytes=12 << 20)
     world = World(30, hot_keys, sizes={HOT: 4 << 20})
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
-    play(world, mixed(world.rng, 0.5, OTHERS), 4)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 4)
     assert world.copies() == 4, "the slot's own node and three more"
-    assert world.hot_view()["copied_bytes"] <= 12 << 20
+    assert world.hot_keys_view()["copied_bytes"] <= 12 << 20
 
 
 def test_hot_key_that_the_origin_fails_is_not_fetched_by_all() -> None:
     world = World(30, WRITES)
-    world.origin_fails.add(HOT)
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
+    world.failing_keys.add(HOT)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
     world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 10)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 10)
     # About 5,000 reads of the key, with a pause of up to five seconds after each failed fetch.
     assert world.fetches[HOT] < 40
-    world.origin_fails.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 6)
-    world.ends.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 2)
-    assert world.ends["served"] > 1_800
+    world.failing_keys.clear()
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 6)
+    world.outcomes.clear()
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 2)
+    assert world.outcomes["served"] > 1_800
 
 
 def test_copies_are_renewed_before_they_run_out() -> None:
     hot_keys = HotKeySettings(Fill.WRITES, lease=4 * S, max_copies=128)
     world = replicated_world(hot_keys, rate=4_000, nodes=130)
-    play(world, mixed(world.rng, 0.5, OTHERS), 1, rate=4_000)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1, rate=4_000)
     for _ in range(5):
         world.clear()
-        play(world, mixed(world.rng, 0.5, OTHERS), 1, rate=4_000)
-        assert world.sent_of[HOT].most_common(1)[0][1] < 62, "a burst at one node: twice the fair share"
+        play(world, mixed_keys(world.rng, 0.5, OTHERS), 1, rate=4_000)
+        assert world.sent_by_key[HOT].most_common(1)[0][1] < 62, "a burst at one node: twice the fair share"
         assert world.fetches[HOT] == 0
-    assert world.copied > 2 * 60
+    assert world.copies_made > 2 * 60
 
 
 def test_slots_own_node_leaves_while_the_key_is_replicated() -> None:
     world = replicated_world(WRITES)
-    own = world.sent_of[HOT]
-    play(world, mixed(world.rng, 0.5, OTHERS), 1)
+    own = world.sent_by_key[HOT]
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1)
     order = list(own)
     for name in order[:3]:
-        world.change(world.entry(name, ServerState.GONE))
+        world.publish_change(world.server_entry(name, ServerState.GONE))
     world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 5)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 5)
     assert not set(order[:3]) & set(world.sent), "nothing is sent to nodes that left"
     assert world.busiest() * 27 / 30 <= 2.0
     assert world.fetches[HOT] <= 2
@@ -206,15 +208,15 @@
 
 def test_first_copies_ejected_are_replaced_by_the_next_in_the_ranking() -> None:
     world = replicated_world(WRITES)
-    play(world, mixed(world.rng, 0.5, OTHERS), 1)
-    down = [name for name, _ in world.sent_of[HOT].most_common(3)]
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1)
+    down = [name for name, _ in world.sent_by_key[HOT].most_common(3)]
     for name in down:
         world.nodes[name].down = True
-        world.nodes[name].kept.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 2)
+        world.nodes[name].stored.clear()
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 2)
     world.clear()
-    play(world, mixed(world.rng, 0.5, OTHERS), 4)
-    serving = set(world.sent_of[HOT]) - set(down)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 4)
+    serving = set(world.sent_by_key[HOT]) - set(down)
     assert len(serving) >= 10
     assert sum(world.sent[name] for name in down) < 100, "only trial requests"
     assert world.fetches[HOT] <= 2
@@ -222,10 +224,10 @@
 
 def test_cold_node_is_not_overloaded() -> None:
     world = replicated_world(WRITES)
-    (member, *_) = [name for name, _ in world.sent_of[HOT].most_common(1)] or [next(iter(world.nodes))]
-    world.nodes[member].kept.clear()
-    world.change(world.entry(member, started=world.now))
-    play(world, mixed(world.rng, 0.5, OTHERS), 2)
+    (member, *_) = [name for name, _ in world.sent_by_key[HOT].most_common(1)] or [next(iter(world.nodes))]
+    world.nodes[member].stored.clear()
+    world.publish_change(world.server_entry(member, started=world.now))
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 2)
     assert world.sent[member] * 30 / world.sent.total() <= 2.0
 
 
@@ -237,11 +239,11 @@
             f"hot{world.rng.randrange(12)}" if world.rng.random() < 0.8 else f"k{world.rng.randrange(OTHERS)}"
         ), False
 
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
     play(world, keys, 3)
     world.clear()
     play(world, keys, 5)
-    view = world.hot_view()
+    view = world.hot_keys_view()
     assert view["replicated"] == view["spread"] == 12  # `spread` is the deprecated name
     assert view["invalidations"] == view["voids"]
     assert view["counts"]["replicated"] == view["counts"]["spread"] >= 12
@@ -263,11 +265,11 @@
         world.ask("a's", tenant="a")
         world.ask("a's", tenant="a")
         if world.now < 8 * S:
-            world.at(S // 40, hot)
+            world.schedule(S // 40, hot)
 
     hot()
     world.run(9 * S)
-    replicated = {entry["key"] for entry in world.hot_view()["top"] if entry["copies"] > 1}
+    replicated = {entry["key"] for entry in world.hot_keys_view()["top"] if entry["copies"] > 1}
     assert "a's" in replicated
     assert len(replicated) == 2, "b may have its portion of the four: one"
     assert [line for line in world.logs if "tenant b has 1 replicated keys" in line]
@@ -275,7 +277,7 @@
 
 def test_hotter_key_takes_the_place_of_a_much_cooler_one() -> None:
     world = World(30, HotKeySettings(Fill.WRITES, max_keys=1, capacity=256))
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
     play(
         world, lambda: ("first" if world.rng.random() < 0.1 else f"k{world.rng.randrange(OTHERS)}", False), 4
     )
@@ -292,7 +294,7 @@
 
 def test_thirty_routers_with_a_part_of_the_load_each_use_the_same_nodes() -> None:
     world = World(130, READS, routers=30)
-    play(world, mixed(world.rng, 0.0, OTHERS), 3, rate=900)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 3, rate=900)
 
     def keys() -> tuple[str, bool]:
         return (HOT if world.rng.random() < 0.02 else f"k{world.rng.randrange(OTHERS)}"), False
@@ -302,12 +304,12 @@
     assert max(copies) <= 5, "at least two nodes are needed"
     world.clear()
     play(world, keys, 10, rate=900)
-    assert len(world.sent_of[HOT]) <= 6, "the same nodes at all routers"
+    assert len(world.sent_by_key[HOT]) <= 6, "the same nodes at all routers"
 
 
 def write_repeatedly(world: World, times: int, inject_fault: Callable[[int], None]) -> None:
     """Write the replicated key repeatedly, each time after `inject_fault`, while it is being read."""
-    hot = mixed(world.rng, 0.5, OTHERS)
+    hot = mixed_keys(world.rng, 0.5, OTHERS)
     for step in range(times):
         inject_fault(step)
         world.ask(HOT, write=True)
@@ -325,29 +327,29 @@
                 node.down = False
             if node.cut and world.rng.random() < 0.3:
                 node.cut = False
-        members = list(world.sent_of[HOT]) or names
+        members = list(world.sent_by_key[HOT]) or names
         victim = world.nodes[world.rng.choice(members)]
         if step % 3 == 0:
             victim.down = True
-            victim.kept.clear()
+            victim.stored.clear()
         elif step % 3 == 1:
             victim.cut = True  # the node keeps its copies while it is unreachable
 
-    world.on_invalidate = lambda key, server: world.rng.random() > 0.1
+    world.invalidation_arrives = lambda key, server: world.rng.random() > 0.1
     write_repeatedly(world, 60, inject_fault)
-    assert world.stale == 0
-    assert world.ends["written"] > 50
-    assert world.copied > 100, "the key was replicated again after each write"
+    assert world.stale_reads == 0
+    assert world.outcomes["written"] > 50
+    assert world.copies_made > 100, "the key was replicated again after each write"
 
 
 def test_copies_that_other_routers_make_meanwhile_are_bounded_far_below_their_lease() -> None:
     world = replicated_world(WRITES, rate=3_000, nodes=30, routers=4, origin_drops=False)
     for _ in range(60):
         world.ask(HOT, write=True)
-        play(world, mixed(world.rng, 0.5, OTHERS), 0.3, rate=1_500)
+        play(world, mixed_keys(world.rng, 0.5, OTHERS), 0.3, rate=1_500)
     # A read's deadline of one second, the time of the copy and one sweep interval; the lease is 30 s.
-    assert world.stalest <= 1.8 * S
-    assert world.stale < 0.01 * world.ends["served"]
+    assert world.max_staleness <= 1.8 * S
+    assert world.stale_reads < 0.01 * world.outcomes["served"]
 
 
 def test_without_invalidations_reads_would_be_stale() -> None:
@@ -355,9 +357,9 @@
     world = replicated_world(WRITES, origin_drops=False)
     drop = world.nodes
     for node in drop.values():
-        node.kept = _Sticky(node.kept)
+        node.stored = _Sticky(node.stored)
     write_repeatedly(world, 10, lambda step: None)
-    assert world.stale > 0
+    assert world.stale_reads > 0
 
 
 class _Sticky(dict[str, tuple[int, int]]):
@@ -368,23 +370,23 @@
 def test_write_invalidates_copies_that_another_router_made() -> None:
     """A router that has just started knows of no copies; it derives from the ranking where they may be."""
     world = replicated_world(WRITES, origin_drops=False)
-    play(world, mixed(world.rng, 0.5, OTHERS), 1)
-    nodes_with_copy = [name for name, node in world.nodes.items() if HOT in node.kept]
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1)
+    nodes_with_copy = [name for name, node in world.nodes.items() if HOT in node.stored]
     assert len(nodes_with_copy) > 8
     fresh = World(30, WRITES, seed=9, origin_drops=False)
     fresh.nodes = world.nodes
     fresh.versions, fresh.now = world.versions, world.now
     fresh.ask(HOT, write=True)
     fresh.run(fresh.now + S)
-    assert fresh.ends["written"] == 1
-    assert not [name for name in nodes_with_copy if HOT in world.nodes[name].kept]
+    assert fresh.outcomes["written"] == 1
+    assert not [name for name in nodes_with_copy if HOT in world.nodes[name].stored]
 
 
 def test_writes_keep_their_answers_without_copies() -> None:
     world = World(3, WRITES)
     world.ask("quiet", write=True)
     world.run(world.now + S)
-    assert world.ends == {"written": 1}
+    assert world.outcomes == {"written": 1}
 
 
 def test_client_that_leaves_while_its_write_is_delayed_leaves_no_invalidation_behind() -> None:
@@ -392,19 +394,19 @@
     name = world.ask(HOT, write=True)
     world.run(world.now + 51 * S // 1000)  # the write was carried out, its invalidations are under way
     world.leave(name)
-    play(world, mixed(world.rng, 0.5, OTHERS), 1)
-    assert world.ends["written"] == 0
-    assert world.hot_view()["invalidations"]["under_way"] == 0
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 1)
+    assert world.outcomes["written"] == 0
+    assert world.hot_keys_view()["invalidations"]["under_way"] == 0
 
 
 def test_writes_with_all_nodes_cut_off_are_answered_in_time() -> None:
     world = replicated_world(WRITES)
     for node in world.nodes.values():
         node.cut = True
-    world.on_invalidate = lambda key, server: False
+    world.invalidation_arrives = lambda key, server: False
     world.ask(HOT, write=True)
     world.run(world.now + S)
-    assert world.ends["written"] == 1
+    assert world.outcomes["written"] == 1
 
 
 def test_nodes_that_refuse_plain_writes_are_logged_once_and_get_no_more() -> None:
@@ -415,23 +417,25 @@
 
     def refuse(router: int, copy: Copy) -> None:
         asked[copy.server] += 1
-        world.at(S // 500, lambda: world.tell(router, CopyEnded(copy.key, copy.server, Outcome.ERROR)))
+        world.schedule(
+            S // 500, lambda: world.deliver(router, CopyEnded(copy.key, copy.server, Outcome.ERROR))
+        )
 
     world._copy = refuse  # type: ignore[method-assign]
-    play(world, mixed(world.rng, 0.0, OTHERS), 2)
-    play(world, mixed(world.rng, 0.5, OTHERS), 10)
+    play(world, mixed_keys(world.rng, 0.0, OTHERS), 2)
+    play(world, mixed_keys(world.rng, 0.5, OTHERS), 10)
     assert max(asked.values()) == 1
     assert sum("takes no plain writes" in line for line in world.logs) == len(asked)
 
 
 def test_list_without_any_node_and_with_one() -> None:
     world = World(1, WRITES)
-    play(world, mixed(world.rng, 0.9, 5), 3, rate=80)
+    play(world, mixed_keys(world.rng, 0.9, 5), 3, rate=80)
     assert changes(world) == 0
-    world.change(world.entry(next(iter(world.nodes)), ServerState.GONE))
-    world.change(Server(ORIGIN, kind=ORIGIN))
-    play(world, mixed(world.rng, 0.9, 5), 1, rate=80)
-    assert world.ends["served"] > 200
+    world.publish_change(world.server_entry(next(iter(world.nodes)), ServerState.GONE))
+    world.publish_change(Server(ORIGIN, kind=ORIGIN))
+    play(world, mixed_keys(world.rng, 0.9, 5), 1, rate=80)
+    assert world.outcomes["served"] > 200
 
 
 def test_node_with_much_of_its_own_gets_less_of_the_hot_key_though_reads_are_few() -> None:
@@ -442,8 +446,8 @@
     busy_node = table.rank(crc32(HOT.encode()) % SLOTS, world.now)[3]
     own = [f"k{n}" for n in range(20_000) if table.rank(crc32(b"k%d" % n) % SLOTS, world.now)[0] is busy_node]
 
-    def keys(hot_share: float) -> Keys:
-        usual = mixed(world.rng, hot_share, OTHERS)
+    def keys(hot_share: float) -> KeySource:
+        usual = mixed_keys(world.rng, hot_share, OTHERS)
         # Three fair shares of its own reads without the hot key, one and a half with it.
         return lambda: (world.rng.choice(own), False) if world.rng.random() < 0.05 else usual()
 
@@ -451,7 +455,7 @@
     play(world, keys(0.5), 1, rate)
     world.clear()
     play(world, keys(0.5), 40, rate)
-    hot = world.sent_of[HOT]
+    hot = world.sent_by_key[HOT]
     members = [server for server, count in hot.items() if count > 5]
     usual = sum(hot[server] for server in members) / len(members)
     assert len(members) >= 12
