--- a/benchmarks/bulk.py
+++ b/benchmarks/bulk.py
@@ -1,11 +1,11 @@
-"""Long values: the router's CPU for each MiB, its memory for each value, and short reads beside them.
+"""Measures long values: the router's CPU per MiB, its memory per value, and the latency of short reads.
 
     python -m benchmarks.bulk --clients 16 --seconds 8
 
-One node answers reads of `k...` with a few bytes and all others with 4 MiB. Some clients read long values
-as fast as they come, some slowly, and one asks for short ones all the while; they share an interpreter, so
-that the short reads' times are an upper bound. JSON: CPU in milliseconds for a MiB passed on, memory at
-rest and at the most in kilobytes, times in milliseconds.
+One node answers reads of `k...` with a few bytes and all others with 4 MiB. Some clients read long values at
+full speed, some slowly, and one sends short reads throughout. They share an interpreter, so the latencies of
+short reads are an upper bound. The JSON output has CPU milliseconds per forwarded MiB, idle and peak memory
+in kilobytes, and latencies in milliseconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from tests.sockets import Client, Peer, RunningRouter, get, hit, run_router
 
 VALUE = b"v" * (4 << 20)
-SLOW_STEP, SLOW_PAUSE_S = 128 << 10, 0.05  # some 2.5 MB a second
+SLOW_CHUNK_BYTES, SLOW_PAUSE_S = 128 << 10, 0.05  # about 2.5 MB a second
 
 
 def _cpu_s(router: RunningRouter) -> float:
@@ -32,12 +32,12 @@
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-class Readers:
-    """Clients of long values, and how much they got."""
+class LongValueReaders:
+    """Clients that read long values, and the number of bytes that they received."""
 
     def __init__(self, router: RunningRouter, count: int, slow: bool) -> None:
         self.bytes = 0
-        self._lock, self._over = threading.Lock(), threading.Event()
+        self._lock, self._stopping = threading.Lock(), threading.Event()
         self._clients = [
             threading.Thread(target=self._run, args=(router, f"{'s' if slow else 'f'}{n}", slow))
             for n in range(count)
@@ -45,11 +45,14 @@
         for client in self._clients:
             client.start()
 
-    def _ask(self, router: RunningRouter, client: Client, name: str) -> tuple[Client, int]:
-        """The length that is to come; a connection that was closed as idle meanwhile is made anew."""
+    def _request_value(self, router: RunningRouter, client: Client, request_id: str) -> tuple[Client, int]:
+        """Request a value; return the connection and the length of the reply.
+
+        A connection that was closed as idle is replaced.
+        """
         while True:
             try:
-                client.send(get(name, name, d=60_000))
+                client.send(get(request_id, request_id, d=60_000))
                 if head := client.stream.readline():
                     return client, int(head[1:]) + 2
             except OSError:
@@ -57,28 +60,28 @@
             client.close()
             client = router.client()
 
-    def _run(self, router: RunningRouter, name: str, slow: bool) -> None:
+    def _run(self, router: RunningRouter, request_id: str, slow: bool) -> None:
         client, count = router.client(), 0
-        while not self._over.is_set():
-            client, left = self._ask(router, client, f"{name}x{count}")
+        while not self._stopping.is_set():
+            client, remaining = self._request_value(router, client, f"{request_id}x{count}")
             count += 1
-            while left:
-                part = client.stream.read(min(SLOW_STEP if slow else left, left))
-                left -= len(part)
+            while remaining:
+                chunk = client.stream.read(min(SLOW_CHUNK_BYTES if slow else remaining, remaining))
+                remaining -= len(chunk)
                 with self._lock:
-                    self.bytes += len(part)
+                    self.bytes += len(chunk)
                 if slow:
                     time.sleep(SLOW_PAUSE_S)
 
     def stop(self) -> None:
-        """Begin no more values."""
-        self._over.set()
+        """Request no more values, and wait for the clients."""
+        self._stopping.set()
         for client in self._clients:
             client.join()
 
 
 def measure(clients: int, slow: int, seconds: float) -> dict[str, float]:
-    """Play it once."""
+    """Run the measurement once and return the figures."""
     node = Peer(lambda _, words: hit(words[2] if words[1].startswith(b"k") else VALUE))
     with (
         tempfile.TemporaryDirectory(prefix="saltport-bulk-") as folder,
@@ -86,33 +89,39 @@
     ):
         short = router.client()
         assert short.ask(get("first")) == b"first"
-        rest, cpu = router.memory_kb(), _cpu_s(router)
-        fast, slowly = Readers(router, clients, False), Readers(router, slow, True)
-        took: list[float] = []
-        most, end = rest, time.monotonic() + seconds
+        idle_kb, cpu_before_s = router.memory_kb(), _cpu_s(router)
+        fast_readers, slow_readers = (
+            LongValueReaders(router, clients, False),
+            LongValueReaders(router, slow, True),
+        )
+        latencies_ms: list[float] = []
+        peak_kb, end = idle_kb, time.monotonic() + seconds
         while time.monotonic() < end:
-            begun = time.perf_counter()
-            short.ask(get(f"q{len(took)}", "k", d=60_000))
-            took.append((time.perf_counter() - begun) * 1000)
-            most = max(most, router.memory_kb())
+            started_at = time.perf_counter()
+            short.ask(get(f"q{len(latencies_ms)}", "k", d=60_000))
+            latencies_ms.append((time.perf_counter() - started_at) * 1000)
+            peak_kb = max(peak_kb, router.memory_kb())
             time.sleep(0.005)
-        used, passed = _cpu_s(router) - cpu, (fast.bytes + slowly.bytes) / (1 << 20)
-        for readers in (fast, slowly):
+        cpu_used_s, passed_mib = (
+            _cpu_s(router) - cpu_before_s,
+            (fast_readers.bytes + slow_readers.bytes) / (1 << 20),
+        )
+        for readers in (fast_readers, slow_readers):
             readers.stop()
-    took.sort()
+    latencies_ms.sort()
     return {
-        "mib": round(passed),
-        "cpu_ms_per_mib": round(1000 * used / passed, 3),
-        "rest_kb": rest,
-        "most_kb": most,
-        "kb_per_value": round((most - rest) / (clients + slow)),
-        "short_p50_ms": round(statistics.median(took), 2),
-        "short_p99_ms": round(took[int(len(took) * 0.99)], 2),
+        "mib": round(passed_mib),
+        "cpu_ms_per_mib": round(1000 * cpu_used_s / passed_mib, 3),
+        "rest_kb": idle_kb,
+        "most_kb": peak_kb,
+        "kb_per_value": round((peak_kb - idle_kb) / (clients + slow)),
+        "short_p50_ms": round(statistics.median(latencies_ms), 2),
+        "short_p99_ms": round(latencies_ms[int(len(latencies_ms) * 0.99)], 2),
     }
 
 
 def main() -> int:
-    """The command line; returns the exit status."""
+    """Run the benchmark from the command line and return the exit status."""
     parser = argparse.ArgumentParser(description="Long values through a router.")
     parser.add_argument("--clients", type=int, default=8)
     parser.add_argument("--slow", type=int, default=32)
--- a/benchmarks/calls.py
+++ b/benchmarks/calls.py
@@ -1,11 +1,11 @@
-"""Operators' calls beside callers that say nothing and long values: how long an answer takes.
+"""Measures the latency of operators' calls beside silent callers and reads of long values.
 
     python -m benchmarks.calls --silent 64 --clients 8 --slow 32 --seconds 10
 
-Each silent caller connects, sends half a call, and comes again when it is dropped; the clients read 4 MiB,
-some slowly, as in benchmarks.bulk. Every 20 ms one call is made, in turn health, figures and state. JSON:
-times in milliseconds from connecting to the answer's last byte, and calls that were not answered; status 1
-if one was not, or took 1 s.
+Each silent caller connects, sends half a call, and reconnects when it is disconnected; the clients read 4 MiB
+values, some slowly, as in benchmarks.bulk. Every 20 ms a call is made, for health, statistics and state in
+turn. The JSON output has latencies in milliseconds, from connecting to the last byte of the answer, and the
+number of unanswered calls. The exit status is 1 if a call was not answered or took 1 s or more.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 import orjson
 
-from benchmarks.bulk import VALUE, Readers
+from benchmarks.bulk import VALUE, LongValueReaders
 from saltport.address import Address
 from saltport.admin.client import call
 from tests.sockets import Peer, hit, run_router
 
-CALLS = ("/healthcheck", "/stats", "/state")
-PAUSE_S = 0.02
-OWED_S = 1.0
+PATHS = ("/healthcheck", "/stats", "/state")
+CALL_INTERVAL_S = 0.02
+MAX_CALL_S = 1.0
 
 
-def _silent(admin: Address, over: threading.Event) -> None:
-    while not over.is_set():
+def _run_silent_caller(admin: Address, stopping: threading.Event) -> None:
+    while not stopping.is_set():
         try:
             with socket.create_connection(admin, timeout=0.2) as caller:
                 caller.sendall(b"GET /stats HTTP/1.1\r\nHost")
-                while not over.is_set():
+                while not stopping.is_set():
                     try:
                         if not caller.recv(1):
                             break
@@ -48,31 +48,33 @@
 
 
 def measure(silent: int, clients: int, slow: int, seconds: float) -> dict[str, object]:
-    """Play it once."""
+    """Run the measurement once and return the figures."""
     node = Peer(lambda _, words: hit(VALUE))
-    took: dict[str, list[float]] = defaultdict(list)
+    latencies_ms: dict[str, list[float]] = defaultdict(list)
     unanswered = 0
     with (
         tempfile.TemporaryDirectory(prefix="saltport-calls-") as folder,
         run_router(Path(folder), {"s1": node}) as router,
     ):
-        over = threading.Event()
-        callers = [threading.Thread(target=_silent, args=(router.admin, over)) for _ in range(silent)]
+        stopping = threading.Event()
+        callers = [
+            threading.Thread(target=_run_silent_caller, args=(router.admin, stopping)) for _ in range(silent)
+        ]
         for caller in callers:
             caller.start()
-        readers = [Readers(router, clients, False), Readers(router, slow, True)]
+        readers = [LongValueReaders(router, clients, False), LongValueReaders(router, slow, True)]
         end = time.monotonic() + seconds
-        for path in cycle(CALLS):
+        for path in cycle(PATHS):
             if time.monotonic() > end:
                 break
-            begun = time.perf_counter()
+            started_at = time.perf_counter()
             try:
                 unanswered += call(router.admin, "GET", path)[0] != 200
             except (OSError, ValueError):
                 unanswered += 1
-            took[path].append((time.perf_counter() - begun) * 1000)
-            time.sleep(PAUSE_S)
-        over.set()
+            latencies_ms[path].append((time.perf_counter() - started_at) * 1000)
+            time.sleep(CALL_INTERVAL_S)
+        stopping.set()
         for caller in callers:
             caller.join()
         mib = sum(reader.bytes for reader in readers) >> 20
@@ -81,10 +83,10 @@
     return {
         "silent": silent,
         "mib": mib,
-        "calls": sum(map(len, took.values())),
+        "calls": sum(map(len, latencies_ms.values())),
         "unanswered": unanswered,
-        "ms": {path: _percentiles(times) for path, times in took.items()},
-        "longest_ms": round(max(map(max, took.values())), 1),
+        "ms": {path: _percentiles(times) for path, times in latencies_ms.items()},
+        "longest_ms": round(max(map(max, latencies_ms.values())), 1),
     }
 
 
@@ -94,17 +96,17 @@
 
 
 def main() -> int:
-    """The command line; returns the exit status."""
+    """Run the benchmark from the command line and return the exit status."""
     parser = argparse.ArgumentParser(description="Operators' calls under load.")
     parser.add_argument("--silent", type=int, default=64)
     parser.add_argument("--clients", type=int, default=8)
     parser.add_argument("--slow", type=int, default=32)
     parser.add_argument("--seconds", type=float, default=10.0)
-    told = measure(**vars(parser.parse_args()))
-    print(orjson.dumps(told).decode())
-    longest = told["longest_ms"]
+    figures = measure(**vars(parser.parse_args()))
+    print(orjson.dumps(figures).decode())
+    longest = figures["longest_ms"]
     assert isinstance(longest, float)
-    return int(bool(told["unanswered"]) or longest >= 1000 * OWED_S)
+    return int(bool(figures["unanswered"]) or longest >= 1000 * MAX_CALL_S)
 
 
 if __name__ == "__main__":
--- a/benchmarks/mutate_answers.py
+++ b/benchmarks/mutate_answers.py
@@ -1,7 +1,8 @@
-"""Mutate answers on both wires for minutes: `python -m benchmarks.mutate_answers [--seconds 600] [--seed N]`.
+"""Tests mutated answers on both wires: `python -m benchmarks.mutate_answers [--seconds 600] [--seed N]`.
 
-Each round is a hypothesis run of its own seed over `tests/wire/mutations.py`, on each wire in turn. A value
-that a plain strict reader does not read from the same bytes ends it with the case, shrunk, and its seed.
+Each round is a hypothesis run with its own seed over the cases of `tests/wire/mutations.py`, for each wire in
+turn. It stops at the first value that a simple strict reader does not read from the same bytes, and prints
+the minimized case and its seed.
 """
 
 from __future__ import annotations
@@ -16,43 +17,45 @@
 
 from tests.wire.mutations import CACHE, ORIGIN, Case, Wire, cases, check, logging_disabled
 
-EXAMPLES = 5_000  # cases of a round
+CASES_PER_ROUND = 5_000
 
 
-def play(wire: Wire, number: int, counts: Counter[str]) -> None:
-    """One round; raises where a value is none."""
+def run_round(wire: Wire, round_seed: int, counts: Counter[str]) -> None:
+    """Run one round; raise an error if the router accepts an invalid value."""
 
-    @seed(number)
-    @settings(max_examples=EXAMPLES, deadline=None, database=None, suppress_health_check=list(HealthCheck))
+    @seed(round_seed)
+    @settings(
+        max_examples=CASES_PER_ROUND, deadline=None, database=None, suppress_health_check=list(HealthCheck)
+    )
     @given(case=cases(wire))
-    def one(case: Case) -> None:
+    def check_case(case: Case) -> None:
         counts[check(wire, case).value] += 1
 
-    one()
+    check_case()
 
 
 def main() -> int:
-    """Play rounds until the time is up; print the cases by how they ended."""
+    """Run rounds until the time is up; print the number of cases by result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=600.0)
     parser.add_argument("--seed", type=int, default=random.SystemRandom().randrange(1 << 31))
-    told = parser.parse_args()
+    arguments = parser.parse_args()
     counts: dict[str, Counter[str]] = {"cache": Counter(), "origin": Counter()}
-    end, number = time.monotonic() + told.seconds, told.seed
-    print(f"seed {told.seed}", flush=True)
+    end, round_seed = time.monotonic() + arguments.seconds, arguments.seed
+    print(f"seed {arguments.seed}", flush=True)
     with logging_disabled():
         while time.monotonic() < end:
             for name, wire in (("cache", CACHE), ("origin", ORIGIN)):
                 try:
-                    play(wire, number, counts[name])
+                    run_round(wire, round_seed, counts[name])
                 except Exception:
-                    print(f"FAILED on wire {name}, seed {number}", flush=True)
+                    print(f"FAILED on wire {name}, seed {round_seed}", flush=True)
                     raise
-            number += 1
-    for name, ends in counts.items():
-        print(f"{name}: {ends.total()} cases, {dict(sorted(ends.items()))}")
-    cases_played = sum(ends.total() for ends in counts.values())
-    print(f"{cases_played} cases, seeds {told.seed} to {number - 1}, none failed")
+            round_seed += 1
+    for name, results in counts.items():
+        print(f"{name}: {results.total()} cases, {dict(sorted(results.items()))}")
+    cases_played = sum(results.total() for results in counts.values())
+    print(f"{cases_played} cases, seeds {arguments.seed} to {round_seed - 1}, none failed")
     return 0
 
 
--- a/tests/crossings/test_moves.py
+++ b/tests/crossings/test_moves.py
@@ -106,7 +106,7 @@
     """A process that has sent the record of a connection within a long value, without an acknowledgement."""
     node = SlowNode()
     with platform(folder, {"s1": node.peer}) as cluster:
-        old, client = cluster.start().ready(), cluster.client()
+        old, client = cluster.start().wait_until_healthy(), cluster.client()
         client.send(get("c1", "long", 60_000))
         eventually(lambda: ask(old.admin, "/stats")["current"] == 1, "the value is being sent")
         link = ReceiverLink(folder)
@@ -140,7 +140,7 @@
         else:
             link.socket.close()
         assert node.closed.wait(TIMEOUT_S), "the connection of the value is closed, and the rest is not read"
-        eventually(lambda: old.gone, "the old process exits")
+        eventually(lambda: old.has_exited, "the old process exits")
         assert old.process.returncode == 0
 
 
@@ -160,7 +160,7 @@
         process = cluster.start()
         link, _ = listener.accept()
         link.settimeout(TIMEOUT_S)
-        process.ready()
+        process.wait_until_healthy()
         assert link.recv(64) == b"H1"
         client = Client(listening.getsockname()[1])
         client_connection, _ = listening.accept()
@@ -197,7 +197,7 @@
         received = client.stream.read()
         assert (b"$%d\r\n%b" % (len(VALUE), VALUE)).startswith(received), "only a prefix of the value"
         assert len(received) < 2 * FIRST, "the value is cut off"
-        eventually(lambda: old.gone, "the old process exits")
+        eventually(lambda: old.has_exited, "the old process exits")
         assert old.process.returncode == 0
 
 
@@ -206,11 +206,11 @@
 ) -> None:
     node = SlowNode()
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        old, moving, staying = cluster.start().ready(), cluster.client(), cluster.client()
+        old, moving, staying = cluster.start().wait_until_healthy(), cluster.client(), cluster.client()
         moving.send(get("c1", "long", 60_000))
         staying.send(get("c2", "held", 60_000))
         eventually(lambda: ask(old.admin, "/stats")["current"] == 2, "both requests are in progress")
-        receiver = cluster.start().ready()
+        receiver = cluster.start().wait_until_healthy()
         eventually(lambda: ask(old.admin, "/state")["shared"], "the processes are linked")
         os.kill(receiver.process.pid, signal.SIGSTOP)
         old.terminate()
@@ -224,5 +224,5 @@
             "a final answer from the process that has the connection"
         )
         assert moving.answer().startswith(b"cut off")
-        eventually(lambda: old.gone, "the old process exits")
+        eventually(lambda: old.has_exited, "the old process exits")
         assert old.process.returncode == 0
--- a/tests/faults/test_matrix_hand_over.py
+++ b/tests/faults/test_matrix_hand_over.py
@@ -27,7 +27,7 @@
     calls, may_answer = SystemCalls(tmp_path), threading.Event()
     caches = {"s1": echo_cache_with_slow_key(may_answer)}
     with platform(tmp_path, caches, environ=calls.environ) as router_platform:
-        old = router_platform.start().ready()
+        old = router_platform.start().wait_until_healthy()
         idle, half, waiting = (router_platform.client() for _ in range(3))
         assert idle.ask(get("a1")) == b"a1"
         half.send(get("a2")[:30])
@@ -45,7 +45,7 @@
             may_answer.set()
             assert waiting.answer() == b"a3"
             assert router_platform.client().ask(get("a5", d=15_000)) == b"a5"
-            eventually(lambda: old.gone, "the old process has ended")
+            eventually(lambda: old.has_exited, "the old process has ended")
         assert old.process.returncode == 0
         if isinstance(lasting, int):
             assert waiting.ask(get("a6")) == b"a6"
--- a/tests/handover/test_learnt.py
+++ b/tests/handover/test_learnt.py
@@ -99,7 +99,7 @@
         while (message := sender.next_message()) is not None:
             before.send(message.data)
             sender.message_sent()
-        process.ready()
+        process.wait_until_healthy()
         # The process now listens where its successor connects.
         after = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         after.settimeout(TIMEOUT_S)
--- a/tests/handover/test_processes.py
+++ b/tests/handover/test_processes.py
@@ -76,7 +76,7 @@
 def upgrade(cluster: Platform, old: Process) -> Process:
     """Replace a process while a value is being sent; wait until the old one exits, and return the new one."""
     new = cluster.upgrade(old)
-    eventually(lambda: old.gone, "the old process has exited")
+    eventually(lambda: old.has_exited, "the old process has exited")
     assert old.process.returncode == 0
     return new
 
@@ -86,7 +86,7 @@
     """A process within a long value: yield its node, the platform, the process and the waiting client."""
     node = PausingNode()
     with platform(folder, {"s1": node.peer}) as cluster:
-        old, client = cluster.start().ready(), cluster.client()
+        old, client = cluster.start().wait_until_healthy(), cluster.client()
         client.send(get("c1", "long"))
         wait_for_values(old)
         yield node, cluster, old, client
@@ -95,7 +95,7 @@
 def test_value_and_the_pipelined_requests_after_it_continue(tmp_path: Path) -> None:
     node = PausingNode()
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         client = cluster.client()
         half = get("c3")
         client.send(get("c1", "long") + get("c2", "k2") + half[:20])
@@ -117,7 +117,7 @@
 def test_value_at_its_last_bytes(tmp_path: Path, lacking: int) -> None:
     node = PausingNode(first=len(b"*3\r\n$1048576\r\n") + len(LONG) + len(NOTE) - lacking)
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         client = cluster.client()
         client.send(get("c1", "long") + get("c2"))
         wait_for_values(old)
@@ -144,7 +144,7 @@
     origin = Peer(serve, is_http=True)
     with platform(tmp_path, {"s1": cache}) as cluster:
         cluster.discovery.change(entry(cache, "s1"), entry(origin, "origin", "origin"))
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         client = cluster.client()
         client.send(get("c1", "long"))
         wait_for_values(old)
@@ -160,8 +160,8 @@
 def test_memcached_value_and_an_incomplete_packet_continue(tmp_path: Path) -> None:
     node, file = PausingNode(), tmp_path / "memcached.toml"
     file.write_text(MEMCACHED_FEATURE.format(port=free_port()).replace("listen", "# listen"))
-    with platform(tmp_path, {"s1": node.peer}, more=["--with", str(file)]) as cluster:
-        old = cluster.start().ready()
+    with platform(tmp_path, {"s1": node.peer}, arguments=["--with", str(file)]) as cluster:
+        old = cluster.start().wait_until_healthy()
         client = MemcachedClient(cluster.port)
         last = encode(Packet(Opcode.GETK, b"k3", opaque=3), REQUEST_MAGIC)
         client.send(Packet(Opcode.GET, b"long", opaque=1), Packet(Opcode.GETQ, b"k2", opaque=2))
@@ -179,7 +179,7 @@
 def test_several_values_on_one_connection_and_two_upgrades(tmp_path: Path) -> None:
     node = PausingNode()
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        first = cluster.start().ready()
+        first = cluster.start().wait_until_healthy()
         client = cluster.client()
         client.send(get("c1", "long1") + get("c2", "k") + get("c3", "long2"))
         wait_for_values(first, 2)
@@ -194,7 +194,7 @@
 def test_client_that_reads_nothing_receives_all_its_replies_later(tmp_path: Path) -> None:
     node = PausingNode()
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         client = cluster.client()
         names = [f"long{i}" for i in range(8)]
         client.send(b"".join(get(name, name) for name in names))
@@ -228,7 +228,7 @@
     value = b"w" * (3 << 20)
     cache = Peer(lambda _, words: hit(b"%d" % len(words[4])))
     with platform(tmp_path, {"s1": cache}, facts={"familyInfo": {}}) as cluster:
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         client = cluster.client()
         command = put("w1", value)
         client.send(command[: 2 << 20])
@@ -243,12 +243,12 @@
     tmp_path: Path,
 ) -> None:
     with value_in_progress(tmp_path) as (node, cluster, old, client):
-        new = cluster.start().ready()
+        new = cluster.start().wait_until_healthy()
         os.kill(new.process.pid, signal.SIGKILL)
         new.process.communicate(timeout=TIMEOUT_S)
         node.released.set()
         assert client.answer() == LONG
-        assert old.healthy()
+        assert old.is_healthy()
 
 
 def connect_as_successor(folder: Path, hello: bytes) -> socket.socket:
@@ -265,7 +265,7 @@
 def test_successor_of_another_version_receives_only_idle_connections(tmp_path: Path, hello: bytes) -> None:
     node = PausingNode()
     with platform(tmp_path, {"s1": node.peer}) as cluster:
-        old = cluster.start().ready()
+        old = cluster.start().wait_until_healthy()
         busy, idle = cluster.client(), cluster.client()
         busy.send(get("c1", "long"))
         assert idle.ask(get("c2")) == b"c2"
@@ -296,7 +296,7 @@
             link.send(b"Nno room")
             node.released.set()
             assert client.answer() == LONG
-        assert "rejected a connection: no room" in old.end()
+        assert "rejected a connection: no room" in old.wait_for_exit()
 
 
 def invalid_messages() -> list[tuple[str, Callable[[socket.socket], Any]]]:
@@ -336,7 +336,7 @@
         process = cluster.start()
         link, _ = listener.accept()
         link.settimeout(TIMEOUT_S)
-        process.ready()
+        process.wait_until_healthy()
         assert link.recv(64) == b"H1"
         before = process.descriptors()
         for name, send_message in invalid_messages():
--- a/tests/lifecycle/test_takeover.py
+++ b/tests/lifecycle/test_takeover.py
@@ -30,16 +30,16 @@
 
 def test_two_upgrades_in_a_row_under_load_refuse_no_connection(tmp_path: Path) -> None:
     with platform(tmp_path, {f"s{i}": echo_cache() for i in range(3)}) as running:
-        first = running.start().ready()
+        first = running.start().wait_until_healthy()
         load = Load(running, 8)
-        load.more(200)
+        load.wait_for_answers(200)
         second = running.upgrade(first)
-        load.more(200)
+        load.wait_for_answers(200)
         third = running.upgrade(second)
-        eventually(lambda: first.gone and second.gone, "the old processes have exited")
-        load.more(200)
+        eventually(lambda: first.has_exited and second.has_exited, "the old processes have exited")
+        load.wait_for_answers(200)
         load.stop()
-        assert (load.doors, load.refused, load.wrong) == (0, 0, [])
+        assert (load.unanswered, load.refused, load.wrong) == (0, 0, [])
         assert first.process.returncode == second.process.returncode == 0
         assert ask(third.admin, "/stats")["answered"]["get"] > 200
 
@@ -47,7 +47,7 @@
 def test_partial_and_waiting_commands_survive_an_upgrade(tmp_path: Path) -> None:
     release = threading.Event()
     with platform(tmp_path, {"s1": echo_cache_with_slow_key(release)}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         idle, partial, waiting, pipelined = (running.client() for _ in range(4))
         assert idle.ask(get("a1")) == b"a1"
         partial.send(get("a2")[:30])
@@ -65,14 +65,14 @@
         pipelined.send(get("a5")[25:])
         assert pipelined.answer() == b"a5"
         assert waiting.ask(get("a7")) == b"a7"
-        eventually(lambda: old.gone, "the old process has exited")
+        eventually(lambda: old.has_exited, "the old process has exited")
         assert ask(new.admin, "/state")["connected"] == 4
         assert running.client().ask(get("a8")) == b"a8"
 
 
 def test_new_process_that_dies_before_it_is_ready_leaves_the_old_one_untouched(tmp_path: Path) -> None:
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         client = running.client()
         assert client.ask(get("a1")) == b"a1"
         running.discovery.peer.close()  # without a server list the new process does not get ready
@@ -82,16 +82,16 @@
         dead.process.communicate(timeout=TIMEOUT_S)
         assert client.ask(get("a2")) == b"a2"
         assert running.client().ask(get("a3")) == b"a3"
-        assert old.healthy()
+        assert old.is_healthy()
         eventually(lambda: not ask(old.admin, "/state")["shared"], "the link is closed")
 
 
 def test_ban_in_either_process_applies_in_both_while_they_overlap(tmp_path: Path) -> None:
     caches = {f"s{i}": echo_cache() for i in range(3)}
     with platform(tmp_path, caches) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         assert old.ban("s0") == 200
-        new = running.start().ready()
+        new = running.start().wait_until_healthy()
         assert ask(new.admin, "/state")["out"] == ["s0"], (
             "the ban applies before the first request of the new process"
         )
@@ -100,52 +100,52 @@
         load = Load(running, 4)
         seen = [len(caches[name].seen) for name in ("s0", "s1")]
         old.terminate()
-        load.more(100)
+        load.wait_for_answers(100)
         assert new.ban("s0", "ready") == 200
         eventually(lambda: len(caches["s0"].seen) > seen[0], "the server is used again")
         load.stop()
         assert len(caches["s1"].seen) == seen[1]
-        assert load.doors == 0
+        assert load.unanswered == 0
 
 
 def test_reload_and_drain_during_the_overlap(tmp_path: Path) -> None:
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start().ready()
-        new = running.start().ready()
+        old = running.start().wait_until_healthy()
+        new = running.start().wait_until_healthy()
         for process in (old, new):
             process.process.send_signal(signal.SIGHUP)
             process.until("conf_loaded", 1)
         assert old.put("/healthcheck/fail") == 200
-        assert not old.healthy()
-        assert new.healthy(), "a drain applies to one process only"
+        assert not old.is_healthy()
+        assert new.is_healthy(), "a drain applies to one process only"
         old.terminate()
-        eventually(lambda: old.gone, "the old process has exited")
+        eventually(lambda: old.has_exited, "the old process has exited")
         assert running.client().ask(get("a1")) == b"a1"
 
 
 def test_clients_in_the_backlog_are_accepted_by_the_next_process(tmp_path: Path) -> None:
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         os.kill(old.process.pid, signal.SIGSTOP)
         waiting = [running.client() for _ in range(20)]
         for i, client in enumerate(waiting):
             client.send(get(f"b{i}"))
-        new = running.start().ready()
+        new = running.start().wait_until_healthy()
         os.kill(old.process.pid, signal.SIGCONT)
         old.terminate()
         assert [client.answer() for client in waiting] == [b"b%d" % i for i in range(20)]
-        eventually(lambda: old.gone, "the old process has exited")
-        assert new.healthy()
+        eventually(lambda: old.has_exited, "the old process has exited")
+        assert new.is_healthy()
 
 
 def test_without_a_link_connections_close_and_the_next_process_serves(tmp_path: Path) -> None:
     deep = tmp_path / ("d" * 100)
     deep.mkdir()
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start(TMPDIR=str(deep)).ready()
+        old = running.start(TMPDIR=str(deep)).wait_until_healthy()
         client = running.client()
         assert client.ask(get("a1")) == b"a1"
-        running.start(TMPDIR=str(deep)).ready()
+        running.start(TMPDIR=str(deep)).wait_until_healthy()
         old.terminate()
         assert client.at_end()
         assert running.client().ask(get("a2")) == b"a2"
@@ -164,7 +164,7 @@
             }
             process = start_router(
                 tmp_path,
-                running.told,
+                running.configuration,
                 environ={"LB_SOCKET_FD": descriptors.get(what, "four")},
                 inherits=[file.fileno(), plain.fileno()],
             )
@@ -176,9 +176,9 @@
 
 def test_admin_address_in_use_is_reported_and_the_old_process_keeps_serving(tmp_path: Path) -> None:
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         second = running.start(LB_ADMIN_ADDR="{}:{}".format(*old.admin))
-        log = second.end()
+        log = second.wait_for_exit()
         assert second.process.returncode == 1
         assert log.splitlines()[-1].startswith("saltport: ")
         assert running.client().ask(get("a1")) == b"a1"
@@ -186,30 +186,30 @@
 
 def test_both_processes_together_stay_within_the_descriptors_and_the_memory(tmp_path: Path) -> None:
     with platform(tmp_path, {f"s{i}": echo_cache() for i in range(4)}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         load = Load(running, 16)
-        load.more(100)
-        new = running.start().ready()
-        load.more(100)
-        assert old.descriptors() + new.descriptors() < running.told["limits"]["sockets"]
+        load.wait_for_answers(100)
+        new = running.start().wait_until_healthy()
+        load.wait_for_answers(100)
+        assert old.descriptors() + new.descriptors() < running.configuration["limits"]["sockets"]
         assert old.memory_kb() + new.memory_kb() < 120_000
         assert ask(old.admin, "/state")["servers_may_hold"] == ask(new.admin, "/state")["servers_may_hold"]
         shared = ask(new.admin, "/state")["servers_may_hold"]
         old.terminate()
-        eventually(lambda: old.gone, "the old process has exited")
+        eventually(lambda: old.has_exited, "the old process has exited")
         eventually(
             lambda: ask(new.admin, "/state")["servers_may_hold"] >= 2 * shared,
             "the new process may use all descriptors",
         )
         load.stop()
-        assert load.doors == 0
+        assert load.unanswered == 0
 
 
 def test_server_list_and_a_draining_server_reach_both_processes(tmp_path: Path) -> None:
     caches = {f"s{i}": echo_cache() for i in range(2)}
     with platform(tmp_path, caches) as running:
-        old = running.start().ready()
-        new = running.start().ready()
+        old = running.start().wait_until_healthy()
+        new = running.start().wait_until_healthy()
         running.discovery.change(entry(caches["s0"], "s0", lifecycle="draining"), entry(caches["s1"], "s1"))
         for process in (old, new):
             process.until("caches", 1)
@@ -220,12 +220,12 @@
     origin = Peer(lambda _, message: http_answer(200, b"x"), is_http=True)
     with platform(tmp_path, {"s1": cache}) as running:
         running.discovery.change(entry(cache, "s1"), entry(origin, "origin", "origin"))
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         client = running.client()
         for i in range(50):
             assert client.ask(get(f"m{i}", f"k{i}")) == b"x"
         rate = ask(old.admin, "/state")["tenants"]["acme"]["fetches_per_s"]
-        new = running.start().ready()
+        new = running.start().wait_until_healthy()
         inherited_rate = ask(new.admin, "/state")["tenants"]["acme"]["fetches_per_s"]
         assert 0 < inherited_rate <= rate
         origin.close()
@@ -240,7 +240,7 @@
     open for 4.4 s.
     """
     with platform(tmp_path, {"s1": echo_cache()}) as running:
-        old = running.start().ready()
+        old = running.start().wait_until_healthy()
         first, second = running.client(), running.client()
         assert first.ask(get("a1")) == b"a1"
         assert second.ask(get("a2")) == b"a2"
--- a/tests/standins/test_many_routers.py
+++ b/tests/standins/test_many_routers.py
@@ -7,7 +7,7 @@
 import pytest
 import uvloop
 
-from benchmarks.many_routers import MOST_PROCESSES, Found, Summary, measure
+from benchmarks.many_routers import MAX_ROUTERS, RouterFigures, Summary, measure
 from saltport.harness import HarnessError
 
 SERVERS = 600
@@ -15,21 +15,24 @@
 
 def test_six_routers_beside_600_servers_get_ready_and_each_serves(tmp_path: Path) -> None:
     told = uvloop.run(measure(tmp_path, routers=6, servers=SERVERS, reads=20))
-    assert len(told.found) == told.routers == 6
-    assert all(one.served for one in told.found)
-    assert all(one.descriptors > 5 for one in told.found)
-    assert all(0 < one.pss_mb <= one.rss_mb for one in told.found)
+    assert len(told.router_figures) == told.routers == 6
+    assert all(one.served for one in told.router_figures)
+    assert all(one.descriptors > 5 for one in told.router_figures)
+    assert all(0 < one.pss_mb <= one.rss_mb for one in told.router_figures)
 
 
 def test_more_routers_than_one_machine_should_hold_are_refused_before_any_starts(tmp_path: Path) -> None:
     with pytest.raises(HarnessError, match="at most"):
-        uvloop.run(measure(tmp_path, routers=MOST_PROCESSES + 1, servers=1, reads=1))
+        uvloop.run(measure(tmp_path, routers=MAX_ROUTERS + 1, servers=1, reads=1))
     assert list(tmp_path.iterdir()) == []
 
 
 @pytest.mark.parametrize(("ready_s", "served", "good"), [(9.9, 1, True), (10.1, 1, False), (0.1, 0, False)])
 def test_one_that_is_late_or_serves_nothing_fails_the_run(ready_s: float, served: int, good: bool) -> None:
-    found = [Found("r1", 0.3, 18.0, 30.0, 60, 5, 5), Found("r2", ready_s, 18.0, 30.0, 60, served, 5)]
+    found = [
+        RouterFigures("r1", 0.3, 18.0, 30.0, 60, 5, 5),
+        RouterFigures("r2", ready_s, 18.0, 30.0, 60, served, 5),
+    ]
     told = Summary(2, SERVERS, 1.0, 0.0, found)
-    assert told.good is good
+    assert told.is_good is good
     assert ("r2" in told.lines()[-1]) is (served == 0)
