--- a/benchmarks/many_routers.py
+++ b/benchmarks/many_routers.py
@@ -81,7 +81,7 @@
             f"{ready[-1]:.2f} s (the last); {late_count} after more than {READY_LIMIT_S:.0f} s; "
             f"{self.all_ready_s:.2f} s from the first start to the last one ready",
             f"memory {_format_spread([figures.pss_mb for figures in self.router_figures])} MB "
-            f"(share of what is shared), "
+            f"(with a share of shared pages), "
             f"{_format_spread([figures.rss_mb for figures in self.router_figures])} MB resident",
             f"descriptors {_format_spread([float(figures.descriptors) for figures in self.router_figures])}",
             f"reads served {served} of {answers}; "
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -83,7 +83,7 @@
     world = _create_world(form, members, seed)
     since, sent_before, world.loss = world.now, world.sent, LOSS
     current_cuts: set[tuple[int, int]] = set()
-    world.cuts.append(lambda here, there, _: (here, there) in current_cuts)
+    world.cuts.append(lambda source, target, _: (source, target) in current_cuts)
     for number, (minute_cuts, pauses) in enumerate(storm_faults(members, seed, minutes)):
         current_cuts.clear()
         current_cuts |= minute_cuts
--- a/benchmarks/scale/data_path.py
+++ b/benchmarks/scale/data_path.py
@@ -228,10 +228,10 @@
     weights = ranks**-exponent
     low, high = len(ranks) + 0.5, objects + 0.5
     if exponent == 1.0:
-        rest = numpy.log(high / low)
+        remainder = numpy.log(high / low)
     else:
-        rest = (high ** (1 - exponent) - low ** (1 - exponent)) / (1 - exponent)
-    return numpy.asarray(weights / (weights.sum() + rest))
+        remainder = (high ** (1 - exponent) - low ** (1 - exponent)) / (1 - exponent)
+    return numpy.asarray(weights / (weights.sum() + remainder))
 
 
 def busiest_share(shares: numpy.ndarray, routers: int, rng: numpy.random.Generator) -> float:
--- a/benchmarks/scale/discovery.py
+++ b/benchmarks/scale/discovery.py
@@ -232,11 +232,11 @@
 def measure_watches(routers: int, idle_s: float = IDLE_S, restarts: int = RESTART_COUNT) -> Watches:
     """Measure the watches of this many routers, with a registry process of their own."""
     context = multiprocessing.get_context("spawn")
-    here, there = context.Pipe()
-    server = context.Process(target=_serve_registry, args=(there,))
+    own_end, registry_end = context.Pipe()
+    server = context.Process(target=_serve_registry, args=(registry_end,))
     server.start()
     try:
-        return uvloop.run(_measure_watches(routers, here, idle_s, restarts))
+        return uvloop.run(_measure_watches(routers, own_end, idle_s, restarts))
     finally:
         server.join(10)
         if server.is_alive():
--- a/benchmarks/scale/dissemination_world.py
+++ b/benchmarks/scale/dissemination_world.py
@@ -285,12 +285,12 @@
         """Return a random one-way delay between two nodes."""
         if self.site_of[source] == self.site_of[target]:
             return int((0.5 + self.rng.random()) * NS_PER_MS)
-        here, there = self.region_of[source], self.region_of[target]
-        if here == there:
+        source_region, target_region = self.region_of[source], self.region_of[target]
+        if source_region == target_region:
             return int((12 + 6 * self.rng.random()) * NS_PER_MS)
-        return self._region_delays[min(here, there)][max(here, there)] + int(
-            5 * NS_PER_MS * self.rng.random()
-        )
+        return self._region_delays[min(source_region, target_region)][
+            max(source_region, target_region)
+        ] + int(5 * NS_PER_MS * self.rng.random())
 
     def _is_cut(self, source: int, target: int) -> bool:
         return any(cut(source, target) for cut in self.cuts)
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -303,11 +303,11 @@
 def measure_region_apart(members: int, seconds: float = 120) -> FaultCost:
     """Measure a partition of one region of eleven that heals: each side believes the other dead meanwhile."""
 
-    def cut(here: int, there: int, _: int) -> bool:
-        return (here % REGIONS == 0) != (there % REGIONS == 0)
+    def cut(source: int, target: int, _: int) -> bool:
+        return (source % REGIONS == 0) != (target % REGIONS == 0)
 
     return _measure_fault(
-        f"a region apart for {seconds:.0f} s", members,
+        f"a region partitioned for {seconds:.0f} s", members,
         lambda fleet: fleet.cuts.append(cut), seconds, lambda fleet: fleet.cuts.clear(),
     )  # fmt: skip
 
@@ -540,11 +540,11 @@
             f"{fit.format_fits(idle_rows, 'members', names)}"
         )
     if what in ("alone", "all"):
-        click.echo(f"a process to itself\n{fit.format_table([measure_alone(size) for size in (25, 50)])}")
+        click.echo(f"one router per process\n{fit.format_table([measure_alone(size) for size in (25, 50)])}")
     if what in ("sync", "all"):
         sync_rows = [fit.run_isolated(measure_sync, size) for size in sizes]
         fits_text = fit.format_fits(sync_rows, "members", ("hold_ms",))
-        click.echo(f"a question for all\n{fit.format_table(sync_rows)}\n{fits_text}")
+        click.echo(f"reply to a full synchronization request\n{fit.format_table(sync_rows)}\n{fits_text}")
     if what in ("joins", "all"):
         join_rows = [fit.run_isolated(measure_joins, size) for size in sizes if size <= MAX_FAULT_MEMBERS]
         lines = fit.format_fits(join_rows, "members", ("agreed_kb", "told_s"))
--- a/benchmarks/scale/sixteen.py
+++ b/benchmarks/scale/sixteen.py
@@ -44,8 +44,8 @@
 
     def holds(self, usual: Row, large: Row) -> bool:
         """Whether the figure at the larger size is within the bound."""
-        found, allowed = self.figure(large), self.allowed(usual, large)
-        return found >= allowed if self.is_minimum else found <= allowed
+        measured, allowed = self.figure(large), self.allowed(usual, large)
+        return measured >= allowed if self.is_minimum else measured <= allowed
 
 
 def connections_made(row: Row) -> float:
--- a/benchmarks/scale/stand_ins.py
+++ b/benchmarks/scale/stand_ins.py
@@ -122,7 +122,7 @@
             self._remaining_bytes -= len(data)
         else:
             self._header += data
-            line, end, rest = self._header.partition(b"\r\n")
+            line, end, body = self._header.partition(b"\r\n")
             if not end:
                 return
             self._header = b""
@@ -130,7 +130,7 @@
                 self._load.others[line.split()[0].decode("ascii", "replace")] += 1
                 self._load.release(self)
                 return
-            self._remaining_bytes = self._value_size + 2 - len(rest)
+            self._remaining_bytes = self._value_size + 2 - len(body)
         if self._remaining_bytes < 0:
             self._load.others["too long"] += 1
         if self._remaining_bytes <= 0:
@@ -157,7 +157,7 @@
     others: Counter[str] = field(default_factory=Counter)
     """Replies other than the requested value by first word, and connections that ended early (`cut`)."""
     latencies_s: list[float] = field(default_factory=list)
-    late: int = 0
+    delayed: int = 0
     """Requests that were due while all connections were busy."""
     _idle: deque[ClientConnection] = field(default_factory=deque)
     _connection_count: int = 0
@@ -207,12 +207,12 @@
             for _ in range(min(due, len(self._idle))):
                 sent += 1
                 self._send_read()
-            self.late += max(int((loop.time() - started_at) * per_s) - sent > due, 0)
+            self.delayed += max(int((loop.time() - started_at) * per_s) - sent > due, 0)
             await asyncio.sleep(POLL_INTERVAL_S)
 
     def reset(self) -> None:
         """Reset all counts."""
-        self.served = self.bytes = self.late = 0
+        self.served = self.bytes = self.delayed = 0
         self.others.clear()
         self.latencies_s.clear()
 
--- a/benchmarks/sketches.py
+++ b/benchmarks/sketches.py
@@ -346,7 +346,10 @@
     }
     for kind, seconds in changes.items():
         seconds_text = ", ".join(f"{value:.1f}" for value in seconds)
-        print(f"all popular keys changed: {kind}: {seconds_text} s until 18 of 20 are told", file=output)
+        print(
+            f"all popular keys changed: {kind}: {seconds_text} s until 18 of 20 reported keys are new",
+            file=output,
+        )
     if arguments.json:
         print(orjson.dumps({"rows": rows, "changes": changes}).decode())
     return 0
--- a/benchmarks/zones.py
+++ b/benchmarks/zones.py
@@ -3,7 +3,12 @@
     python -m benchmarks.zones FORM FAULT [--routers 12] [--seed 1] [--rate 1500] [--plot]
 
 FORM is the strategy: plan (shared plans), alone (each router for itself), envoy (Envoy's rule) or today (no
-topology). FAULT: calm, lost, gone, cut, half, slow, flap, liar, crowd, two.
+topology).
+
+FAULT affects the second zone: calm (no fault), lost (its nodes are cut off), gone (and its routers end), cut
+(no path to the first zone), half (every other node is cut off), slow (its nodes take four times as long),
+flap (it is lost and restored in turn, every 3 s), liar (one of its routers reaches no node), crowd (nine
+tenths of the clients are in it) or two (the third zone is lost as well).
 """
 
 from __future__ import annotations
--- a/benchmarks/zones_world.py
+++ b/benchmarks/zones_world.py
@@ -75,7 +75,7 @@
             or (self.zone_of[router], self.zone_of_node[server]) in self.cut_paths
         )
         self.loss = 0.0
-        self.message_cut: Callable[[int, int], bool] = lambda here, there: False
+        self.message_cut: Callable[[int, int], bool] = lambda source, target: False
         self.paused: dict[int, int] = {}
         self.owner, self.epoch, self.owner_until = 0, 1, 1 << 62
         self.fences = [Fence() for _ in range(routers)]
@@ -111,8 +111,8 @@
         """Return the epoch under which a router may make plans now, or None."""
         return self.epoch if place == self.owner and self.now < self.owner_until else None
 
-    def _cost(self, here: int, there: int) -> float:
-        return self.topologies[0].round_trip_ms(here, there) * MS
+    def _cost(self, source: int, target: int) -> float:
+        return self.topologies[0].round_trip_ms(source, target) * MS
 
     # Agents
 
--- a/tests/scale/test_data_path.py
+++ b/tests/scale/test_data_path.py
@@ -20,12 +20,12 @@
 TOO_LONG = b"v" * (MAX_VALUE_BYTES + 1)
 
 
-def test_reads_of_short_and_long_values_are_answered_whole() -> None:
+def test_reads_of_short_and_long_values_are_answered_in_full() -> None:
     costs = asyncio.run(measure(1, [4_096, 737_000], max_requests=100))  # raises on any other reply
     assert [len(rounds) for rounds in costs.values()] == [1, 1]
 
 
-def test_of_a_value_over_the_limit_nothing_is_passed_on(tmp_path: Path) -> None:
+def test_nothing_of_a_value_over_the_limit_is_forwarded(tmp_path: Path) -> None:
     def serve(_: socket.socket, words: list[bytes]) -> bytes:
         return MISS if words[1] == b"missing" else hit(TOO_LONG)
 
@@ -66,7 +66,7 @@
     assert figures["open_at_a_router"] * 1_600 == pytest.approx(figures["open_at_a_server"] * 680, rel=0.001)
 
 
-def test_a_fit_finds_a_line_and_tells_of_a_bend() -> None:
+def test_a_fit_finds_a_line_and_reports_deviations() -> None:
     straight = fit_line({size: 100 + 0.5 * size for size in (10, 100, 1_000, 10_000)})
     assert (straight.base, straight.slope) == pytest.approx((100, 0.5))
     assert straight.residual < 1e-9
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("exponent", [0.8, 1.0, 1.2])
-def test_shares_beyond_those_that_are_listed_are_as_an_exact_sum_has_them(exponent: float) -> None:
+def test_zipf_shares_match_an_exact_sum(exponent: float) -> None:
     objects = 20_000
     weights = [rank**-exponent for rank in range(1, objects + 1)]
     exact = [weight / math.fsum(weights) for weight in weights[:100]]
--- a/tests/scale/test_fit.py
+++ b/tests/scale/test_fit.py
@@ -53,7 +53,7 @@
     assert lines == "cpu percent: 0 + 0.04 N, residual 0, exponent 1.00; at 1600: 64"
 
 
-def test_udp_bytes_are_what_a_socket_counts_and_its_heads() -> None:
+def test_udp_bytes_are_those_of_a_socket_with_headers() -> None:
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as here,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as there,
--- a/tests/scale/test_membership.py
+++ b/tests/scale/test_membership.py
@@ -21,7 +21,7 @@
 MEMBERS = 25
 
 
-def test_bytes_and_datagrams_of_a_member_in_calm_stay_flat() -> None:
+def test_bytes_and_datagrams_of_an_idle_member_do_not_grow_with_the_fleet() -> None:
     rows = [measure_idle(size, seconds=3) for size in (MEMBERS, 50, 100)]
     for name in ("bytes_sent_per_s", "datagrams_sent_per_s"):
         exponent = fit.fit_power([(row.members, getattr(row, name)) for row in rows]).slope
@@ -45,13 +45,13 @@
         assert detection.false_deaths == 0
 
 
-def test_all_who_start_together_know_each_other_and_come_to_rest() -> None:
+def test_members_that_start_together_know_each_other_and_finish_their_gossip() -> None:
     result = measure_joins(MEMBERS)
     assert 0 < result.agreed_s < math.inf
     assert 0 <= result.told_s < math.inf
 
 
-def test_half_stopped_for_three_seconds_are_not_believed_dead() -> None:
+def test_half_of_the_members_paused_for_three_seconds_are_not_believed_dead() -> None:
     result = measure_half_stopped(MEMBERS)
     assert result.deaths_believed == 0
     assert result.agreed_s < 120
@@ -105,12 +105,12 @@
         return fit.udp_bytes(queue.bytes, queue.sent), counted
 
 
-def test_bytes_told_are_what_a_socket_counts() -> None:
+def test_reported_bytes_are_those_that_a_socket_counts() -> None:
     reported, counted = asyncio.run(_bytes_of_one())
     assert reported == counted > 0
 
 
-def test_deaths_of_those_who_live_are_counted_where_a_cut_makes_them_be_believed() -> None:
+def test_false_deaths_during_a_partition_are_counted() -> None:
     result = measure_region_apart(22, 12)
     assert result.deaths_believed > 0
     assert result.agreed_s < 120
--- a/tests/scale/test_roles.py
+++ b/tests/scale/test_roles.py
@@ -24,7 +24,7 @@
     assert not {"fit", "hollow"} & set(measurement_names())
 
 
-def test_the_leading_voter_is_asked_by_each_owner_and_an_owner_by_nobody_more() -> None:
+def test_load_of_the_leading_voter_grows_with_the_fleet_and_that_of_an_owner_does_not() -> None:
     rows = [measure_idle(size) for size in (10, 20, 40)]
     leader = fit.fit_line([(row.routers, row.leader_datagrams_per_s) for row in rows])
     assert 3.9 < leader.slope < 4.2  # two renewals a second, and their replies
@@ -39,19 +39,19 @@
     assert 0 < result.seconds < 120
 
 
-def test_each_watch_hears_of_each_change() -> None:
+def test_each_watch_receives_each_change() -> None:
     result = measure_watches(5, idle_s=0.3, restarts=1)
     assert 0 < result.half <= result.most <= result.all < math.inf
     assert result.change_bytes > 0
 
 
-def test_a_list_costs_by_its_servers() -> None:
+def test_bytes_of_a_list_grow_with_its_servers() -> None:
     line = fit.fit_line([(size, measure_lists(size, 1).wire_bytes) for size in (85, 170, 340)])
     assert 150 < line.slope < 200
     assert line.residual < 50
 
 
-def test_each_router_follows_a_plan_though_a_third_is_lost() -> None:
+def test_each_router_follows_a_plan_with_a_third_of_the_messages_lost() -> None:
     rows = [measure_plans(size, 0.3) for size in (12, 24)]
     assert all(0 < row.half <= row.most <= row.all < math.inf for row in rows)
     assert rows[1].owner_datagrams_per_s > 1.8 * rows[0].owner_datagrams_per_s
@@ -65,7 +65,7 @@
     )  # documented as a limit: a change here must be documented as well
 
 
-def test_changes_are_taken_and_bad_ones_are_not() -> None:
+def test_valid_changes_are_applied_and_invalid_ones_refused() -> None:
     small, large = (
         measure_reload(5),
         measure_reload(50),
--- a/tests/scale/test_sixteen.py
+++ b/tests/scale/test_sixteen.py
@@ -11,7 +11,7 @@
 SERVERS, REQUESTS_PER_S = 4, 90.0
 
 
-def test_connections_made_grow_by_the_page_s_bound_at_the_most() -> None:
+def test_connections_made_stay_within_the_documented_bound() -> None:
     usual, large = asyncio.run(
         measure_both(SERVERS, REQUESTS_PER_S, sockets=1_024, warm_s=1.5, measured_s=2.5)
     )
@@ -21,7 +21,7 @@
     assert verdicts["share served"], (usual, large)
 
 
-def test_each_bound_is_found_broken_just_beyond_it() -> None:
+def test_each_bound_is_reported_broken_just_beyond_it() -> None:
     usual, large = asyncio.run(measure_both(1, 20.0, sockets=256, warm_s=0.2, measured_s=0.3))
     rows_beyond_bound: dict[str, Row] = {
         "CPU seconds, with the start": replace(large, cpu_s=2 * usual.cpu_s + 1),
