--- a/benchmarks/peers_world.py
+++ b/benchmarks/peers_world.py
@@ -51,7 +51,7 @@
     # Actions
 
     def start(self, place: int, clock: int = 1_000, name: str | None = None) -> Agent:
-        """Start an agent at this place and return it; `clock` is its incarnation."""
+        """Start an agent at this place and return it; `clock` is its start number."""
         agent = self._agent(
             Identity(name or f"r{place}", clock, place, ZONES[place % len(ZONES)]), self.places,
             self.settings, random.Random(self.rng.getrandbits(32)), self.now,
--- a/benchmarks/scale/membership.py
+++ b/benchmarks/scale/membership.py
@@ -498,13 +498,13 @@
     """Measure the reply of one member to the request of a router that has no records."""
     fleet = Fleet(members)
     agent = fleet.agents[0]
-    incarnation = 0
+    packet_counter = 0
 
     def blocked_ms() -> float:
-        nonlocal incarnation
-        incarnation += 1
+        nonlocal packet_counter
+        packet_counter += 1
         fleet.now += 2 * NS_PER_S  # replies are limited per second
-        request = Packet("new", 1_000, incarnation, 0, 0, SyncBody((1,) * DIGEST_PARTS))
+        request = Packet("new", 1_000, packet_counter, 0, 0, SyncBody((1,) * DIGEST_PARTS))
         sent_before, started_at = agent.send_queue.sent, time.process_time()
         agent.receive(request, 0, fleet.now)
         elapsed_ms = (time.process_time() - started_at) * 1e3
