--- a/saltport/admin/calls.py
+++ b/saltport/admin/calls.py
@@ -11,7 +11,7 @@
 VOTERS_SEGMENT = "voters"
 ZONES_SEGMENT = "zones"
 
-
+# Longest time over which an order may shift the reads of a zone to other zones, or back.
 MAX_TRANSITION_MS = 3_600_000
 
 
@@ -38,7 +38,11 @@
         """Return the work that this router owns; a voter also returns its record of all owners."""
 
     def zones(self) -> dict[str, Any]:
-        """Return how reads are distributed over zones, the plan in force, and the plan owner's view."""
+        """Return how this router distributes reads over zones, and the zone plan that it follows.
+
+        The router that owns the plan, which all routers of the fleet follow, also returns the state from
+        which it computes the plan.
+        """
 
     def order_zones(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
         """Send the plan owner an order and return the order's number, or None if there is no such zone.
@@ -124,7 +128,11 @@
 
 
 def _zone_handler(action: str) -> _Handler:
-    """Return the handler of an action on one zone; it reads `over` and `force` from the query string."""
+    """Return the handler of an action on one zone, such as `evacuate`.
+
+    The handler reads two values from the query string: `over`, the seconds over which the zone's reads are
+    shifted, and `force=1`, which sends the order although the plan's owner would refuse it for safety.
+    """
 
     def handle(operations: Operations, arguments: CallArguments) -> CallResponse:
         query = parse_qs(arguments.query)
--- a/saltport/decisions/hotkeys/control.py
+++ b/saltport/decisions/hotkeys/control.py
@@ -24,18 +24,19 @@
 from saltport.decisions.request import Request
 from saltport.decisions.table import RANKING_DEPTH, SlotTable
 
-SWEEP_INTERVAL_NS = NS_PER_S // 4
+SWEEP_INTERVAL_NS = NS_PER_S // 4  # between two removals of cooled keys and expired copies
 SWEEP_TIMER_TOKEN = "hot keys"  # cannot collide with a request id, which contains no space
 REVIEW_INTERVAL_NS = NS_PER_S // 5  # between two reviews of how many nodes a key needs
 NODES_PER_FETCH = 2  # the platform stores a fetched value at the first two nodes that missed
 MAX_FILLING_READS = 4  # concurrent reads that fill nodes of one key
-MAX_COPIES_PER_REPLY = 8
+MAX_COPIES_PER_REPLY = 8  # nodes to which the value of one reply is written
 MAX_COPIES_IN_FLIGHT = 256  # plain writes of all keys together
+# Pauses between two fetches of a hot key for which the origin returned no value; doubled at each failure.
 MIN_FETCH_PAUSE_NS, MAX_FETCH_PAUSE_NS = NS_PER_S // 10, 5 * NS_PER_S
 SHARE_CHANGE_TOLERANCE = 0.05  # relative change of a key's share below which the nodes' load is not updated
 MIN_SEND_WINDOW_NS, MAX_SEND_WINDOW_NS = NS_PER_S // 2, 5 * NS_PER_S  # two windows of sent reads are counted
 MIN_READS_PER_NODE = 16  # on average, before a window may end early: fewer reads are mostly noise
-MIN_HEADROOM = 0.05
+MIN_HEADROOM = 0.05  # least unused share of a node's concurrency limit in the comparison of loads
 REPLY_TIME_DIVISOR = 8  # 1 / this of a write's remaining time is reserved for sending its reply
 MAX_VIEW_KEYS, MAX_KEY_CHARACTERS = 20, 80  # keys in a view; characters of a key in a view or log line
 REFUSED_COPY_PAUSE_NS = 60 * NS_PER_S  # without copies to a node that refused a plain write
@@ -124,7 +125,12 @@
                 self._replicate_if_needed(watched, now)
 
     def _update_node_list(self, now: int) -> None:
-        """Recompute what depends on the node list, and schedule a review of each replicated key."""
+        """Apply a changed list of cache nodes to the state that is derived from it.
+
+        This recomputes the total weight and the share of reads above which a key is replicated, and stops
+        waiting for invalidations at removed nodes. At its next read, each replicated key is reviewed: the
+        number of its nodes is computed again, and nodes are assigned.
+        """
         self._list_version = self._caches.version
         nodes = self._caches.nodes
         self._update_total_weight(now)
@@ -188,6 +194,7 @@
                 del self._share_by_node[node]
 
     def _usable_nodes(self, nodes: Iterable[Node], now: int) -> list[Node]:
+        """Return the nodes that may receive requests now, in the given order."""
         return [node for node in nodes if self._usable(node.entry.id, now)]
 
     def _replicate_if_needed(self, watched: WatchedKey, now: int) -> None:
@@ -345,10 +352,11 @@
             self._rotate_send_window(request.sent_at)
 
     def missed(self, request: Request, node: Node, now: int) -> bool:
-        """Whether a read that missed at a node goes to another node of its key before the origin.
+        """Record that a node lacks the key of a read; return whether the read tries another node next.
 
-        A read that fills nodes visits the rest of those that it is to fill; any other read tries at most one
-        more node, if another member has a copy.
+        Otherwise it is fetched from the origin. A read that was chosen to fill nodes (`filling_reads`) visits
+        all nodes that were assigned to it then, so that the fetched value is stored at each of them. Any
+        other read tries at most one more node, if one of the key's other nodes has a copy.
         """
         watched = request.replication_state
         replicated = watched.replicated if watched is not None else None
@@ -542,6 +550,7 @@
     # Release and expiry
 
     def _schedule_sweep(self) -> None:
+        """Set the timer of the next `_sweep`, unless it is set already."""
         if not self._sweep_scheduled:
             self._sweep_scheduled = True
             self._actions.append(api.SetTimer(SWEEP_INTERVAL_NS, SWEEP_TIMER_TOKEN))
@@ -590,6 +599,7 @@
     # Actions and views
 
     def _log(self, key: str, what: str) -> None:
+        """Write a log line about a key, whose name is shortened if it is long."""
         shortened = key if len(key) <= MAX_KEY_CHARACTERS else key[:MAX_KEY_CHARACTERS] + "..."
         self._actions.append(api.Log(f"hot key {shortened!r}: {what}"))
 
--- a/saltport/decisions/hotkeys/invalidation.py
+++ b/saltport/decisions/hotkeys/invalidation.py
@@ -14,6 +14,7 @@
 from saltport.decisions import interface as api
 from saltport.decisions.interface import NS_PER_S, Outcome
 
+# Pauses between two attempts to invalidate a key at a server; doubled at each failure.
 MIN_RETRY_PAUSE_NS, MAX_RETRY_PAUSE_NS = NS_PER_S // 4, 4 * NS_PER_S
 DOUBT_LIFETIME_NS = 600 * NS_PER_S  # after which a node that never confirms is no longer in doubt
 MAX_DOUBTFUL_KEYS = (
@@ -139,7 +140,11 @@
         return [api.Invalidate(key, server, pending.number)]
 
     def invalidation_ended(self, event: api.InvalidationEnded, now: int) -> list[api.Action]:
-        """Record the result of an invalidation; return the replies to writes if it was the last one."""
+        """Record the result of the invalidation of one key at one server.
+
+        If no other server has yet to confirm the invalidation of this key, return the actions that send the
+        delayed replies to its writes; otherwise return no actions.
+        """
         key, server, confirmed = event.key, event.server, event.outcome is Outcome.OK
         self.invalidated += confirmed
         pending = self._pending.get(key)
@@ -177,6 +182,7 @@
         return doubt
 
     def _remove_doubt(self, key: str, server: str) -> None:
+        """Let this router send reads of a key to a server again."""
         doubts = self._doubts[key]
         del doubts[server]
         if not doubts:
@@ -215,7 +221,7 @@
             pending.answers.remove(answer)
 
     def retain_servers(self, listed: Iterable[str], now: int) -> list[api.Action]:
-        """Stop waiting for servers that are not listed; return the replies that only they delayed."""
+        """Stop waiting for unlisted servers; return the replies to writes that only those servers delayed."""
         known = set(listed)
         actions: list[api.Action] = []
         for key, pending in list(self._pending.items()):
--- a/saltport/decisions/hotkeys/meter.py
+++ b/saltport/decisions/hotkeys/meter.py
@@ -1,9 +1,10 @@
 """Read rates of keys: a frequent-items sketch for each tenant, and exact counts for the keys that may be hot.
 
 The sketch estimates a key's share of all reads over some seconds, within an error bound. A key near the
-threshold is also watched: its reads are counted exactly in short intervals (panes), which show the start and
-the end of a sudden load long before the sketch does. The estimate is limited to the confidence interval of
-the last pane, so that random variation neither replicates a key nor keeps it replicated.
+threshold is also watched: its reads are counted exactly in short counting intervals, which show the
+start and the end of a sudden load long before the sketch does. The estimate is limited to the confidence
+bounds of the last counting interval, so that random variation neither replicates a key nor keeps it
+replicated.
 """
 
 from __future__ import annotations
@@ -15,14 +16,14 @@
 from saltport.decisions.interface import NS_PER_S
 from saltport.structures.frequent_items import FrequentItems
 
-DECAY_TIME_NS = 10 * NS_PER_S
+DECAY_TIME_NS = 10 * NS_PER_S  # in which an old read's part of a decayed count falls to 1 / e
 MIN_EVIDENCE_READS = 8.0  # of a key before it can be watched: with fewer, its share is mostly noise
 WATCH_DIVISOR = 8  # keys are watched from the threshold / this on
-MIN_PANE_NS, MAX_PANE_NS = NS_PER_S // 5, 2 * NS_PER_S
-MIN_PANE_READS = 32  # of a key, before a pane may end earlier than its maximum length
+MIN_INTERVAL_NS, MAX_INTERVAL_NS = NS_PER_S // 5, 2 * NS_PER_S  # length of a counting interval
+MIN_INTERVAL_READS = 32  # of a key, before its counting interval may end earlier than the maximum
 BOUND_DEVIATIONS = 2.5  # standard deviations of a count between it and its bounds
 MIN_PORTION = 0.05  # of the sketches' capacity, for a tenant that states no portion or less than this
-UPDATE_INTERVAL_NS = NS_PER_S // 20
+UPDATE_INTERVAL_NS = NS_PER_S // 20  # between two updates of the total and of the count for watching
 UNREAD_EXPIRY_NS = 2 * DECAY_TIME_NS  # without reads, after which a key is no longer watched
 
 
@@ -34,15 +35,15 @@
     slot: int
     tenant: str
     """The tenant whose read made the key watched; the key counts towards this tenant's limits."""
-    pane_start: int
-    reads_before_pane: int
-    """Reads of all keys up to the start of the pane."""
-    pane_reads: int = 0
-    """Reads of this key in the pane."""
+    interval_start: int
+    reads_before_interval: int
+    """Reads of all keys up to the start of the current counting interval."""
+    interval_reads: int = 0
+    """Reads of this key in the current counting interval."""
     last_read_at: int = 0
     min_share: float = 0.0
     max_share: float = 1.0
-    """Bounds of the key's share of all reads, from the previous pane."""
+    """Bounds of the key's share of all reads, from the previous counting interval."""
     size: int = 0
     """Bytes of the value in the last reply; 0: unknown."""
     mean_latency: float = 0.0
@@ -56,19 +57,26 @@
     replicated: object | None = None
     """The `ReplicatedKey`, if the key is replicated."""
 
-    def close_pane(self, now: int, reads: int) -> None:
-        """End the pane if it is long enough, and begin the next; `reads`: reads of all keys so far."""
-        age = now - self.pane_start
-        if age < MIN_PANE_NS or (self.pane_reads < MIN_PANE_READS and age < MAX_PANE_NS):
+    def end_interval(self, now: int, reads: int) -> None:
+        """End the counting interval, if it is long enough, and begin the next.
+
+        The end updates the bounds of the key's share, which is its count of reads in the interval relative
+        to that of all keys. `reads` is the number of reads of all keys since the start of the router.
+        """
+        age = now - self.interval_start
+        if age < MIN_INTERVAL_NS or (self.interval_reads < MIN_INTERVAL_READS and age < MAX_INTERVAL_NS):
             return
-        if reads == self.reads_before_pane:
+        if reads == self.reads_before_interval:
             self.min_share = self.max_share = 0.0  # no reads at all
-            self.pane_start = now
+            self.interval_start = now
             return
-        all_reads, margin = reads - self.reads_before_pane, BOUND_DEVIATIONS * math.sqrt(self.pane_reads)
-        self.min_share = max(self.pane_reads - margin, 0.0) / all_reads
-        self.max_share = min((self.pane_reads + margin + BOUND_DEVIATIONS) / all_reads, 1.0)
-        self.pane_start, self.reads_before_pane, self.pane_reads = now, reads, 0
+        all_reads, margin = (
+            reads - self.reads_before_interval,
+            BOUND_DEVIATIONS * math.sqrt(self.interval_reads),
+        )
+        self.min_share = max(self.interval_reads - margin, 0.0) / all_reads
+        self.max_share = min((self.interval_reads + margin + BOUND_DEVIATIONS) / all_reads, 1.0)
+        self.interval_start, self.reads_before_interval, self.interval_reads = now, reads, 0
 
 
 class KeyMeter:
@@ -107,10 +115,10 @@
             self._update(now)
         watched = self.watched.get(key)
         if watched is not None:
-            watched.pane_reads += 1
+            watched.interval_reads += 1
             watched.last_read_at = now
-            if now - watched.pane_start >= MIN_PANE_NS:
-                watched.close_pane(now, self.reads)
+            if now - watched.interval_start >= MIN_INTERVAL_NS:
+                watched.end_interval(now, self.reads)
             return watched
         if (
             count < self._min_watched_count
@@ -128,11 +136,11 @@
         self._min_watched_count = max(MIN_EVIDENCE_READS, self.total * self.threshold / WATCH_DIVISOR)
 
     def sweep(self, now: int) -> None:
-        """Close the panes of keys without reads, and stop watching keys far below the threshold."""
+        """End the counting intervals that are due, and stop watching keys far below the threshold."""
         self._update_total(now)
         low_share = self.threshold / WATCH_DIVISOR / 2
         for watched in list(self.watched.values()):
-            watched.close_pane(now, self.reads)
+            watched.end_interval(now, self.reads)
             cool = (
                 now - watched.last_read_at > UNREAD_EXPIRY_NS
                 or self.min_count(watched.key) < self.total * low_share
@@ -142,6 +150,7 @@
                 self._watched_by_tenant[watched.tenant] -= 1
 
     def _update_total(self, now: int) -> None:
+        """Update the sum of the decayed counts of all sketches."""
         self.total = 0.0
         for sketch in self._sketches.values():
             sketch.advance(now)
@@ -152,7 +161,7 @@
         return sum(sketch.count(key) for sketch in self._sketches.values())
 
     def share(self, watched: WatchedKey) -> float:
-        """Estimate a key's share of all reads: the sketch's value, limited to the bounds of the last pane."""
+        """Estimate a key's share of all reads: the sketch's value, limited to the last interval's bounds."""
         count = self.min_count(watched.key)
         # The total dates from the last update, so the count of a single key can exceed it.
         total = max(self.total, count)
--- a/saltport/decisions/inheritance.py
+++ b/saltport/decisions/inheritance.py
@@ -41,6 +41,7 @@
 
 
 def _export_limiter(limiter: Suppressor, now: int) -> dict[str, Any]:
+    """Return a tenant's limit, and its calls as triples of age in steps, accepted and declined calls."""
     limiter.accepted(now)  # removes calls that have left the window
     steps: dict[int, list[int]] = {}
     for at, declined in limiter.calls:
@@ -49,6 +50,7 @@
 
 
 def _export_node(node: Node) -> list[float]:
+    """Return the state of one server as the numbers that `_read_node` describes."""
     limit = -1.0 if math.isinf(node.limit.limit) else node.limit.limit
     times = node.response_time
     return [
@@ -62,6 +64,7 @@
 
 
 def _checked_number(value: Any, least: float = 0.0) -> Any:
+    """Return `value` if it is a number of at least `least`, else raise WireError."""
     return number("learnt state", value, least)
 
 
@@ -110,6 +113,10 @@
 
 
 def _read_limiter(entry: Any) -> tuple[float, list[tuple[int, int, int]]]:
+    """Return the validated state of one tenant's rate limiter: the limit in calls per second, and its calls.
+
+    The calls are triples: the age in steps of `STEP_NS`, and the numbers of accepted and declined calls.
+    """
     steps = [
         (int(_checked_number(a)), int(_checked_number(b)), int(_checked_number(c)))
         for a, b, c in entry["calls"]
@@ -120,6 +127,11 @@
 
 
 def _read_node(entry: Any) -> tuple[float, float, float, float, float, float]:
+    """Return the validated state of one server.
+
+    The numbers are the concurrency limit (-1: infinite), its smoothed response time and its response time
+    without queueing, the mean and the deviation of the response time, and the weight factor.
+    """
     limit, took, work, mean, deviation, weight_factor = entry
     if not _checked_number(weight_factor, 1e-6) <= 1.0:
         raise ValueError("a weight factor must not exceed 1")
@@ -134,6 +146,7 @@
 
 
 def _read_ejection(entry: Any) -> tuple[int, int, str]:
+    """Return the validated state of one ejection: the time left, the number of ejections, and the reason."""
     left, ejections, reason = entry
     if not isinstance(reason, str):
         raise ValueError("the reason of an ejection must be a string")
--- a/saltport/decisions/limits.py
+++ b/saltport/decisions/limits.py
@@ -15,7 +15,7 @@
 MIN_CUT_FACTOR = 0.5  # a cut leaves at least this share of the limit
 PROMPT_AIM_SHARE, LATE_AIM_SHARE = 0.4, 0.6  # the limit rises below the first, is cut above the second
 MIN_PAUSE_NS, MAX_PAUSE_NS = NS_PER_S // 50, NS_PER_S  # after refusals: about a response time, then doubled
-SMOOTHING = 1 / 4
+SMOOTHING = 1 / 4  # weight of the latest answer in the smoothed response time
 STALE_AFTER_NS = 10 * NS_PER_S  # without an answer, after which learnt times are discarded
 
 
@@ -38,7 +38,11 @@
         self._answered_at = now
 
     def learn(self, took: int, in_flight: int, sent_at: int, now: int, aim: int) -> None:
-        """Adapt the limit to one answer's time, with `in_flight` other attempts at the server."""
+        """Raise or cut the server's limit on attempts in flight, by the response time `took` of one answer.
+
+        `in_flight` is the number of other attempts at the server, `aim` the target response time of the
+        request's class.
+        """
         if not self.response_time or now - self._answered_at > STALE_AFTER_NS:
             self.response_time, self.base_time = float(took), float(took)
         self._answered_at, self._pause = now, 0
--- a/saltport/decisions/ordering.py
+++ b/saltport/decisions/ordering.py
@@ -94,6 +94,7 @@
         return Released(self._next(key, queue))
 
     def _next(self, key: bytes, queue: KeyQueue[Command]) -> tuple[Command, ...]:
+        """Begin the waiting commands of a key that may run now, and return them in their order."""
         begun: list[Command] = []
         while queue.waiting and not queue.writing:
             command, write = queue.waiting[0]
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -18,10 +18,12 @@
 CONSECUTIVE_FAILURES = 3  # at 1 % random failures a wrong ejection has a probability of one in a million
 WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
 MIN_ATTEMPTS, EXCESS_FAILURE_SHARE = 10, 0.5  # the share above the failure rate of all servers
-BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S
+BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S  # duration of the first ejection, and the longest
 JITTER = 0.1  # random share added to each ejection, so that routers do not return together
 EJECTION_MEMORY_NS = 60 * NS_PER_S  # without an ejection, after which one earlier ejection no longer counts
-MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5  # of the listed servers; permits the loss of one zone of three
+# Shares of the listed servers: that may be ejected, and above which so many look faulty that ejections are
+# ignored. They permit the loss of one zone of three.
+MAX_EJECTED_SHARE, PANIC_SHARE = 0.5, 0.5
 DEPARTED_MEMORY_NS = 60 * NS_PER_S  # for which the record of a server that left the list is retained
 
 CONNECTION_FAILURES = (Outcome.CONNECT_FAILED, Outcome.RESET)
@@ -102,7 +104,7 @@
         self.apply_settings(settings)
         self.records: dict[str, Record] = {}
         self.ejected: set[str] = set()
-        self.suspects: set[str] = set()  # would be ejected but for the ceiling
+        self.suspects: set[str] = set()  # would be ejected, but MAX_EJECTED_SHARE is reached
         self.listed = 0
         self._all_attempts = WindowedCounter(WINDOW_NS)
 
@@ -185,7 +187,11 @@
         return None
 
     def adopt(self, server: str, record: Record) -> None:
-        """Adopt an ejection by another process if the ceiling permits; it ends with a trial."""
+        """Adopt the record of a server that another process has ejected; the ejection ends with a trial.
+
+        Nothing changes if this router has a record of the server, or if MAX_EJECTED_SHARE of the listed
+        servers are ejected already.
+        """
         if server not in self.records and len(self.ejected) < max(1, int(self.listed * MAX_EJECTED_SHARE)):
             self.records[server] = record
             self.ejected.add(server)
--- a/saltport/decisions/overload.py
+++ b/saltport/decisions/overload.py
@@ -16,8 +16,8 @@
 MIN_OVERLOADED_REPORTS = 3  # in a row, since a single stall is no overload
 ADJUSTMENT_STEP = 0.3  # share of the difference to the target share that each report closes
 RISE_S = 4.0  # for a rise of the admitted share from 0 to 1
-MIN_ADMITTED_SHARE = 0.05
-SMOOTHING = 0.3
+MIN_ADMITTED_SHARE = 0.05  # of the arriving reads, however overloaded the router is
+SMOOTHING = 0.3  # weight of the latest report in the smoothed numbers of arrivals
 MIN_WEIGHT = 0.01  # of tenants without a portion
 TOO_LATE, RETRY, FIRST = 0, 1, 2  # ranks of reads, the first to be shed first
 
--- a/saltport/decisions/server_registry.py
+++ b/saltport/decisions/server_registry.py
@@ -27,7 +27,11 @@
         return server in self.listed or server in self._gone or server in self.excluded
 
     def apply(self, event: ServersChanged) -> tuple[list[Server], list[str]]:
-        """Apply a change of the list; return the changed entries that are usable, and the other ids."""
+        """Apply a change of the list.
+
+        Return the entries of the event whose servers are ready and not excluded, and the ids of the servers
+        that may not be used: they are not ready, left the list, or are excluded.
+        """
         left = [entry.id for entry in event.servers if entry.state is not ServerState.READY]
         listed = {entry.id: entry for entry in event.servers if entry.state is not ServerState.GONE}
         unlisted = self.listed.keys() - listed.keys() if event.kind is not ListKind.DELTA else set()
--- a/saltport/decisions/settings.py
+++ b/saltport/decisions/settings.py
@@ -49,6 +49,7 @@
 
 
 def _request_class(fields: Fields) -> api.RequestClass:
+    """Return the request class described by a JSON object."""
     return api.RequestClass(
         name=typed("classes.name", fields["name"], str),
         aim=integer("classes.aimNs", fields["aimNs"], 1),
@@ -61,6 +62,7 @@
 
 
 def _tenant(fields: Fields) -> api.Tenant:
+    """Return the tenant described by a JSON object."""
     return api.Tenant(
         typed("tenants.name", fields["name"], str),
         number("tenants.portion", fields["portion"], 0.0),
@@ -69,6 +71,7 @@
 
 
 def _unique(where: str, entries: tuple[Any, ...]) -> tuple[Any, ...]:
+    """Return `entries`, or raise WireError if two of them have the same name."""
     names = [entry.name for entry in entries]
     if len(set(names)) < len(names):
         raise WireError(f"{where}: a name occurs twice")
--- a/saltport/decisions/slot_replication.py
+++ b/saltport/decisions/slot_replication.py
@@ -44,5 +44,6 @@
         return sorted(ranking[:owners], key=self._draw) + ranking[owners:] if owners > 1 else ranking
 
     def _draw(self, node: Node) -> tuple[float, float]:
+        """Return the sort key of a slot's owner: its load relative to its weight, then a random number."""
         weight = node.weight * self._caches.slow_start_factor(node, self._now) * node.weight_factor
         return node.load / weight, self._rng.expovariate(1.0) / weight
--- a/saltport/decisions/table.py
+++ b/saltport/decisions/table.py
@@ -11,7 +11,7 @@
 from saltport.decisions.health import Node
 from saltport.structures.slot_rankings import SlotRankings
 
-RANKING_DEPTH = 8
+RANKING_DEPTH = 8  # servers in a slot's ranking, at least, if so many are ready
 RANKING_LENGTH = 2 * RANKING_DEPTH  # fixed, so that rankings are equal at routers with different histories
 STORED_RANKING_LENGTH = 3 * RANKING_DEPTH  # with a reserve for servers that leave
 
--- a/saltport/decisions/topology.py
+++ b/saltport/decisions/topology.py
@@ -71,6 +71,7 @@
 
     @cached_property
     def _nearest(self) -> tuple[tuple[int, ...], ...]:
+        """For each zone, by its index: all zones ordered by round-trip time, the zone itself first."""
         places = range(len(self.zones))
         return tuple(tuple(sorted(places, key=lambda to: (self.round_trip_ms(at, to), to))) for at in places)
 
@@ -80,6 +81,10 @@
 
     @cached_property
     def _nearest_regions(self) -> tuple[tuple[int, ...], ...]:
+        """For each region, by its index: all regions ordered by their distance, the region itself first.
+
+        The distance of two regions is the shortest round-trip time between two of their zones.
+        """
         places, areas = range(len(self.zones)), range(len(self.distinct_regions))
 
         def cost(one: int, other: int) -> float:
@@ -94,6 +99,7 @@
 
     @cached_property
     def _origins(self) -> tuple[str, ...]:
+        """For each region, by its index: the id of its origin, or "" if any origin may serve the region."""
         origins = dict(self.origins)
         return tuple(origins.get(region, "") for region in self.distinct_regions)
 
--- a/saltport/decisions/weight_adjustment.py
+++ b/saltport/decisions/weight_adjustment.py
@@ -13,7 +13,10 @@
 from saltport.structures.rendezvous import MAX_UINT64, slot_hash
 
 TIME_FIELDS = ("latency_ms", "recent_ms")  # names of the recent service time in load reports
-EXPONENT = 1 / 4  # twice the time, a sixth less: queues grow faster than load, the full ratio overshoots
+# A weight factor is multiplied by (average service time of all servers / service time of this server) to this
+# power. A report of twice the average time so reduces it by about a sixth. The ratio itself would overshoot,
+# because queues grow faster than load.
+EXPONENT = 1 / 4
 MIN_WEIGHT_FACTOR = 1 / 16  # the remaining reads show when the server recovers
 SETTLING_TIME_NS = NS_PER_S  # reports are smoothed and some tenths of a second old: changes show late
 SLOT_HASH_OFFSET = 1 << 32  # above all slots, to make the hash independent of the one that ranks servers
--- a/saltport/decisions/zoned.py
+++ b/saltport/decisions/zoned.py
@@ -23,7 +23,8 @@
 
 ZONE_HASH_SEED = 0x5A17  # of the hash that assigns slots to zones
 ORIGIN_TRIAL_SHARE = 0.1  # of the fetches for reads test an origin that is considered unresponsive
-MAX_COUNTED_REQUESTS = 512  # after which the counts by rank and tenant are halved
+MAX_COUNTED_REQUESTS = 512  # after which the counts by rank and tenant are halved, to weigh old reads less
+# Ranks of reads, the first to be refused first: retries, reads of tenants above their portion, and others.
 RETRY, OVER_PORTION, FIRST = 0, 1, 2
 
 
@@ -176,6 +177,7 @@
         return found + self._rank_zone(self._unknown_zone, request, now)
 
     def _rank_zone(self, zone: _ZoneServers, request: Request, now: int) -> list[Node]:
+        """Return a zone's servers for a request; reads of a slot with much load are spread over several."""
         owners = math.ceil(request.slot_share * len(zone.hash.nodes) / LOAD_SHARE)
         ranking = zone.rank(request.slot, max(owners, RANKING_DEPTH), self._caches, now)
         self._now = now
@@ -213,6 +215,7 @@
     # Evidence
 
     def _new_evidence(self) -> Evidence:
+        """Return empty counts for all zones and regions."""
         topology = self.topology
         return Evidence([ZoneCount() for _ in topology.zones], [[0, 0] for _ in topology.distinct_regions])
 
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -166,7 +166,7 @@
             # Danger: if each process restarted its timeout, a partial command could hold its connection
             # indefinitely.
             self._progress_at -= record.command_age_ms / 1000
-        self.flush()
+        self.remove_completed_replies()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Complete a hand-over, or handle the end of the connection."""
@@ -209,16 +209,20 @@
         self.server.host.touched()
         self._in_batch = True
         try:
-            self._read(data)
+            self._process_input(data)
         except Exception:
             log.exception("client connection closed: handling received data failed")
             self.abort(CloseReason.FAULT)
         finally:
             self._in_batch = False
         if not self.replies and self._closes_when_answered:
-            self.flush()
+            self.remove_completed_replies()
 
-    def _read(self, data: bytes) -> None:
+    def _process_input(self, data: bytes) -> None:
+        """Parse received bytes into commands, and queue a reply for each command and start to handle it.
+
+        For a command that is received in part, update its progress and reserve memory if it is long.
+        """
         reader = self._dialect
         self.last_active_at = self.server.loop.time()
         starts_command = not reader.need
@@ -300,8 +304,12 @@
         if self.transport is not None:
             self.transport.write(data)
 
-    def flush(self) -> None:
-        """Remove completed replies from the head of the queue; then continue with the next, move or close."""
+    def remove_completed_replies(self) -> None:
+        """Remove the completed replies, which are written already, from the head of the queue.
+
+        The next reply then writes what it has buffered. A connection that moves to the successor or closes
+        after its last reply does so here.
+        """
         replies = self.replies
         while replies and replies[0].done:
             reply = replies.popleft()
@@ -411,7 +419,7 @@
         if (
             self.transport is None
             or self.closed
-            or (self.server.successor is not None and self._goes_to_successor())
+            or (self.server.successor is not None and self._try_hand_over())
         ):
             return
         if self.idle or (even_mid_command and not self.replies and not self._read_is_delayed):
@@ -421,8 +429,12 @@
                 even_mid_command or not self._dialect.need or self._close_when_answered
             )
 
-    def _goes_to_successor(self) -> bool:
-        """Hand the connection over if possible; return whether it moves now or later."""
+    def _try_hand_over(self) -> bool:
+        """Start the hand-over of the connection to the successor process, if that is possible.
+
+        Return True if the connection has been passed on or will be once its outstanding replies permit, and
+        False if it stays in this process.
+        """
         self._set_reading()
         if self._moves_to_successor:
             self.freeze()
@@ -430,7 +442,10 @@
         return not self.replies and self._hand_over_idle()
 
     def freeze(self) -> None:
-        """Freeze the connection for the successor process if its outstanding replies allow that now."""
+        """Stop reading and writing the connection, to send its state to the successor process.
+
+        Nothing happens while its outstanding replies do not permit a hand-over; this is then called again.
+        """
         self._set_reading()
         transport, successor = self.transport, self.server.successor
         # Danger: within a batch, commands that were read but not handled yet would be lost.
@@ -438,7 +453,7 @@
             return
         if transport is None or transport.is_closing():
             return
-        if successor is None or self.server.handovers_in_progress >= successor.room:
+        if successor is None or self.server.handovers_in_progress >= successor.free_capacity:
             return  # retried at the next drain step; until then its values keep streaming
         if can_hand_over(self.replies, self.server.exits_at - self.server.loop.time()):
             try:
@@ -448,7 +463,7 @@
             self.server.handovers_in_progress += 1
 
     def _hand_over_frozen(self, frozen: FrozenConnection) -> None:
-        """Send the frozen connection's record and descriptors to the successor, and count it out here."""
+        """Send the frozen connection's record and descriptors to the successor, and close it here."""
         successor, transport = self.server.successor, self.transport
         self.server.handovers_in_progress -= 1
         if self.closed or successor is None or transport is None:
@@ -466,7 +481,11 @@
         )
 
     def _hand_over_idle(self) -> bool:
-        """Pass an idle connection to a successor that takes no records; return False if not possible now."""
+        """Pass on a connection without outstanding replies, as its socket and the bytes of a partial command.
+
+        This is for a successor that does not accept a `ConnectionRecord`, the serialized state of a
+        connection with outstanding replies. Return False if it is not possible now.
+        """
         successor, transport, pending = self.server.successor, self.transport, self._dialect.held
         if successor is None or transport is None or transport.is_closing() or self.closed:
             return False
--- a/saltport/downstream/connection_handover.py
+++ b/saltport/downstream/connection_handover.py
@@ -25,11 +25,11 @@
 
     @property
     def takes_records(self) -> bool:
-        """Whether it accepts connections with outstanding replies, and not only idle connections."""
+        """Whether it accepts `ConnectionRecord`s, and so connections with outstanding replies."""
 
     @property
-    def room(self) -> int:
-        """How many more connections may be frozen for it now."""
+    def free_capacity(self) -> int:
+        """The number of connections that may be frozen for it now, besides those already queued or sent."""
 
     def give(self, descriptor: int, pending: bytes) -> bool:
         """Send an idle connection and its partial command; return False if that is not possible now.
@@ -38,7 +38,10 @@
         """
 
     def offer(self, parcel: ConnectionTransfer) -> None:
-        """Queue a frozen connection to be sent as soon as there is room."""
+        """Queue the record of a connection that this process no longer reads or writes, for sending.
+
+        It is sent as soon as the link to the successor has capacity.
+        """
 
 
 def can_hand_over(replies: Iterable[Reply], remaining_s: float) -> bool:
@@ -55,7 +58,9 @@
 
 
 class FrozenConnection:
-    """A frozen client connection: no more data is read from it or from the servers that stream its values.
+    """A client connection that is frozen for a hand-over.
+
+    No more data is read from it, or from the servers that stream its values.
 
     The bytes that its transport has not written are final when the transport reports the connection as lost:
     the descriptor is open until then, and nothing is written afterwards.
--- a/saltport/downstream/replies.py
+++ b/saltport/downstream/replies.py
@@ -51,8 +51,8 @@
     def write(self, data: bytes) -> None:
         """Write bytes to the client."""
 
-    def flush(self) -> None:
-        """Remove completed replies from the head of the queue, and continue with the next."""
+    def remove_completed_replies(self) -> None:
+        """Remove completed replies from the queue; the next reply then writes what it has buffered."""
 
     def abort(self, reason: CloseReason) -> None:
         """Close the connection immediately."""
@@ -99,7 +99,7 @@
         return self._answers
 
     def served(self, value: bytes) -> None:
-        """Send a complete successful answer: a value or a receipt."""
+        """Send a complete successful answer: the value that was read, or the origin's answer to a write."""
         self.answer = FinalAnswer.SERVED
         self.send(self.answers.served(value))
 
@@ -122,7 +122,7 @@
         """Write the encoded answer, or its last part, and mark the reply as complete."""
         self._write(data)
         self.done, self.source = True, None
-        self._connection.flush()
+        self._connection.remove_completed_replies()
 
     def start(self, length: int, source: StreamedValue) -> None:
         """Begin a streamed answer of this length; `source` is paused while the client can't receive more."""
--- a/saltport/handover/record.py
+++ b/saltport/handover/record.py
@@ -14,14 +14,14 @@
 RECORD_VERSION = 1
 MAX_COMMAND_BYTES = (4 << 20) + (64 << 10)  # a value, and far more than the other words of a command need
 MAX_REPLY_BYTES = 32 << 20  # total of the pipelined replies of one connection
-MAX_SEGMENTS = 512
+MAX_SEGMENTS = 512  # parts into which values in progress divide the pipelined replies of a connection
 MAX_VALUES_IN_PROGRESS = 64  # the kernel passes at most 253 descriptors with one message
 MAX_HEADER_BYTES = 256 << 10
 MAX_VALUE_BYTES = 4 << 20
-MAX_COMMAND_AGE_MS = 60_000
+MAX_COMMAND_AGE_MS = 60_000  # time since the last progress of a partially received command
 MAX_REST_BYTES = 128 << 10  # of the end of an answer; the codec of its server sets stricter bounds
-MAX_TEXT_LENGTH = 1024
-END_MARK_BYTES = 2
+MAX_TEXT_LENGTH = 1024  # of a text field such as a server id, in characters, and of `tail`, in bytes
+END_MARK_BYTES = 2  # after the value of a cache server's answer
 ANSWER_FORMS = {"cache": frozenset("123456789"), "origin": frozenset([""])}
 
 
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -124,6 +124,7 @@
         )
 
     def _default_dialect(self) -> Callable[[], ClientDialect]:
+        """Return a function that creates the dialect of a connection to the clients' main listener."""
         if self._memcached is None or not self._config.memcached.shared:
             return RespDialect
         from saltport.downstream.memcached import DetectingDialect
@@ -425,6 +426,10 @@
 def _owners_link(
     loop: asyncio.AbstractEventLoop, plan: OwnersPlan, peers: PeerLink, host: RouterHost, seed: int
 ) -> OwnersLink:
+    """Return the component that elects one owner for each task of the fleet, which then runs that task.
+
+    It exchanges messages with the other routers over `peers`.
+    """
     from saltport.owners.link import OwnersLink  # imported only if enabled
 
     return OwnersLink(loop, plan, peers, host, seed)
@@ -437,6 +442,7 @@
     owners: OwnersLink | None,
     host: RouterHost,
 ) -> FailoverLink | None:
+    """Return the component that distributes traffic over zones by a shared plan; None if it is off."""
     topology = config.settings.topology
     if not config.failover or topology is None or peers is None or owners is None:
         return None
@@ -446,6 +452,7 @@
 
 
 def _peer_link(loop: asyncio.AbstractEventLoop, config: Config, host: RouterHost) -> PeerLink:
+    """Return the component that exchanges messages with the other routers of the fleet."""
     from saltport.peers.event_log import EventLog  # imported only if enabled
     from saltport.peers.link import PeerLink
 
@@ -478,6 +485,7 @@
 
 
 def _access_log(loop: asyncio.AbstractEventLoop, config: Config) -> AccessLog:
+    """Return the log of client requests, in a file of this process in the configured folder."""
     from saltport.downstream.access_log import AccessLog  # imported only if enabled
 
     path = Path(config.access_log.folder) / f"access-{config.name}-{os.getpid()}.jsonl"
@@ -485,6 +493,7 @@
 
 
 def _memcached(features: MemcachedFeatures) -> Callable[[], ClientDialect]:
+    """Return a function that creates the memcached dialect of a client connection."""
     from saltport.downstream.memcached import MemcachedDialect, MemcachedRules  # imported only if enabled
 
     rules = MemcachedRules(
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -175,7 +175,7 @@
         return self._successor is not None and self.sender.receiver_version == RECORD_VERSION
 
     @property
-    def room(self) -> int:
+    def free_capacity(self) -> int:
         """How many more connections may be frozen for the successor now."""
         return self.sender.free_capacity
 
--- a/saltport/membership/registry.py
+++ b/saltport/membership/registry.py
@@ -41,18 +41,21 @@
 from saltport.transport.stream import StreamProtocol
 from saltport.wire.http import HttpError, HttpReader, request
 
-MAX_BODY_BYTES = 8 << 20
+MAX_BODY_BYTES = 8 << 20  # of an answer of the discovery service
 LIST_PATH = "/registry/instances"
 MAX_CHANGE_DELAY_S, SILENT_WATCH_MARGIN_S = 6.0, 2.0  # limits of the protocol, see above
 LOOP_DELAY_S = 0.3  # allowance for delays of the event loop
 ROUND_TRIP_S = 0.7  # added to a watch's wait for the round trip
 CALL_TIMEOUT_S = 1.0  # for a call without a wait, dial included; the agent answers at once
 RETRY_DELAY_S = 0.1  # discovery continues a watch if the next call comes within 0.2 s
-PUSHED_WAIT_S = 2.5
-SUBSCRIBED_CALL_TIMEOUT_S = 2.0  # calls queue at a discovery service with subscriptions
+PUSHED_WAIT_S = 2.5  # of a watch of a pushed list: discovery answers at a change, or after this time
+# Time-out of a call for the full list, by a router that subscribes to the list's changes. It is longer than
+# CALL_TIMEOUT_S because calls queue at a discovery service with subscriptions.
+SUBSCRIBED_CALL_TIMEOUT_S = 2.0
 # From the start of a failed call to the start of the next one.
 RETRY_INTERVAL_S = MAX_CHANGE_DELAY_S - SUBSCRIBED_CALL_TIMEOUT_S - LOOP_DELAY_S
 MAX_ANSWER_TIME_S = 3.0  # longest time for an answer of a discovery service that counts as reachable
+# From the time-out of a call until its connection is closed. Until then a late answer is still applied.
 LATE_ANSWER_TIMEOUT_S = MAX_CHANGE_DELAY_S - CALL_TIMEOUT_S
 # From the start of an unanswered call to the start of the next one.
 TIMEOUT_RETRY_INTERVAL_S = MAX_CHANGE_DELAY_S - MAX_ANSWER_TIME_S - LOOP_DELAY_S
@@ -213,6 +216,7 @@
         )
 
     async def _follow_pushed(self) -> None:
+        """Watch the server list for ever, for a discovery service that answers without a subscription."""
         is_failing = False
         while True:
             try:
@@ -228,6 +232,10 @@
             await asyncio.sleep(pause)
 
     async def _follow_subscribed(self) -> None:
+        """Watch the server list until a call fails, for a discovery service that requires subscriptions.
+
+        A failure ends the watch, schedules the next `subscribe` and is reported to the owner of this object.
+        """
         loop = asyncio.get_running_loop()
         started_at, timed_out = loop.time(), False
         try:
@@ -256,6 +264,11 @@
         self._on_failure()
 
     async def _fetch_once(self, wait_s: float, timeout_s: float) -> None:
+        """Make one call and apply the list in its answer; raises an exception if the call fails.
+
+        Unless the full list is needed, the call is a watch: discovery answers at a change of the list, or
+        after `wait_s`. `timeout_s` is the time-out of a call that does not wait.
+        """
         full = self._needs_full_list
         target = LIST_PATH if full else f"{LIST_PATH}?index={self.generation}&wait={int(wait_s * 1000)}"
         self._started_calls += 1
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -26,11 +26,11 @@
     from saltport.owners.link import OwnersPlan
     from saltport.peers.link import PeerPlan
 
-DEFAULT_MAX_OPEN = 20_000
-DEFAULT_DIAL_TIMEOUT_NS = 250_000_000
-DEFAULT_IDLE_CLOSE_NS = 10_000_000_000
-DEFAULT_MEMORY_MB = 192
-DEFAULT_SOCKETS = 1024
+DEFAULT_MAX_OPEN = 20_000  # client requests that are open at the same time
+DEFAULT_DIAL_TIMEOUT_NS = 250_000_000  # of connections to cache servers and the origin
+DEFAULT_IDLE_CLOSE_NS = 10_000_000_000  # after which a cache server closes an idle connection
+DEFAULT_MEMORY_MB = 192  # memory limit, above which the platform kills the router
+DEFAULT_SOCKETS = 1024  # limit on open file descriptors
 START_ONLY_KEYS = {"known", "seed"}  # matter only at a start; a file for a reload may omit them
 
 
@@ -78,9 +78,10 @@
 
 
 def load_config(environ: Mapping[str, str], with_files: Sequence[Path] = ()) -> Config:
-    """Return the configuration from the file and the feature files; raises ConfigError.
+    """Return the configuration from the JSON file that the environment variable LB_CONFIG names.
 
-    Environment variables take precedence over the file.
+    `with_files` are TOML feature files, each of which configures optional features; their settings take
+    precedence over the JSON file, as do other environment variables. Raises ConfigError.
     """
     path = environ.get("LB_CONFIG")
     if not path:
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -103,6 +103,7 @@
             self.loop.call_soon(self._end_loop_iteration)
 
     def _end_loop_iteration(self) -> None:
+        """Record in the lag meter that the event loop has finished an iteration and polls the kernel next."""
         self.lag.end_iteration(time.monotonic_ns())
 
     def _heartbeat(self) -> None:
@@ -388,7 +389,7 @@
             case Log():
                 log.info("%s", action.message)
             case Answer():
-                self._answer(action.request)
+                self._send_deferred_answer(action.request)
             case Copy():
                 self._copy(action)
             case Invalidate():
@@ -407,14 +408,14 @@
         attempt.set_timeout_at(min(now + action.timeout, last) if action.timeout else last)
         self._pool.submit(action.server, attempt)
 
-    def _answer(self, request_id: str) -> None:
-        """Send the held receipt of a write to the client."""
+    def _send_deferred_answer(self, request_id: str) -> None:
+        """Send the client the origin's answer to a write, deferred until all copies were invalidated."""
         request = self._requests.get(request_id)
-        if request is None or request.closed or request.held_receipt is None:
+        if request is None or request.closed or request.deferred_answer is None:
             return
         request.closed = True
         self.count_end(request, self.figures.answered)
-        request.reply.served(request.held_receipt)
+        request.reply.served(request.deferred_answer)
         self.forget_if_finished(request)
 
     def _copy(self, action: Copy) -> None:
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -76,7 +76,7 @@
 
     __slots__ = (
         "_host", "_order", "_stage", "_timer", "arrival_uncertainty_ns", "attempts", "closed", "counted",
-        "deadline", "held_receipt", "id", "max_attempts", "may_have_run", "message", "open_attempts",
+        "deadline", "deferred_answer", "id", "max_attempts", "may_have_run", "message", "open_attempts",
         "queued_attempt", "reply",
     )  # fmt: skip
 
@@ -106,8 +106,8 @@
         """Whether the request's end is counted in the figures."""
         self.queued_attempt: Attempt | None = None
         """The latest attempt, while it waits for a connection."""
-        self.held_receipt: bytes | None = None
-        """A write's receipt that the decision module has not yet released to the client."""
+        self.deferred_answer: bytes | None = None
+        """The origin's answer to a write, which the client receives once the decision module releases it."""
 
     def start(self) -> None:
         """Start the request, or queue it behind earlier commands of its connection for the same key."""
@@ -272,12 +272,12 @@
         flow = self.connection.suspend()
         value = PartialValue(flow, self._class, self._reply.tail)
         self._source = None
-        self._count_transfer()
+        self._stop_counting()
         self.end(Outcome.CANCELLED)
         return value
 
-    def _count_transfer(self) -> None:
-        """Stop counting the request here; the process that takes over the value counts its end."""
+    def _stop_counting(self) -> None:
+        """End the counting of the request as open, without a result: another process counts its result."""
 
 
 class Attempt(Relay):
@@ -287,12 +287,12 @@
     _due = 0
     _written_at = 0
     _timeout = 0
-    _was_held_back = False
+    _delayed_by_shortage = False
     _lateness_checked = False
 
     def __init__(self, host: RequestHost, request: OpenRequest, send: Send) -> None:
         super().__init__(host, request.reply, request.message.request_class)
-        self._request, self._server, self._hold = request, send.server, send.defer_answer
+        self._request, self._server, self._defer_answer = request, send.server, send.defer_answer
         self._not_after_ns = send.not_after or request.deadline.at_ns
         self.request = request.message
         self._number = request.attempts
@@ -324,7 +324,7 @@
 
     def _restart_timeout(self, now: int) -> None:
         """Restart the full time-out at `now`, for an attempt that a local shortage kept from being sent."""
-        self.waits_for_resources, self._was_held_back = False, True
+        self.waits_for_resources, self._delayed_by_shortage = False, True
         self._due = min(now + self._timeout, self._request.deadline.at_ns)
         self._timer = self._host.call_at(self._due, self._timed_out)
 
@@ -363,7 +363,7 @@
         """Note that the request has been written to a connection."""
         self._written_at = time.monotonic_ns()
         self._request.queued_attempt = None
-        if self.waits_for_resources or self._was_held_back:
+        if self.waits_for_resources or self._delayed_by_shortage:
             if self._timer is not None:
                 self._timer.cancel()
             # Danger: if the latency included the wait for local resources, the server would seem slow.
@@ -397,7 +397,7 @@
         request.reply.start(length, self)
         self._host.dispatch(StreamStarted(request.id, self._number))
 
-    def _count_transfer(self) -> None:
+    def _stop_counting(self) -> None:
         self._host.count_end(self._request, None)
 
     def ended(self, outcome: Outcome, value: bytes | None = None, note: CacheStatus | None = None) -> None:
@@ -421,8 +421,8 @@
                 self._host.count_end(request, self._host.figures.errored)
                 reply.abort_value()
         elif outcome is Outcome.OK and not request.closed and value is not None:
-            if self._hold:
-                request.held_receipt = value
+            if self._defer_answer:
+                request.deferred_answer = value
             else:
                 request.closed = True
                 self._host.count_end(request, self._host.figures.answered)
@@ -468,10 +468,11 @@
 
     def client_gone(self) -> None:
         """Cancel the relay because the client has disconnected; the request is not counted as answered."""
-        self._count_transfer()
+        self._stop_counting()
         self.client_left()
 
-    def _count_transfer(self) -> None:
+    def _stop_counting(self) -> None:
+        """End the counting of the request as open, without a result, unless its end is counted already."""
         if not self._counted:
             self._counted = True
             self._host.figures.count_end(self._class, None)
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -32,6 +32,10 @@
 
 
 def _indexed(where: str, table: tuple[Any, ...], value: Any) -> Any:
+    """Return the entry of `table` at the index `value`; raises WireError if there is none.
+
+    `where` is the name of the message's field, for the error message.
+    """
     if not 0 <= typed(where, value, int) < len(table):
         raise WireError(f"{where}: unknown value {value!r}")
     return table[value]
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -60,7 +60,10 @@
 
 
 class Exchange:
-    """One command or HTTP request to a server and its answer; `ended` is called exactly once."""
+    """One command or HTTP request to a server and its answer; `ended` is called exactly once.
+
+    `report` is the load report in the server's answer, unparsed.
+    """
 
     connection: Connection | None = None
     over = False
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -16,9 +16,9 @@
 from saltport.transport.stream import TcpStream
 from saltport.upstream.connection import Connection, Exchange, Server, StartResult
 
-MAX_CONNECTIONS_PER_SERVER = 16
+MAX_CONNECTIONS_PER_SERVER = 16  # further exchanges wait in the server's queue
 IDLE_SHARE = 0.6  # part of `idle_close` after which an idle connection is closed
-SWEEP_INTERVAL_S = 0.5
+SWEEP_INTERVAL_S = 0.5  # between two searches for connections that have been idle for too long
 MAX_TIMER_DELAY_S = 0.02  # a later timer means a blocked loop, with unread events in the kernel
 
 
@@ -334,6 +334,7 @@
         self._dial_for(server)
 
     def _dial_failed(self, server: Server, outcome: Outcome) -> None:
+        """End the first exchange that waits for a server with `outcome`, and dial again for the others."""
         while server.queue:
             exchange = server.queue.popleft()
             if not exchange.over:
@@ -345,10 +346,12 @@
         self.descriptor_freed()
 
     def _remove_if_unused(self, server: Server) -> None:
+        """Forget a server that is not listed and uses no descriptor."""
         if not server.is_listed and not server.descriptor_count:
             self._servers.pop(server.id, None)
 
     def _sweep(self) -> None:
+        """Close connections that were idle for too long, and dial for queued exchanges; repeat regularly."""
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = self.loop.time() - self.idle_limit
         for server in self._servers.values():
--- a/saltport/upstream/resp.py
+++ b/saltport/upstream/resp.py
@@ -78,9 +78,13 @@
         # not reused. They are not parsed: garbage there does not invalidate the answer before it.
         self.retired = self.retired or self._reader.has_trailing_data
         for message in messages:
-            self._take(message)
+            self._handle_message(message)
 
-    def _take(self, message: Message) -> None:
+    def _handle_message(self, message: Message) -> None:
+        """Pass a part of a value to the current exchange, or end the exchange with a complete answer.
+
+        An answer of a type that does not fit the command closes the connection.
+        """
         exchange = self.exchange
         if isinstance(message, Answer):
             outcome = Outcome.OK if message.value is not None else Outcome.MISS
@@ -101,6 +105,7 @@
             self.close_with_error("sent an answer of an unexpected type")
 
     def _answered(self, outcome: Outcome, value: bytes | None, answer: Answer | ValueEnded) -> None:
+        """End the current exchange with an outcome, the value, and the load report and note of the answer."""
         if self.exchange is not None and answer.report is not None:
             self.exchange.report = answer.report
         self.finish(outcome, value, _NOTES.get(answer.note) if answer.note is not None else None)
--- a/saltport/wire/resp_answers.py
+++ b/saltport/wire/resp_answers.py
@@ -66,7 +66,10 @@
 
 
 class ValueEnded(NamedTuple):
-    """The end of an answer whose value was returned in parts."""
+    """The end of an answer whose value was returned in parts.
+
+    `note` says how the read went (`hit` or `miss`, for example), `report` is the unparsed load report.
+    """
 
     note: bytes | None
     report: bytes | None
@@ -94,7 +97,11 @@
         return bytes(self._buffer)
 
     def resume(self, value_length: int, remaining_bytes: int, pending: bytes) -> None:
-        """Continue an answer whose value another reader has returned in part."""
+        """Continue in the middle of a value, of which another reader has returned the first part.
+
+        `remaining_bytes`: bytes of the value and its end mark that are still to be received; `pending`: bytes
+        after the end mark that were received already, which `remaining_bytes` does not count.
+        """
         self.value_length, self.remaining_bytes = value_length, remaining_bytes
         self._buffer += pending
 
@@ -131,6 +138,7 @@
                 raise FramingError("an element of an unknown type")
 
     def _read_array(self, data: bytes, messages: list[Message]) -> None:
+        """Parse the array that answers a read or a write; only the start of a long value is parsed."""
         count, position = _read_length(data, 0, b"*")
         if count != ANSWER_ELEMENTS:
             raise FramingError(f"an array of {count} elements")
