--- a/saltport/decisions/effects.py
+++ b/saltport/decisions/effects.py
@@ -15,7 +15,10 @@
 
 
 def may_send(request: Request, node: Node, now: int) -> bool:
-    """Whether sending to `node` now risks no second effect, since repeats are harmless or dropped there."""
+    """Whether a request may be sent to `node` now without the risk of a second effect.
+
+    A keyed request that may have had an effect goes only to servers that still drop its repeats.
+    """
     if request.possible_effect_node is None or request.cls.effect is Effect.SAFE:
         return True
     here, there = node.entry, request.possible_effect_node.entry
--- a/saltport/decisions/inheritance.py
+++ b/saltport/decisions/inheritance.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from saltport.decisions.health import Node
-from saltport.decisions.outliers import MAX_EJECTION_NS, WINDOW_NS, Record
+from saltport.decisions.outliers import FAILURE_WINDOW_NS, MAX_EJECTION_NS, Record
 from saltport.decisions.settings import WireError, number
 from saltport.structures.windowed_counter import WindowedCounter
 
@@ -56,7 +56,7 @@
     return [
         limit,
         node.limit.response_time,
-        node.limit.base_time,
+        node.limit.base_response_time,
         times.mean,
         times.deviation,
         node.weight_factor,
@@ -92,7 +92,7 @@
             (
                 limit,
                 node.limit.response_time,
-                node.limit.base_time,
+                node.limit.base_response_time,
                 times.mean,
                 times.deviation,
                 node.weight_factor,
@@ -104,7 +104,7 @@
         if node is not None:
             record = Record(
                 node.entry.started,
-                WindowedCounter(WINDOW_NS, now),
+                WindowedCounter(FAILURE_WINDOW_NS, now),
                 ejections=ejections,
                 reason=reason,
             )
--- a/saltport/decisions/logic.py
+++ b/saltport/decisions/logic.py
@@ -28,7 +28,8 @@
 
 TIMEOUT_DEVIATIONS = 6  # deviations above the mean response time after which an answer counts as lost
 INFORMATIVE_OUTCOMES = (*ANSWERED, Outcome.TIMEOUT)
-MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8  # above the second there is no early time-out
+# Shares of a class's aim: the longest attempt time-out; above the second, attempts get no early time-out.
+MAX_TIMEOUT_AIM_SHARE, SLOW_AIM_SHARE = 0.95, 0.8
 
 
 class Router:
@@ -96,19 +97,24 @@
             part.apply_settings(settings)
 
     def _servers_changed(self, event: api.ServersChanged) -> None:
+        """Apply a change of the server list, or schedule a new subscription after a failed one."""
         if self.settings.must_subscribe:
             self._schedule_subscription(event.kind)
         if event.kind is not ListKind.FAILED:
             self._update(*self.registry.apply(event))
 
     def _update(self, ready: list[api.Server], left: list[str]) -> None:
+        """Use the servers in `ready`, and stop using those whose ids are in `left`."""
         for table, is_origin in ((self.caches, False), (self.origins, True)):
             entries = [entry for entry in ready if (entry.kind == self.settings.origin_kind) == is_origin]
             table.update(entries, left, self._now)
         self.outliers.update_nodes(self.caches.nodes, self._now)
 
     def _schedule_subscription(self, kind: ListKind) -> None:
-        """Schedule a subscription at the start and after failures; back-off and jitter spare discovery."""
+        """Schedule a subscription at the start and after each failure, with jitter and exponential back-off.
+
+        The delays keep routers from overloading the discovery service.
+        """
         if kind not in (ListKind.CACHED, ListKind.FAILED):
             self._failed_subscriptions = 0
         elif not self._subscription_scheduled:
@@ -118,6 +124,7 @@
             self._actions.append(api.SetTimer(self._rng.randint(max_delay // 4, max_delay), "subscribe"))
 
     def _timer_fired(self, token: str) -> None:
+        """Subscribe, or continue the request that has waited; the replication has timers of its own."""
         if token == "subscribe":
             self._subscription_scheduled = False
             self._actions.append(api.Subscribe())
@@ -130,6 +137,10 @@
             self._fetch(request)
 
     def _arrived(self, event: api.RequestArrived) -> None:
+        """Admit or refuse a new request; send an admitted read to a cache server, a write to the origin.
+
+        Without an origin, writes go to cache servers too.
+        """
         limiter = self.fetches.rate_limiters.get(event.tenant or "", self.fetches.rate_limiters[""])
         request = Request(event, self._classes[event.request_class], limiter, self.settings.max_attempts)
         slots = self.settings.slots
@@ -147,6 +158,7 @@
             self._route(request)
 
     def _send(self, request: Request, node: Node, fixed_timeout: int | None = None) -> None:
+        """Send an attempt of a request to a server, with the usual time-out or a fixed one."""
         request.sends += 1
         request.node, request.sent_at, request.in_flight, request.counts_as_load = node, self._now, True, True
         node.load += 1
@@ -158,18 +170,24 @@
             self.replication.sent(request, node)
 
     def _attempt_timeout(self, request: Request, node: Node) -> int:
-        known, aim = self.fetches.response_time if request.fetching else self._response_time, request.cls.aim
+        """Return the time-out of an attempt, 0 for none, and store when its answer counts as lost."""
+        overall, aim = (
+            self.fetches.response_time if request.fetching else self._response_time,
+            request.cls.aim,
+        )
         of_node = node.response_time
-        mean, deviation = max(known.mean, of_node.mean), max(known.deviation, of_node.deviation)
+        mean, deviation = max(overall.mean, of_node.mean), max(overall.deviation, of_node.deviation)
         request.lost_after = int(min(mean + deviation * TIMEOUT_DEVIATIONS, aim * MAX_TIMEOUT_AIM_SHARE))
         slow = mean + deviation * TIMEOUT_DEVIATIONS / 2 > aim * SLOW_AIM_SHARE
         first = not request.refetching if request.fetching else request.sends == 1
         return 0 if slow or not first or not may_repeat(request) else request.lost_after
 
     def _may_try(self, request: Request) -> bool:
+        """Whether a request has time and attempts left for one more attempt."""
         return request.sends < request.attempts and self._now < request.deadline
 
     def _route(self, request: Request) -> None:
+        """Send a request's next attempt to a cache server, or to the origin if none can serve it."""
         if not self._may_try(request):
             self._give_up(request, Reason.TRIES_SPENT)
             return
@@ -186,6 +204,7 @@
             self._give_up(request, choice)
 
     def _missed(self, request: Request) -> None:
+        """Fetch a request from the origin, or let it wait for another request's fetch of the same key."""
         if not request.write and (reason := self.replication.refusal_reason(request, self._now)):
             self._give_up(request, reason)
         elif self.replication.bypasses_coalescing(request) or not self.fetches.join(request):
@@ -194,6 +213,7 @@
             self._wait(request, request.deadline - self._now)
 
     def _fetch(self, request: Request) -> None:
+        """Send a request to the origin if its limits permit; otherwise wait, if it is a write, or give up."""
         request.waiting = False
         origins = self.replication.origins(self.origins.rank(request.slot, self._now), request)
         if not origins or not self._may_try(request) or not may_send(request, origins[0], self._now):
@@ -218,6 +238,7 @@
             request.node.load -= 1
 
     def _attempt_ended(self, event: api.AttemptEnded) -> None:
+        """Learn from the outcome of an attempt, and answer, retry, fetch or give up its request."""
         request = self.requests.get(event.request)
         if request is None or request.node is None:
             return
@@ -269,6 +290,7 @@
             self._weights.learn(node, event.load, request.cls.aim, request.sent_at, self._now)
 
     def _record_outcome(self, request: Request, node: Node, event: api.AttemptEnded, took: int) -> None:
+        """Record an attempt's outcome in the cache server's state and in the outlier detection."""
         if event.outcome in ANSWERED:
             node.response_time.add_sample(event.latency)
             self._response_time.add_sample(event.latency)
@@ -279,16 +301,17 @@
         node.record_outcome(outcome, took, request.cls.aim, request.sent_at, self._now)
         if self.caches.nodes.get(node.entry.id) is not node:
             return
-        change = self.outliers.learn(node, request.id, outcome, request.sent_at, self._now)
+        change = self.outliers.record_outcome(node, request.id, outcome, request.sent_at, self._now)
         if change is not None:
             self._actions.append(api.Log(change.message))
             if change.readmitted:
                 node.limit = Limit(self._now)
 
     def _fetch_failed(self, request: Request, outcome: Outcome, late: bool, stale_connection: bool) -> None:
-        """Retry a failed write after a pause; leave reads to the client's retry, to spare the origin.
+        """Retry a failed write after a pause; give up a failed read, which the client may retry.
 
-        A lost attempt, which is no fault of the origin, is repeated once immediately.
+        Not retrying reads limits the load on the origin. A lost attempt (a stale connection or an early
+        time-out) is repeated once without a pause, as it shows no fault of the origin.
         """
         if (stale_connection or (outcome is Outcome.TIMEOUT and not late)) and not request.refetching:
             request.refetching = True
@@ -308,10 +331,12 @@
                 (self._route if stored else self._missed)(waiter)
 
     def _wait(self, request: Request, delay: int) -> None:
+        """Let a request wait, and set a timer after which it continues or is given up."""
         request.waiting = True
         self._actions.append(api.SetTimer(delay, request.id))
 
     def _give_up(self, request: Request, reason: Reason) -> None:
+        """Refuse a request, or fail it if it may have had an effect that a retry would repeat."""
         self.given_up.add((request.rate_limiter.name, reason.value), self._now)
         if may_refuse(request):
             wait = int(self._rng.uniform(0.5, 1.0) * self.settings.max_retry_after)
@@ -321,6 +346,10 @@
         self._finish(request)
 
     def _finish(self, request: Request, stored: bool = False) -> None:
+        """Record that a request has its final answer; forget it once no attempt is in flight.
+
+        `stored` says whether its fetch has filled the cache.
+        """
         if not request.done:
             self.replication.done(request, stored, self._now)
         request.done, request.waiting = True, False
--- a/saltport/decisions/ordering.py
+++ b/saltport/decisions/ordering.py
@@ -62,6 +62,7 @@
 
     @staticmethod
     def _begin(queue: KeyQueue[Command], write: bool) -> None:
+        """Count a command that runs now."""
         if write:
             queue.writing = True
         else:
--- a/saltport/decisions/origin.py
+++ b/saltport/decisions/origin.py
@@ -1,7 +1,8 @@
 """Admission of calls to the origin, coalescing of fetches, and the origin's concurrency limit.
 
-Each tenant has a rate limit (suppression.py). An AIMD concurrency limit delays writes until another call has
-ended. Reads of one key share their leader's fetch. Times are in nanoseconds.
+Each tenant has a rate limit (suppression.py). A concurrency limit with additive increase and multiplicative
+decrease delays writes until another call has ended. Reads of one key share their leader's fetch. Times are in
+nanoseconds.
 """
 
 from __future__ import annotations
@@ -16,6 +17,7 @@
 from saltport.decisions.suppression import CUT_FACTOR, Suppressor
 from saltport.structures.response_time import ResponseTimeEstimate
 
+# Calls over which the share of failed calls is smoothed, and the share from which limits are cut.
 FAILURE_SAMPLES, MAX_FAILURE_SHARE = 8, 0.2
 # Outcomes that are no failure of the origin unless late: an early time-out had too little time left.
 NOT_ORIGIN_FAILURES = (Outcome.NOT_SENT, Outcome.CANCELLED, Outcome.TIMEOUT)
@@ -34,6 +36,7 @@
         self._failure_share = 0.0  # smoothed share of failed fetches
         self._waiting_writes: list[Request] = []  # waiting for a call to end; the newest goes first
         self._coalesced: dict[str, list[Request]] = {}
+        """By key, the reads that wait for the fetch that is in flight, without the read that leads it."""
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply the tenants of new settings; the rate limiters of remaining tenants keep their state."""
@@ -44,7 +47,10 @@
             self.rate_limiters[tenant.name] = limiter or Suppressor(tenant, settings.routers, self._rng)
 
     def admit(self, request: Request, origin: Node, now: int) -> Reason | None:
-        """Return why a request may not go to the origin now; an ORIGIN_BUSY write is queued for later."""
+        """Return why a request may not be sent to the origin now, or None.
+
+        A write that gets ORIGIN_BUSY is queued, and `releasable_writes` yields it later.
+        """
         if request.write:
             if origin.load >= self._concurrency_limit:
                 self._waiting_writes.append(request)
@@ -69,12 +75,16 @@
         return True
 
     def end_coalesced(self, request: Request) -> list[Request]:
-        """End the coalesced fetch that a request leads; return the requests that waited for it."""
+        """End the coalesced fetch that `request` leads; return the other reads that waited for its result."""
         request.leader = False
         return self._coalesced.pop(request.key or "", [])
 
     def ended(self, node: Node, event: AttemptEnded, late: bool, now: int) -> None:
-        """Raise the limits after a successful call; cut them on repeated failures."""
+        """Raise the limits after a successful call; cut them on repeated failures.
+
+        The limits are the concurrency limit and the tenants' rate limits. Tenants that use more than their
+        portion of the calls are cut harder.
+        """
         if event.outcome is Outcome.TIMEOUT:
             self.response_time.add_sample(event.latency)
         if event.outcome is Outcome.OK and not late:
@@ -92,6 +102,7 @@
                 self._cut(node, now)
 
     def _cut(self, node: Node, now: int) -> None:
+        """Cut the concurrency limit and the rate limit of each tenant."""
         self._last_cut = now
         self._concurrency_limit = max(1.0, min(self._concurrency_limit, node.load + 1) * CUT_FACTOR)
         total_rate = sum(limiter.call_rate(now) for limiter in self.rate_limiters.values())
@@ -105,5 +116,6 @@
             if waiter.waiting:
                 yield waiter
             if self._waiting_writes and self._waiting_writes[-1] is waiter:
-                # Danger: endless after a change of the entry, if the new node is full but `node` is not.
+                # Danger: after a change of the origin's entry, `node` is the old one and stays below the
+                # limit while the new one is full; without this check the loop never ends.
                 break
--- a/saltport/decisions/outliers.py
+++ b/saltport/decisions/outliers.py
@@ -16,10 +16,10 @@
 from saltport.structures.windowed_counter import WindowedCounter
 
 CONSECUTIVE_FAILURES = 3  # at 1 % random failures a wrong ejection has a probability of one in a million
-WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
+FAILURE_WINDOW_NS = 10 * NS_PER_S  # the window in which attempts and failures are counted
 MIN_ATTEMPTS, EXCESS_FAILURE_SHARE = 10, 0.5  # the share above the failure rate of all servers
 BASE_EJECTION_NS, MAX_EJECTION_NS = NS_PER_S, 30 * NS_PER_S  # duration of the first ejection, and the longest
-JITTER = 0.1  # random share added to each ejection, so that routers do not return together
+EJECTION_JITTER = 0.1  # random share added to each ejection, so that routers do not return together
 EJECTION_MEMORY_NS = 60 * NS_PER_S  # without an ejection, after which one earlier ejection no longer counts
 # Shares of the listed servers: that may be ejected, and above which so many look faulty that ejections are
 # ignored. They permit the loss of one zone of three.
@@ -55,45 +55,64 @@
     """The evidence against one server; a server without any has no record."""
 
     started: int
+    """When the server started; a record of an earlier start is discarded."""
     attempts: WindowedCounter
-    unanswered: int = 0
+    """Recent attempts and, among them, those that failed."""
+    consecutive_failures: int = 0
     """Unanswered attempts in a row."""
-    conn_failures: int = 0
-    """Failed dials and resets among them, each of an attempt sent after the previous one was known."""
-    conn_failed_at: int = 0
-    unanswered_since: int = 0
+    connection_failures: int = 0
+    """Failed dials and resets among the consecutive failures.
+
+    One counts only if its attempt was sent after the end of the previous one was known.
+    """
+    last_connection_failure_at: int = 0
+    first_failure_sent_at: int = 0
     """When the first of the consecutive failures was sent."""
-    failed_at: int = 0
+    last_failure_at: int = 0
     ejections: int = 0
+    """The number of ejections, by which the next one is lengthened; see `recent_ejections`."""
     ejected_at: int = 0
     ejected_until: int = 0
     """The end of the ejection; 0: not ejected."""
     readmitted_at: int = 0
     reason: str = ""
+    """Why the server was last ejected, or would have been."""
     trial: str | None = None
     """The id of the request that currently tests the server."""
     left_at: int | None = None
+    """When the server left the list; None: it is listed."""
 
     def reason_to_eject(self, usual: float, silence: int) -> str:
-        """Return why to eject, or ""; `usual`: the fleet's failure rate, `silence`: least time-out span."""
-        if self.conn_failures >= CONSECUTIVE_FAILURES:
-            return f"{self.conn_failures} broken or refused connections in a row"
+        """Return why the server should be ejected, or an empty string.
+
+        `usual` is the failure rate of all servers, `silence` the least duration of consecutive time-outs.
+        """
+        if self.connection_failures >= CONSECUTIVE_FAILURES:
+            return f"{self.connection_failures} broken or refused connections in a row"
         # Danger: an overloaded server may exceed the attempt time-out; ejecting it would overload the next.
-        silent = self.failed_at - self.unanswered_since
-        if self.unanswered >= CONSECUTIVE_FAILURES and silent >= silence:
-            return f"{self.unanswered} failures in a row over {silent / NS_PER_S:.1f} s"
+        silent = self.last_failure_at - self.first_failure_sent_at
+        if self.consecutive_failures >= CONSECUTIVE_FAILURES and silent >= silence:
+            return f"{self.consecutive_failures} failures in a row over {silent / NS_PER_S:.1f} s"
         attempts, failures = self.attempts.totals()
         if attempts >= MIN_ATTEMPTS and failures >= attempts * (usual + EXCESS_FAILURE_SHARE):
             return f"{failures} of {attempts} attempts failed"
         return ""
 
-    def repeats(self, now: int) -> int:
-        """Return the number of ejections that still lengthen the next one."""
+    def recent_ejections(self, now: int) -> int:
+        """Return the number of ejections that still lengthen the next one.
+
+        For each EJECTION_MEMORY_NS since the server was last readmitted, one ejection less counts.
+        """
         return max(self.ejections - max(now - self.readmitted_at, 0) // EJECTION_MEMORY_NS, 0)
 
     def has_no_evidence(self, now: int) -> bool:
         """Whether the record contains no evidence any more."""
-        return not (self.unanswered or self.attempts.totals()[1] or self.ejected_until or self.repeats(now))
+        return not (
+            self.consecutive_failures
+            or self.attempts.totals()[1]
+            or self.ejected_until
+            or self.recent_ejections(now)
+        )
 
 
 class OutlierDetector:
@@ -106,7 +125,7 @@
         self.ejected: set[str] = set()
         self.suspects: set[str] = set()  # would be ejected, but MAX_EJECTED_SHARE is reached
         self.listed = 0
-        self._all_attempts = WindowedCounter(WINDOW_NS)
+        self._all_attempts = WindowedCounter(FAILURE_WINDOW_NS)
 
     def apply_settings(self, settings: Settings) -> None:
         """Apply new settings; the evidence is preserved."""
@@ -133,13 +152,17 @@
 
     @property
     def panicking(self) -> bool:
-        """Whether so many servers look faulty that this router itself is more likely at fault."""
+        """Whether so many servers look faulty that this router itself is more likely at fault.
+
+        Ejections are ignored then.
+        """
         return len(self.ejected) + len(self.suspects) > self.listed * PANIC_SHARE
 
     def state(self, server: str, now: int, first: bool = True) -> EjectionState:
-        """Return a server's state for a request's first or further attempt.
+        """Return a server's state for a request; `first` says that this is the request's first attempt.
 
-        In panic, suspects receive first attempts only.
+        In panic, the first attempt goes to the slot's own server whatever its record, and further attempts
+        only to servers without suspicion.
         """
         if server not in self.ejected and server not in self.suspects:
             return EjectionState.HEALTHY
@@ -151,10 +174,15 @@
         return EjectionState.EJECTED if now < record.ejected_until or record.trial else EjectionState.TRIAL
 
     def start_trial(self, server: str, request: str) -> None:
-        """Test an ejected server with one request; no other request is sent there until it has ended."""
+        """Record that a request is sent to an ejected server as a trial.
+
+        Its outcome ends or renews the ejection. No other request is sent there until the trial has ended.
+        """
         self.records[server].trial = request
 
-    def learn(self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int) -> StateChange | None:
+    def record_outcome(
+        self, node: Node, request: str, outcome: Outcome, sent_at: int, now: int
+    ) -> StateChange | None:
         """Record an attempt's outcome; return the change of the server's state, if any."""
         server = node.entry.id
         record = self.records.get(server)
@@ -163,7 +191,9 @@
         if record is None:
             if outcome not in NO_ANSWER and outcome not in FAILURES:
                 return None
-            record = self.records[server] = Record(node.entry.started, WindowedCounter(WINDOW_NS, now))
+            record = self.records[server] = Record(
+                node.entry.started, WindowedCounter(FAILURE_WINDOW_NS, now)
+            )
         is_trial = record.trial == request
         if is_trial:
             record.trial = None
@@ -197,36 +227,59 @@
             self.ejected.add(server)
 
     def _count(self, record: Record, outcome: Outcome, sent_at: int, now: int) -> None:
+        """Count an attempt's outcome in a server's record."""
         record.attempts.count(outcome in FAILURES, now)
         if outcome not in NO_ANSWER:
-            record.unanswered = record.conn_failures = 0
+            record.consecutive_failures = record.connection_failures = 0
             return
-        if not record.unanswered or sent_at - record.failed_at > WINDOW_NS:
-            record.unanswered, record.conn_failures, record.unanswered_since = 0, 0, sent_at  # a new row
-        record.unanswered, record.failed_at = record.unanswered + 1, now
-        if outcome in CONNECTION_FAILURES and (not record.conn_failures or sent_at >= record.conn_failed_at):
+        if not record.consecutive_failures or sent_at - record.last_failure_at > FAILURE_WINDOW_NS:
+            # Failures far apart are not consecutive.
+            record.consecutive_failures, record.connection_failures, record.first_failure_sent_at = (
+                0,
+                0,
+                sent_at,
+            )
+        record.consecutive_failures, record.last_failure_at = record.consecutive_failures + 1, now
+        if outcome in CONNECTION_FAILURES and (
+            not record.connection_failures or sent_at >= record.last_connection_failure_at
+        ):
             # Danger: all attempts in flight at one fault count as one failure, however many it ended.
-            record.conn_failures, record.conn_failed_at = record.conn_failures + 1, now
+            record.connection_failures, record.last_connection_failure_at = (
+                record.connection_failures + 1,
+                now,
+            )
 
     def _eject(self, server: str, record: Record, reason: str, now: int) -> StateChange | None:
+        """Eject a server for longer than last time; only suspect it if too many are ejected already.
+
+        Return the change of the server's state, or None if it was a suspect before and remains one.
+        """
         record.reason = reason
         if server not in self.ejected and len(self.ejected) >= max(1, int(self.listed * MAX_EJECTED_SHARE)):
-            known = server in self.suspects
+            already_suspected = server in self.suspects
             self.suspects.add(server)
-            return None if known else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
+            return (
+                None
+                if already_suspected
+                else StateChange(f"{server}: {reason}; kept in, as too many are ejected")
+            )
         if server not in self.ejected:
-            record.ejections = record.repeats(now)
+            record.ejections = record.recent_ejections(now)
         record.ejections += 1
         duration = min(BASE_EJECTION_NS << min(record.ejections - 1, 8), MAX_EJECTION_NS)
-        record.ejected_at, record.ejected_until = now, now + int(duration * (1 + self._rng.random() * JITTER))
+        record.ejected_at, record.ejected_until = (
+            now,
+            now + int(duration * (1 + self._rng.random() * EJECTION_JITTER)),
+        )
         self.ejected.add(server)
         self.suspects.discard(server)
         return StateChange(f"{server}: ejected for {(record.ejected_until - now) / NS_PER_S:.1f} s: {reason}")
 
     def _readmit(self, server: str, record: Record, now: int) -> StateChange:
+        """End a server's ejection and discard the evidence of failures."""
         self.ejected.discard(server)
         ejected_s = (now - record.ejected_at) / NS_PER_S
-        record.ejected_until, record.readmitted_at, record.unanswered, record.reason = 0, now, 0, ""
-        record.conn_failures = 0
-        record.attempts = WindowedCounter(WINDOW_NS, now)
+        record.ejected_until, record.readmitted_at, record.consecutive_failures, record.reason = 0, now, 0, ""
+        record.connection_failures = 0
+        record.attempts = WindowedCounter(FAILURE_WINDOW_NS, now)
         return StateChange(f"{server}: back; it was last ejected {ejected_s:.1f} s ago", readmitted=True)
--- a/saltport/decisions/overload.py
+++ b/saltport/decisions/overload.py
@@ -1,7 +1,8 @@
 """Load shedding when the router itself is overloaded: its event loop is busy and received data lies unread.
 
-Traffic above a tenant's portion is shed first; within a tenant, reads that can't be in time, then retries,
-then first tries; writes are never shed. Times are in nanoseconds. docs/design/overload.md has more.
+Traffic above a tenant's portion is shed first; within a tenant, reads that can't be in time, then marked
+retries, then first tries. Writes are counted but never shed. Times are in nanoseconds; see
+docs/design/overload.md.
 """
 
 from __future__ import annotations
@@ -62,9 +63,11 @@
             self.admitted += (min(capacity_share, 1.0) - self.admitted) * ADJUSTMENT_STEP
         elif not overloaded:
             self.admitted = min(self.admitted + report.span / (RISE_S * NS_PER_S), 1.0)
-        for kind in self._usual_arrivals.keys() | self._arrivals.keys():
-            usual = self._usual_arrivals.get(kind, 0.0)
-            self._usual_arrivals[kind] = usual + (self._arrivals[kind] - usual) * SMOOTHING
+        for tenant_and_rank in self._usual_arrivals.keys() | self._arrivals.keys():
+            usual = self._usual_arrivals.get(tenant_and_rank, 0.0)
+            self._usual_arrivals[tenant_and_rank] = (
+                usual + (self._arrivals[tenant_and_rank] - usual) * SMOOTHING
+            )
         self._arrivals.clear()
         self._chances = self._admission_chances() if self.admitted < 1.0 else {}
         if (previous < 1.0) == (self.admitted < 1.0):
--- a/saltport/decisions/placement.py
+++ b/saltport/decisions/placement.py
@@ -1,7 +1,8 @@
 """Placement: the choice of the cache server for a request's next attempt, or the reason why there is none.
 
-Candidates, best first, must be: not tried before and permitted by effects.py; not ejected; likely to answer
-in the time left; below their limit, or else one of the next few; keeping the slot's reads. Times are in ns.
+Candidates are checked best first, in this order: not tried before and permitted by effects.py; not ejected;
+likely to answer in the time left; below its limit, or else one of the next few; keeps the slot's reads. Times
+are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -14,13 +15,13 @@
 from saltport.decisions.outliers import EjectionState, OutlierDetector
 from saltport.decisions.replication import Replication
 from saltport.decisions.request import Request
-from saltport.decisions.suppression import IN_USE
+from saltport.decisions.suppression import IN_USE_SHARE
 from saltport.decisions.timeliness import Timeliness
 from saltport.decisions.weight_adjustment import keeps_slot
 
 TIMEOUT_SAMPLES = 32  # attempts over which the share of time-outs is smoothed
-MAX_OVERFLOW = 2  # servers after the key's own that may take a read when it is full
-CROWDED = 0.125  # above this share of reads that find their server full, the fleet is overloaded
+MAX_OVERFLOW_SERVERS = 2  # servers after the key's own that may take a read when it is full
+CROWDED_SHARE = 0.125  # above this share of reads that find their server full, the fleet is overloaded
 RETRY_MAX_BUSY_SHARE = 0.5  # retries avoid servers above this busy share while the fleet is crowded
 
 
@@ -36,9 +37,10 @@
 
     def __init__(self, replication: Replication, outliers: OutlierDetector) -> None:
         self._replication, self._outliers = replication, outliers
-        self.crowding = 0.0
+        self.crowded_share = 0.0
         """The smoothed share of reads that found their server full."""
         self.overflowed = self.moved = 0
+        """Reads that went to another server: because theirs was full, or because it shed the slot's reads."""
         self._timeliness, self._timeout_share = Timeliness(), 0.0  # both over all servers
 
     def learn(self, took: int, outcome: Outcome, now: int) -> None:
@@ -65,11 +67,11 @@
                 full += 1
                 if self._is_crowded(request, full, now):
                     break
-            elif not full and moved < MAX_OVERFLOW and self._sheds_slot(request, node, now):
+            elif not full and moved < MAX_OVERFLOW_SERVERS and self._sheds_slot(request, node, now):
                 fallback, moved = fallback or node, moved + 1
             else:
                 self.moved += bool(moved)
-                if full or self.crowding:
+                if full or self.crowded_share:
                     self._record_crowding(request, bool(full))
                     self.overflowed += bool(full)
                 return node
@@ -89,6 +91,7 @@
         return True
 
     def _has_time(self, request: Request, node: Node, now: int) -> bool:
+        """Whether a server is likely enough to answer before the request's deadline."""
         left = request.deadline - now
         if not node.timeliness.worth_sending(left, now):
             return False
@@ -96,21 +99,28 @@
         return node.timeliness.reliable or self._timeliness.worth_sending(left, now)
 
     def _has_room(self, request: Request, node: Node, full: int, now: int) -> bool:
+        """Whether a server's concurrency limit permits an attempt, after `full` servers without room."""
         # A client's retry can no longer be in time, so that first tries go first.
-        if request.retry and self.crowding > CROWDED and node.limit.busy >= RETRY_MAX_BUSY_SHARE:
+        if request.retry and self.crowded_share > CROWDED_SHARE and node.limit.busy >= RETRY_MAX_BUSY_SHARE:
             return False
         # A server that does not own the key must fetch it, so that it needs ample room.
         return node.limit.has_room(2 * node.load if full or request.retry else node.load, now)
 
     def _sheds_slot(self, request: Request, node: Node, now: int) -> bool:
+        """Whether the read moves to another server, as this one's load reports have reduced its weight."""
         # Moving the read may cost a fetch, so that it depends on the tenant's fetch allowance.
-        return not keeps_slot(node, request.slot) and request.rate_limiter.in_use(now) < IN_USE
+        return not keeps_slot(node, request.slot) and request.rate_limiter.in_use(now) < IN_USE_SHARE
 
     def _is_crowded(self, request: Request, full: int, now: int) -> bool:
         """Whether to stop searching for room: the fleet is crowded or the tenant's fetch allowance in use."""
-        return full > MAX_OVERFLOW or self.crowding > CROWDED or request.rate_limiter.in_use(now) >= IN_USE
+        return (
+            full > MAX_OVERFLOW_SERVERS
+            or self.crowded_share > CROWDED_SHARE
+            or request.rate_limiter.in_use(now) >= IN_USE_SHARE
+        )
 
     def _record_crowding(self, request: Request, full: bool) -> None:
+        """Update the share of reads that find their server full; `full`: whether this one did."""
         if not request.retry:  # a retry is no additional demand
             # The constant lets the share decay to exactly 0, where the fast path skips this update.
-            self.crowding = max(self.crowding + (full - self.crowding) / 64 - 1e-6, 0.0)
+            self.crowded_share = max(self.crowded_share + (full - self.crowded_share) / 64 - 1e-6, 0.0)
--- a/saltport/decisions/server_registry.py
+++ b/saltport/decisions/server_registry.py
@@ -43,11 +43,16 @@
         while len(self._gone) > MAX_REMOVED_IDS:
             del self._gone[next(iter(self._gone))]
         self.listed.update(listed)
-        usable = [self._adjusted(entry) for entry in listed.values() if entry.state is ServerState.READY]
+        usable = [
+            self._with_readmission_time(entry)
+            for entry in listed.values()
+            if entry.state is ServerState.READY
+        ]
         excluded = [entry.id for entry in usable if entry.id in self.excluded]
         return [entry for entry in usable if entry.id not in self.excluded], [*left, *unlisted, *excluded]
 
-    def _adjusted(self, entry: Server) -> Server:
+    def _with_readmission_time(self, entry: Server) -> Server:
+        """Return the entry with the time of its readmission as its start, if that is later."""
         readmitted_at = self._readmitted_at.get(entry.id, 0)
         return replace(entry, started=readmitted_at) if readmitted_at > entry.started else entry
 
@@ -64,4 +69,4 @@
         if entry is None or entry.state is not ServerState.READY:
             return None
         self._readmitted_at[server] = now
-        return self._adjusted(entry)
+        return self._with_readmission_time(entry)
--- a/saltport/decisions/suppression.py
+++ b/saltport/decisions/suppression.py
@@ -1,4 +1,8 @@
-"""One tenant's rate limit on calls to the origin: Trypema's three regimes with an AIMD limit; times in ns."""
+"""One tenant's rate limit on calls to the origin: the three regimes of Trypema with an AIMD limit.
+
+Below the limit all fetches are admitted, above HARD_LIMIT_FACTOR times the limit none, between them a share.
+Times are in nanoseconds.
+"""
 
 from __future__ import annotations
 
@@ -8,12 +12,14 @@
 from saltport.decisions.interface import NS_PER_S, Tenant
 from saltport.structures.call_window import CallWindow
 
-HARD_LIMIT_FACTOR = 1.5
-CHANCE_CACHED_NS = NS_PER_S // 10
+HARD_LIMIT_FACTOR = 1.5  # times the limit, above which no fetch is admitted
+CHANCE_CACHED_NS = NS_PER_S // 10  # for which a computed admission probability is used
 WINDOW_CALLS = 8  # calls that the sliding window should contain at the cap
-WINDOW_MIN_S, WINDOW_MAX_S = 5.0, 20.0
+WINDOW_MIN_S, WINDOW_MAX_S = 5.0, 20.0  # bounds of the length of the sliding window
 DEFAULT_LIMIT_PER_S = 1000.0  # for all routers together where the tenant has no quota
-CUT_FACTOR, RISE_S, IN_USE = 0.7, 15.0, 0.5  # from IN_USE on the allowance is in use
+# The factor by which a limit is cut when calls fail, the time in which it rises by its cap, and the share
+# of its allowance that a tenant uses, from which the allowance counts as in use.
+CUT_FACTOR, RISE_S, IN_USE_SHARE = 0.7, 15.0, 0.5
 
 
 class Suppressor:
@@ -65,7 +71,7 @@
 
     def rise(self, now: int) -> None:
         """Raise the limit additively after a successful fetch, up to the cap, while the limit is in use."""
-        if self.in_use(now) >= IN_USE:
+        if self.in_use(now) >= IN_USE_SHARE:
             idle = min((now - self._last_rise) / NS_PER_S, self.window_s)
             self.limit = min(self.cap, self.limit + self.cap / RISE_S * idle)
         self._last_rise = now
@@ -79,7 +85,10 @@
         return self.accepted(now) / self.window_s
 
     def cut(self, now: int, total_rate: float) -> None:
-        """Cut the limit to a fraction of the rate, a smaller one above the portion of all tenants' rate."""
+        """Cut the limit to a fraction of the actual rate, a smaller one for a tenant above its portion.
+
+        `total_rate` is the rate of all tenants together.
+        """
         self._last_rise = now
         rate = self.call_rate(now)
         factor = CUT_FACTOR * CUT_FACTOR if rate > self.portion * total_rate else CUT_FACTOR
--- a/saltport/decisions/table.py
+++ b/saltport/decisions/table.py
@@ -12,7 +12,8 @@
 from saltport.structures.slot_rankings import SlotRankings
 
 RANKING_DEPTH = 8  # servers in a slot's ranking, at least, if so many are ready
-RANKING_LENGTH = 2 * RANKING_DEPTH  # fixed, so that rankings are equal at routers with different histories
+# A ranking always has this length, so that it is equal at routers with different histories.
+RANKING_LENGTH = 2 * RANKING_DEPTH
 STORED_RANKING_LENGTH = 3 * RANKING_DEPTH  # with a reserve for servers that leave
 
 
@@ -44,6 +45,7 @@
                 self._cold_until = max(self._cold_until, node.slow_start_ends_at)
 
     def _remove(self, server_id: str) -> None:
+        """Remove a server from the table and from the rankings, if it is there."""
         node = self.nodes.pop(server_id, None)
         if node is not None:
             self._rankings.remove(node)
@@ -62,7 +64,10 @@
         return cold + (1 - cold) * age / self._settings.cold_time
 
     def rank(self, slot: int, now: int, depth: int = RANKING_DEPTH) -> list[Node]:
-        """Return at least `depth` of the slot's servers, best first, with reduced weights in slow start."""
+        """Return the slot's best servers, at least `depth` where there are as many, best first.
+
+        Servers in slow start have a reduced weight.
+        """
         shown = RANKING_LENGTH if depth <= RANKING_LENGTH else 2 * depth
         cold = now < self._cold_until
         if shown == RANKING_LENGTH and not cold:
--- a/saltport/decisions/timeliness.py
+++ b/saltport/decisions/timeliness.py
@@ -1,8 +1,9 @@
 """The least time left with which a request is sent; one with less is refused at once.
 
-Servers complete work for which nobody waits. An attempt is worthwhile while the chance of an answer in time
-is at least the server's busy share, as it takes work from others. So `min_time` is that quantile of the
-response time, by stochastic approximation (Robbins and Monro 1951). Times are in nanoseconds.
+Servers complete work for which nobody waits any more. An attempt is worthwhile while the probability of an
+answer in time is at least the busy share of the server, whose work is taken from other requests. So
+`min_time` is the quantile of the response time at the busy share, estimated by stochastic approximation
+(Robbins and Monro 1951). Times are in nanoseconds.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 class Timeliness:
     """The least worthwhile time of one server."""
 
-    __slots__ = ("_answered_at", "_answers", "min_time")
+    __slots__ = ("_answers", "_last_answer_at", "min_time")
 
     def __init__(self) -> None:
         self.min_time = 0.0
         """0 while unknown, so that every request is sent."""
-        self._answered_at = self._answers = 0
+        self._last_answer_at = self._answers = 0
 
     @property
     def reliable(self) -> bool:
@@ -30,11 +31,14 @@
         return self._answers * LEARNING_STEP >= 1
 
     def learn(self, took: int, answered: bool, busy: float, now: int) -> None:
-        """Update the estimate with the time of an answer or a given-up attempt; `busy`: share from 0 to 1."""
+        """Update the estimate with a response time, or with the time after which an attempt was given up.
+
+        `busy` is the server's busy share, from 0 to 1.
+        """
         if not answered and took < self.min_time:
             return  # the response time would have been longer by an unknown amount
-        self._answers = 1 if now - self._answered_at > RECENT_NS else self._answers + 1
-        self._answered_at = now
+        self._answers = 1 if now - self._last_answer_at > RECENT_NS else self._answers + 1
+        self._last_answer_at = now
         if not self.min_time:
             self.min_time = float(took)
         self.min_time += self.min_time * LEARNING_STEP * (busy if took > self.min_time else busy - 1)
@@ -43,7 +47,7 @@
         """Whether a request with `left` nanoseconds to its deadline is sent."""
         if left >= self.min_time:
             return True
-        if now - self._answered_at <= TRIAL_AFTER_FACTOR * self.min_time:
+        if now - self._last_answer_at <= TRIAL_AFTER_FACTOR * self.min_time:
             return False
-        self._answered_at = now
+        self._last_answer_at = now
         return True
--- a/saltport/decisions/views.py
+++ b/saltport/decisions/views.py
@@ -62,7 +62,7 @@
     """Return the servers with the lowest limits, and the fleet's crowding."""
     least = nsmallest(MAX_SERVERS_SHOWN, nodes, key=lambda node: (node.weight_factor, node.limit.limit))
     return {
-        "crowded_share": round(placement.crowding, 3),
+        "crowded_share": round(placement.crowded_share, 3),
         "overflowed": placement.overflowed,
         "moved": placement.moved,
         "servers": {node.entry.id: limit(node) for node in least},
@@ -75,8 +75,8 @@
     return {
         "limit": None if math.isinf(learnt.limit) else round(learnt.limit, 1),
         "out": node.load,
-        "work_ms": round(learnt.base_time / 1e6, 1),
-        "waiting_ms": round(max(learnt.response_time - learnt.base_time, 0.0) / 1e6, 1),
+        "work_ms": round(learnt.base_response_time / 1e6, 1),
+        "waiting_ms": round(max(learnt.response_time - learnt.base_response_time, 0.0) / 1e6, 1),
         "weight_factor": round(node.weight_factor, 3),
         "portion": round(node.weight_factor, 3),  # the name until the next version
         "least_ms": node.timeliness.min_time / 1e6,
@@ -90,10 +90,10 @@
             "state": detector.state(server, now).value,
             "standing": detector.state(server, now).value,  # the name until the next version
             "reason": record.reason,
-            "failures_in_a_row": record.unanswered,
+            "failures_in_a_row": record.consecutive_failures,
             "attempts": record.attempts.totals()[0],
             "failures": record.attempts.totals()[1],
-            "ejections": record.ejections if record.ejected_until else record.repeats(now),
+            "ejections": record.ejections if record.ejected_until else record.recent_ejections(now),
             "ejected_for_s": round(max(record.ejected_until - now, 0) / NS_PER_S, 3),
             "kept_in": server in detector.suspects,
         }
--- a/tests/decisions/test_inheritance.py
+++ b/tests/decisions/test_inheritance.py
@@ -24,7 +24,7 @@
     limiter.count(now - 200 * MS, declined=True)
     node = router.caches.nodes[fleet(4)[0].id]
     for i in range(3):
-        router.outliers.learn(
+        router.outliers.record_outcome(
             node, f"x{i}", Outcome.CONNECT_FAILED, now - 50 * MS + i * MS, now - 49 * MS + i * MS
         )
     return router
--- a/tests/decisions/test_limits.py
+++ b/tests/decisions/test_limits.py
@@ -102,7 +102,7 @@
     limit = Limit()
     now = fed(limit, 50 * MS, 20)
     fed(limit, 250 * MS, 10, now=now)
-    assert limit.base_time < 90 * MS
+    assert limit.base_response_time < 90 * MS
     assert limit.response_time > 200 * MS
 
 
@@ -110,7 +110,7 @@
     limit = Limit()
     now = fed(limit, 400 * MS, 10)
     limit.learn(50 * MS, 1, now + 20_000 * MS, now + 20_050 * MS, AIM)
-    assert limit.response_time == limit.base_time == 50 * MS
+    assert limit.response_time == limit.base_response_time == 50 * MS
 
 
 @given(st.lists(st.tuples(st.integers(1, 2_000), st.integers(0, 300), st.booleans()), max_size=200))
@@ -124,7 +124,7 @@
             limit.learn(took * MS, out, now - took * MS, now, AIM)
         assert limit.limit >= MIN_LIMIT
         assert limit.has_room(0, now + MAX_PAUSE_NS)
-        assert limit.base_time <= limit.response_time + 1
+        assert limit.base_response_time <= limit.response_time + 1
 
 
 @pytest.mark.parametrize(("load", "least"), [(0.5, 0.97), (0.8, 0.85)])
--- a/tests/decisions/test_outliers.py
+++ b/tests/decisions/test_outliers.py
@@ -30,8 +30,8 @@
     BASE_EJECTION_NS,
     DEPARTED_MEMORY_NS,
     EJECTION_MEMORY_NS,
+    FAILURE_WINDOW_NS,
     MAX_EJECTION_NS,
-    WINDOW_NS,
     EjectionState,
     OutlierDetector,
     StateChange,
@@ -72,7 +72,7 @@
         change: StateChange | None = None
         for outcome in outcomes:
             sent, self.now = self.now, self.now + (SILENCE // 3 if outcome is Outcome.TIMEOUT else MS)
-            change = self.detector.learn(self.node(number), request, outcome, sent, self.now)
+            change = self.detector.record_outcome(self.node(number), request, outcome, sent, self.now)
         return change.message if change else None
 
     def node(self, number: int) -> Node:
@@ -113,8 +113,10 @@
     rig = DetectorRig()
     for at in range(29):
         sent = S + at * 10 * MS
-        assert rig.detector.learn(rig.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
-    assert rig.detector.learn(rig.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS) is not None
+        assert rig.detector.record_outcome(rig.node(1), "r", Outcome.TIMEOUT, sent, sent + 10 * MS) is None
+    assert (
+        rig.detector.record_outcome(rig.node(1), "r", Outcome.TIMEOUT, S + 290 * MS, S + 300 * MS) is not None
+    )
 
 
 @pytest.mark.parametrize("heard", [Outcome.OK, Outcome.MISS, Outcome.FULL, Outcome.ERROR])
@@ -138,7 +140,7 @@
     rig = DetectorRig()
     sent = rig.now
     for at in range(50):
-        rig.detector.learn(rig.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
+        rig.detector.record_outcome(rig.node(1), f"r{at}", outcome, sent, sent + 80 * MS + at)
     assert rig.state(1) is EjectionState.HEALTHY
     assert views.outliers(rig.detector, sent + S)["servers"]["10.0.0.1:80"]["failures_in_a_row"] == 50  # type: ignore[index]
 
@@ -148,7 +150,7 @@
     rig = DetectorRig()
     for _ in range(20):
         rig.record(1, outcome, outcome)
-        rig.now += 2 * WINDOW_NS
+        rig.now += 2 * FAILURE_WINDOW_NS
     assert rig.state(1) is EjectionState.HEALTHY
 
 
@@ -191,13 +193,13 @@
     rig = DetectorRig()
     rig.record(0, *[Outcome.OK] * 300)
     rig.record(1, *[Outcome.ERROR] * 9)
-    rig.now += 2 * WINDOW_NS
+    rig.now += 2 * FAILURE_WINDOW_NS
     rig.record(0, *[Outcome.OK] * 300)
     rig.record(1, Outcome.ERROR)
     assert rig.state(1) is EjectionState.HEALTHY
-    rig.now += 2 * WINDOW_NS
+    rig.now += 2 * FAILURE_WINDOW_NS
     rig.record(1, Outcome.OK)
-    rig.now += 2 * WINDOW_NS
+    rig.now += 2 * FAILURE_WINDOW_NS
     rig.record(1, Outcome.OK)
     assert views.outliers(rig.detector, rig.now)["servers"] == {}
 
@@ -210,7 +212,7 @@
     rig.detector.start_trial("10.0.0.1:80", "trial")
     assert rig.state(1) is EjectionState.EJECTED
     # an answer to an attempt from before the ejection is no evidence of recovery
-    assert rig.detector.learn(rig.node(1), "old", Outcome.OK, S, rig.now) is None
+    assert rig.detector.record_outcome(rig.node(1), "old", Outcome.OK, S, rig.now) is None
     assert rig.state(1) is EjectionState.EJECTED
     change = rig.record(1, Outcome.FULL, request="trial")
     assert change is not None
--- a/tests/decisions/test_placement.py
+++ b/tests/decisions/test_placement.py
@@ -9,7 +9,7 @@
 from saltport.decisions import Fail, Outcome, Refuse, RequestArrived, Router, Send, views
 from saltport.decisions.health import Node
 from saltport.decisions.interface import Reason
-from saltport.decisions.placement import CROWDED, MAX_OVERFLOW, Suspected
+from saltport.decisions.placement import CROWDED_SHARE, MAX_OVERFLOW_SERVERS, Suspected
 from saltport.decisions.request import Request
 from tests.decisions.helpers import MS, S, ended, fleet, given_up, only_send, request, settings, started
 
@@ -76,7 +76,7 @@
 def eject(router: Router, server: str) -> None:
     node = router.caches.nodes[server]
     for n in range(3):
-        router.outliers.learn(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
+        router.outliers.record_outcome(node, f"x{n}", Outcome.CONNECT_FAILED, n * MS, n * MS)
     assert server in router.outliers.ejected
 
 
@@ -104,8 +104,8 @@
     nodes = ranking(router)
     fill(nodes[0])
     assert router.placement.place(asked(router), 0) is nodes[1]
-    assert (router.placement.overflowed, router.placement.crowding > 0) == (1, True)
-    for node in nodes[1 : MAX_OVERFLOW + 1]:
+    assert (router.placement.overflowed, router.placement.crowded_share > 0) == (1, True)
+    for node in nodes[1 : MAX_OVERFLOW_SERVERS + 1]:
         fill(node)
     assert router.placement.place(asked(router), 0) is Reason.SERVERS_FULL
 
@@ -113,7 +113,7 @@
 def test_no_further_server_is_asked_for_room_when_all_are_crowded() -> None:
     router = started(settings(), fleet(8))
     fill(ranking(router)[0])
-    router.placement.crowding = 2 * CROWDED
+    router.placement.crowded_share = 2 * CROWDED_SHARE
     assert router.placement.place(asked(router), 0) is Reason.SERVERS_FULL
 
 
--- a/tests/decisions/test_server_registry.py
+++ b/tests/decisions/test_server_registry.py
@@ -126,7 +126,7 @@
     node = router.caches.nodes[servers[0].id]
     for i in range(3):
         sent = S + i * MS
-        router.outliers.learn(node, f"x{i}", Outcome.CONNECT_FAILED, sent, sent + 1)
+        router.outliers.record_outcome(node, f"x{i}", Outcome.CONNECT_FAILED, sent, sent + 1)
     assert servers[0].id in router.outliers.ejected
     router.handle(ServerExcluded(servers[0].id), 2 * S)
     router.handle(ServerReadmitted(servers[0].id), 3 * S)
