--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -62,8 +62,8 @@
 
     ready: bool
 
-    def touched(self) -> None:
-        """Record that the kernel has reported data or an event for a client connection."""
+    def begin_loop_iteration(self) -> None:
+        """Record that the event loop handles data or an event of a client connection, for the lag meter."""
 
     def unread_since(self, now_ns: int) -> int:
         """Return the earliest time at which data read at `now_ns` can have arrived in the kernel."""
@@ -126,7 +126,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and register with the server; restore the state of a hand-over."""
         host = self.server.host
-        host.touched()
+        host.begin_loop_iteration()
         self.transport = cast(TcpStream, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         self._receive_times = self._new_receive_times()
@@ -206,7 +206,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Handle received data; an exception closes only this connection."""
-        self.server.host.touched()
+        self.server.host.begin_loop_iteration()
         self._in_batch = True
         try:
             self._process_input(data)
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -83,7 +83,7 @@
         dial_timeout_s, idle_close_s = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
         self._pool = Pool(loop, descriptors - client_descriptors, dial_timeout_s, idle_close_s)
         self._host = RouterHost(loop, config.settings, config.seed, self._pool, config.max_open)
-        self._pool.on_event = self._host.touched
+        self._pool.on_event = self._host.begin_loop_iteration
         self._memcached = _memcached(config.memcached) if config.memcached.on else None
         command_memory = int(config.memory * COMMAND_MEMORY_SHARE)
         self._clients = ClientServer(
@@ -108,7 +108,7 @@
         folder = environ.get("TMPDIR")
         store = BanStore(Path(folder) / BANS_FOLDER) if folder and config.admin else None
         self._bans = Bans(
-            store, lambda: self._host.disabled_servers, self._host.disable_server, self._host.enable_server
+            store, lambda: self._host.excluded_servers, self._host.exclude_server, self._host.readmit_server
         )
         self._peers = _peer_link(loop, config, self._host) if config.peers is not None else None
         self._owners = (
@@ -329,7 +329,7 @@
         except OSError as error:
             raise CallError(f"cannot store the change: {error.strerror or error}") from None
         log.info(
-            "%s: taken %s by an operator", server, "out" if server in self._host.disabled_servers else "back"
+            "%s: taken %s by an operator", server, "out" if server in self._host.excluded_servers else "back"
         )
         return True
 
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -84,7 +84,7 @@
         self.figures = Figures(())
         self._use_settings(settings)
         self._ready_servers: dict[str, tuple[Address, Callable[[Server], Connection]]] = {}
-        """Address and connection class of each server listed as ready, including those disabled by hand."""
+        """Address and connection class of each server listed as ready, including those that are excluded."""
         self._requests: dict[str, OpenRequest] = {}
         self._events: deque[tuple[Event, bytes | None]] = deque()
         self._event_value: bytes | None = None  # the value that belongs to the event being handled
@@ -95,8 +95,12 @@
 
     # The router's own lag
 
-    def touched(self) -> None:
-        """Note that an event from the kernel or a timer is being handled; starts a loop iteration."""
+    def begin_loop_iteration(self) -> None:
+        """Record that the event loop handles an event from the kernel or a timer.
+
+        The first such event after a wait of the loop begins an iteration of the lag meter; further ones have
+        no effect.
+        """
         if not self.lag.in_iteration:
             self.lag.begin_iteration(time.monotonic_ns())
             # The loop runs this callback just before it polls the kernel again.
@@ -108,7 +112,7 @@
 
     def _heartbeat(self) -> None:
         """Wake up periodically, so that a long wait of the loop shows that the process was stopped."""
-        self.touched()
+        self.begin_loop_iteration()
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
         # By elapsed time and not by the number of heartbeats: late heartbeats must not make reports rare.
         now = time.monotonic_ns()
@@ -298,21 +302,21 @@
             self._pool.unlist_server(server_id)
 
     def knows(self, server_id: str) -> bool:
-        """Whether a server is listed, was listed earlier, or is disabled by an operator."""
+        """Whether a server is listed, was listed earlier, or is excluded by an operator."""
         return self._router.registry.knows(server_id)
 
     @property
-    def disabled_servers(self) -> frozenset[str]:
-        """The ids of the servers that an operator has disabled."""
+    def excluded_servers(self) -> frozenset[str]:
+        """The ids of the servers that an operator has excluded from use."""
         return frozenset(self._router.registry.excluded)
 
-    def disable_server(self, server_id: str) -> None:
-        """Send no more requests to a server, whatever the list says, until `enable_server`."""
+    def exclude_server(self, server_id: str) -> None:
+        """Send no more requests to a server, whatever the list says, until `readmit_server`."""
         self.dispatch(ServerExcluded(server_id))
         self._pool.unlist_server(server_id)
 
-    def enable_server(self, server_id: str) -> None:
-        """End the effect of `disable_server`: use the server again if it is listed as ready."""
+    def readmit_server(self, server_id: str) -> None:
+        """End the exclusion of a server: use it again if it is listed as ready."""
         if server_id in self._ready_servers:
             self._pool.list_server(server_id, *self._ready_servers[server_id])
         self.dispatch(ServerReadmitted(server_id))
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -47,8 +47,8 @@
     late_answer_wait_s: float
     """How long a connection stays reserved for the answer to an attempt that has timed out."""
 
-    def touched(self) -> None:
-        """Note that an event from the kernel or a timer is being handled."""
+    def begin_loop_iteration(self) -> None:
+        """Record that the event loop handles an event from the kernel or a timer, for the lag meter."""
 
     def dialing(self, server_id: str) -> bool:
         """Whether a connection to the server is being established."""
@@ -335,7 +335,7 @@
         extension, a time-out would count against the server although only this router was too busy.
         """
         host, now = self._host, time.monotonic_ns()
-        host.touched()
+        host.begin_loop_iteration()
         if self.waits_for_resources and not self._request.deadline.expired(now):
             self._restart_timeout(now)
             return
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -37,7 +37,7 @@
         self.requests: list[tuple[Request, Reply]] = []
         self.gone: list[Reply] = []
 
-    def touched(self) -> None:
+    def begin_loop_iteration(self) -> None:
         pass
 
     def unread_since(self, now_ns: int) -> int:
--- a/tests/crossings/test_moment_of_sending.py
+++ b/tests/crossings/test_moment_of_sending.py
@@ -99,7 +99,7 @@
         pool = Pool(asyncio.get_running_loop(), 64, TIMEOUT_S, TIMEOUT_S)
         settings = Settings(classes=CLASSES, origin_kind="origin")
         host = RouterHost(asyncio.get_running_loop(), settings, 1, pool, 100)
-        pool.on_event = host.touched
+        pool.on_event = host.begin_loop_iteration
         host.servers_changed(listing(peers))
         with patch("saltport.upstream.pool.dial", dials.dial):
             async with asyncio.timeout(TIMEOUT_S):
--- a/tests/crossings/test_time_received.py
+++ b/tests/crossings/test_time_received.py
@@ -84,7 +84,7 @@
         loop = asyncio.get_running_loop()
         pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, Settings(classes=CLASSES), 1, pool, 1000)
-        pool.on_event, host.ready = host.touched, True
+        pool.on_event, host.ready = host.begin_loop_iteration, True
         addresses = {"s1": ("127.0.0.1", cache.port)}
         host.servers_changed(Listing(1, ServersChanged(ListKind.FULL, (Server("s1"),)), addresses))
         clients = ClientServer(loop, host, RespDialect, 64, 1 << 20)
--- a/tests/router/test_lag.py
+++ b/tests/router/test_lag.py
@@ -84,7 +84,7 @@
         settings = Settings(classes=(RequestClass("get", aim=NS_PER_S, deadline=20 * NS_PER_S),))
         pool = Pool(loop, 64, TIMEOUT_S, TIMEOUT_S)
         host = RouterHost(loop, settings, 1, pool, 100)
-        pool.on_event = host.touched
+        pool.on_event = host.begin_loop_iteration
         decisions = Decisions()
         host._router = decisions  # type: ignore[assignment]
         servers = tuple(Server(name) for name in peers)
@@ -171,7 +171,7 @@
         decisions.ended.clear()
 
         def send_and_block() -> None:
-            host.touched()
+            host.begin_loop_iteration()
             host.request_arrived(request_to(2, "s1"), NoReply())  # type: ignore[arg-type]
             block(stalled)
 
