--- a/saltport/downstream/access_log.py
+++ b/saltport/downstream/access_log.py
@@ -120,11 +120,13 @@
         os.close(self._descriptor)
 
     def _add(self, entry: Entry) -> None:
+        """Queue an entry, to be written at the end of the current event loop iteration."""
         if not self._pending:
             self._loop.call_soon(self._flush)
         self._pending.append(self._encode(entry))
 
     def _flush(self) -> None:
+        """Write the queued entries to the file; a failure is counted, and the first one is logged."""
         if self._pending and len(self._unwritten) <= MAX_UNWRITTEN_BYTES:
             self._unwritten += b"\n".join(self._pending) + b"\n"
         self._pending.clear()
@@ -146,6 +148,7 @@
         del self._unwritten[:written]
 
     def _rotate(self) -> None:
+        """Rename the full file by adding ".1" to its name, and begin a new file."""
         self._path.replace(self._path.with_name(self._path.name + ".1"))
         new_descriptor = _open(self._path)
         os.close(self._descriptor)
--- a/saltport/downstream/access_report.py
+++ b/saltport/downstream/access_report.py
@@ -108,6 +108,7 @@
                 self._stopped = True
 
     def _read_answered(self, entry: RequestAnswered) -> None:
+        """Count a final answer, and report it if it was late or answers no open request."""
         request = self._remove_open(entry.connection, entry.id)
         if request is None:
             unknown = RequestAccepted(entry.at_ns, entry.connection, entry.id, "unknown", 0)
@@ -121,6 +122,7 @@
             self._add_problem(Finding.LATE, request, detail)
 
     def _read_closed(self, entry: ConnectionClosed) -> None:
+        """Count the requests that a closed connection left open; report those that the router dropped."""
         for position, request_id in enumerate(entry.unanswered):
             request = self._remove_open(entry.connection, request_id)
             if request is None:
@@ -155,6 +157,7 @@
         return request
 
     def _finding_at_end(self, request: RequestAccepted) -> Finding:
+        """Return the finding for a request that is still open at the end of the log."""
         if self._stopped:
             return Finding.FORGOTTEN
         if _late_ns(request, self._last_ns) > LATE_AFTER_NS:
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -141,6 +141,7 @@
                 self._receive_times.reading_stopped(time.monotonic_ns())
 
     def _new_receive_times(self) -> ReceiveTimes:
+        """Return a new estimator of the times at which received data arrived in the kernel."""
         assert self.transport is not None
         sock, server = self.transport.get_extra_info("socket"), self.server
         return ReceiveTimes(sock, server.kernel_clock, server.host.unread_since, time.monotonic_ns())
@@ -180,6 +181,7 @@
         return False
 
     def _mark_closed(self, reason: CloseReason) -> None:
+        """Remove the connection from the server, release its resources, and drop its open requests."""
         if self.closed:
             return
         self.closed = True
@@ -197,6 +199,7 @@
                 self.server.host.client_gone(reply)
 
     def _log_close(self, access_log: AccessLog, reason: CloseReason) -> None:
+        """Write the close of the connection to the access log."""
         unsent = 0
         # After ALL_ANSWERED, the lingering close still sends the unsent bytes.
         if self.transport is not None and reason is not CloseReason.ALL_ANSWERED:
@@ -278,6 +281,7 @@
         reply.send(self._dialect.breaking())
 
     def _handle_message(self, message: Message, reply: Reply, received: Received) -> None:
+        """Handle one parsed command: pass on, refuse or reject a request, or answer a ping."""
         match message:
             case Request() if not self.refusing:
                 self.has_carried_request = True
@@ -328,6 +332,7 @@
             self._set_reading()
 
     def _log_answer(self, reply: Reply, request_id: str) -> None:
+        """Write the final answer of a request to the access log."""
         access_log = self.server.access_log
         if access_log is not None and reply.answer is not None and not self.closed:
             access_log.answered(self.number, request_id, reply.answer)
@@ -358,6 +363,7 @@
             self.replies[0].source.resume()
 
     def _set_reading(self) -> None:
+        """Resume or pause reading, as the connection has capacity for more commands or not."""
         full = len(self.replies) >= MAX_PIPELINE
         wanted = not (
             self.writing_paused
@@ -725,6 +731,7 @@
                 connection.finish(even_mid_command)
 
     def _sweep(self) -> None:
+        """Check the timeouts of all connections; repeat regularly."""
         self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for connection in list(self._connections):
--- a/saltport/downstream/memcached.py
+++ b/saltport/downstream/memcached.py
@@ -165,6 +165,7 @@
         return MemcachedAnswers(Packet(Opcode.NOOP)).rejected(reason)
 
     def _message(self, packet: Packet) -> tuple[Message, Answers]:
+        """Return a packet's command in the form that all dialects share, and the encoder of its reply."""
         opcode = packet.opcode
         ends_batch, self._in_batch = self._in_batch and not packet.quiet, packet.quiet
         if packet.fault:
@@ -184,6 +185,7 @@
         return self._request(packet), MemcachedAnswers(packet)
 
     def _request(self, packet: Packet) -> Request:
+        """Return the read, write or delete command of a packet as a request."""
         rules, opcode = self._rules, packet.opcode
         request_id = f"{self._prefix}{next(self._numbers):08x}"
         request_class = rules.read_class
--- a/saltport/downstream/paused_reads.py
+++ b/saltport/downstream/paused_reads.py
@@ -48,6 +48,7 @@
         self._connections.pop(connection, None)
 
     def _poll(self) -> None:
+        """Find the connections whose clients have disconnected; repeat while there are connections."""
         self._timer = None
         poller = select.poll()
         by_descriptor = {}
--- a/saltport/downstream/resp.py
+++ b/saltport/downstream/resp.py
@@ -83,6 +83,7 @@
 
 
 def _message(words: list[bytes]) -> Message:
+    """Return the command that consists of these words, as a message."""
     if len(words) == 1 and words[0].upper() == b"PING":
         return Ping()
     try:
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -241,6 +241,7 @@
         return listing
 
     def _apply_listing(self, listing: Listing) -> None:
+        """Pass a listing to the router host, which is ready after the first complete list."""
         if not self._has_received_list:
             self._has_received_list = True
             log.info("received the first server list: generation %d", listing.generation)
@@ -322,6 +323,7 @@
         return self._change_ban(server, self._bans.unban)
 
     def _change_ban(self, server: str, change: Callable[[str], None]) -> bool:
+        """Ban or unban a server by `change`; return False if the server is unknown. Raises CallError."""
         if not self._host.knows(server):
             return False
         try:
@@ -396,6 +398,7 @@
     # A new configuration
 
     def _reload(self) -> None:
+        """Read the configuration again and apply the changes that need no restart."""
         figures = self._host.figures
         if self._reload_retry is not None:
             self._reload_retry.cancel()
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -133,6 +133,7 @@
     # Link to the successor
 
     def _accepted(self, link: socket.socket) -> None:
+        """Accept the link of a successor process, if it runs as the same user; it replaces an earlier one."""
         try:
             is_same = _same_user(link)
         except OSError:
@@ -164,6 +165,7 @@
         self._send_queued()
 
     def _close_successor(self) -> None:
+        """Close the link to the successor; connections that were not sent completely resume here."""
         assert self._successor is not None
         self._successor.close()
         self._successor = None
@@ -192,6 +194,7 @@
         self._send_queued()
 
     def _send_queued(self) -> None:
+        """Send queued messages to the successor; retry after a pause if the link does not take one."""
         while self._successor is not None and (message := self.sender.next_message()) is not None:
             if not self._successor.send(message.data, message.descriptors):
                 # Danger: waiting only until the link is writable would never end if the kernel's limit of
@@ -208,6 +211,7 @@
     # Link to the predecessor
 
     def _receive_from_predecessor(self, packet: Packet) -> None:
+        """Handle one message from the predecessor, or the end of its link."""
         assert self._predecessor is not None
         message, descriptors = packet.data, packet.descriptors
         if not message:
@@ -279,6 +283,7 @@
 
 
 def _is_private(folder: Path) -> bool:
+    """Whether only the user of this process can write to the folder, which is no symbolic link."""
     status = os.lstat(folder)
     private = not status.st_mode & (stat.S_IWGRP | stat.S_IWOTH)
     return stat.S_ISDIR(status.st_mode) and status.st_uid == os.getuid() and private
@@ -337,6 +342,7 @@
 
 
 def _seqpacket_socket() -> socket.socket:
+    """Return a new non-blocking Unix socket that preserves message boundaries."""
     sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
     sock.setblocking(False)
     return sock
--- a/saltport/membership/registry.py
+++ b/saltport/membership/registry.py
@@ -310,6 +310,7 @@
     async def _apply_late_answer(
         self, call: _Call, answer: asyncio.Future[tuple[int, bytes]], number: int, full: bool
     ) -> None:
+        """Wait for the answer to an abandoned call, apply it, and close the connection."""
         try:
             async with asyncio.timeout(LATE_ANSWER_TIMEOUT_S):
                 status, body = await answer
--- a/saltport/membership/steps.py
+++ b/saltport/membership/steps.py
@@ -86,6 +86,7 @@
                     self._known_entries[server.id] = entry
 
     def _store(self, entries: list[Any], full: bool) -> None:
+        """Store the raw entries of a list, or of its changes, for later comparisons."""
         if full:
             self._known_entries = {}
         for entry in entries:
--- a/saltport/router/config.py
+++ b/saltport/router/config.py
@@ -208,6 +208,7 @@
 
 
 def _parse_config(data: dict[str, Any], environ: Mapping[str, str]) -> Config:
+    """Return the configuration without the features, from the decoded file and the environment."""
     facts = typed("settings", data["settings"], dict)
     ceilings = facts.get("ceilings") or {}
     limits = typed("limits", data.get("limits") or {}, dict)
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -156,6 +156,7 @@
     # Settings
 
     def _use_settings(self, settings: Settings) -> None:
+        """Store the settings and what is derived from them."""
         self.settings = settings
         self._classes = {cls.name for cls in settings.classes}
         self._probe_timeout = min(cls.aim for cls in settings.classes)
@@ -285,6 +286,7 @@
         self._handle_events()
 
     def _list_servers(self, listing: Listing) -> None:
+        """Pass the usable servers of a listing to the pool, and the removed ones."""
         is_full_list = listing.change.kind is not ListKind.DELTA
         gone = set(self._ready_servers) if is_full_list else set()
         for server in listing.change.servers:
@@ -353,6 +355,7 @@
             self._handle_events()
 
     def _handle_events(self) -> None:
+        """Pass the queued events to the decision module, and carry out its actions."""
         if self._handling:
             return
         self._handling = True
@@ -436,6 +439,8 @@
         self._pool.submit(action.server, copy)
 
     def _invalidate(self, action: Invalidate) -> None:
+        """Delete a key at one cache server, and report the result to the decision module."""
+
         def ended_event(outcome: Outcome) -> Event:
             return InvalidationEnded(action.key, action.server, outcome, action.sequence)
 
@@ -443,6 +448,8 @@
         self._pool.submit(action.server, invalidation)
 
     def _set_timer(self, due: int, token: str) -> None:
+        """Raise a TimerFired event with this token at the time `due`, never earlier."""
+
         def fire() -> None:
             # Danger: the decision module ignores a timer that fires early; the request would wait for ever.
             if time.monotonic_ns() < due:
--- a/saltport/router/requests.py
+++ b/saltport/router/requests.py
@@ -238,6 +238,7 @@
             self._source.resume()
 
     def _check_stall(self) -> None:
+        """End the relay if the server has sent nothing for too long; otherwise check again later."""
         if self._host.loop.time() - self._last_data_at >= VALUE_STALL_TIMEOUT_S:
             self.give_up(Outcome.RESET)
         else:
--- a/saltport/structures/slot_rankings.py
+++ b/saltport/structures/slot_rankings.py
@@ -63,6 +63,7 @@
         self._log_change(node, added=False)
 
     def _log_change(self, node: NodeT, added: bool) -> None:
+        """Record the addition or removal of a node, and drop the oldest changes if there are too many."""
         self._changes.append((node, added))
         self.version += 1
         if len(self._changes) > MAX_CHANGES_LOGGED:
--- a/saltport/transport/acceptor.py
+++ b/saltport/transport/acceptor.py
@@ -101,6 +101,7 @@
         return 0.0
 
     def _log_failure(self, error: OSError) -> None:
+        """Log a failure to accept; repeated failures in a row are logged once."""
         if not self._is_failing:
             self._is_failing = True
             log.warning("can't accept connections, retrying: %s", error.strerror or error)
--- a/saltport/transport/dialing.py
+++ b/saltport/transport/dialing.py
@@ -47,6 +47,7 @@
 
 
 async def _connect(loop: asyncio.AbstractEventLoop, sock: socket.socket, sockaddr: Address) -> None:
+    """Connect a non-blocking socket; raises OSError."""
     for _ in range(CONNECT_ATTEMPTS):
         error = sock.connect_ex(sockaddr)
         if error != errno.EINTR:
--- a/saltport/transport/packets.py
+++ b/saltport/transport/packets.py
@@ -70,6 +70,7 @@
         self._sock.close()
 
     def _send_answers(self) -> None:
+        """Send the queued answers; retry after a pause if the kernel does not take them."""
         self._answer_retry = None
         while self._unsent_answers:
             if not self.send(self._unsent_answers[0]):
--- a/saltport/transport/poller.py
+++ b/saltport/transport/poller.py
@@ -108,6 +108,7 @@
         return ready
 
     def _poll_events(self, timeout: float | None) -> list[tuple[int, int]]:
+        """Return descriptors with their events, from epoll or, while that lacks resources, from poll."""
         try:
             if self._epoll is not None:
                 return self._epoll.poll(_timeout_ms(timeout) / 1000, max(len(self._keys), 1))
@@ -141,6 +142,7 @@
         self._epoll, self._poll, self._pause_s = epoll, None, 0.0
 
     def _use_poll(self) -> None:
+        """Replace epoll by poll for a pause that doubles at each failure of epoll."""
         if self._epoll is not None:
             self._epoll.close()
             self._epoll = None
--- a/saltport/transport/stream.py
+++ b/saltport/transport/stream.py
@@ -93,12 +93,14 @@
         self._start_reading()
 
     def _start_reading(self) -> None:
+        """Register the socket for reading, unless reading is paused, closing or retried later."""
         wanted = self._reading and not self._closing and self._read_retry is None
         if wanted and not self._has_reader:
             self._has_reader = True
             self._loop.add_reader(self._sock.fileno(), self._read)
 
     def _stop_reading(self) -> None:
+        """Unregister the socket for reading."""
         if self._has_reader:
             self._has_reader = False
             self._loop.remove_reader(self._sock.fileno())
@@ -139,6 +141,7 @@
         self._start_reading()
 
     def _handle_eof(self) -> None:
+        """Handle that the other side has ended its direction of the connection."""
         self._reading = False
         self._stop_reading()
         if not self._protocol.eof_received():
@@ -177,6 +180,7 @@
         return True
 
     def _pause_protocol(self) -> None:
+        """Tell the protocol to pause writing if there are too many unsent bytes."""
         if len(self._unsent) > self._high and not self._protocol_paused:
             self._protocol_paused = True
             self._protocol.pause_writing()
@@ -220,16 +224,19 @@
         self._write_unsent()
 
     def _start_writing(self) -> None:
+        """Register the socket for writing."""
         if not self._has_writer:
             self._has_writer = True
             self._loop.add_writer(self._sock.fileno(), self._write_unsent)
 
     def _stop_writing(self) -> None:
+        """Unregister the socket for writing."""
         if self._has_writer:
             self._has_writer = False
             self._loop.remove_writer(self._sock.fileno())
 
     def _write_unsent(self) -> None:
+        """Send unsent bytes now that the socket is writable; then resume the protocol, or close."""
         sent = self._send(self._unsent)
         if self._lost:
             return
@@ -276,6 +283,7 @@
                 self._shut_down()
 
     def _shut_down(self) -> None:
+        """End the sending direction of the connection."""
         if self._lost:
             return
         try:
@@ -313,6 +321,7 @@
         self._force_close(None)
 
     def _force_close(self, error: Exception | None) -> None:
+        """Close without sending the unsent bytes, and report the close to the protocol."""
         if self._lost:
             return
         self._closing = self._lost = True
@@ -325,6 +334,7 @@
         self._loop.call_soon(self._finish_close, error)
 
     def _finish_close(self, error: Exception | None) -> None:
+        """Call `connection_lost` and close the socket."""
         try:
             self._protocol.connection_lost(error)
         finally:
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -188,6 +188,7 @@
             )
 
     def _give_up_half_sent(self) -> None:
+        """End the exchange as not sent if a part of its request is still unsent."""
         self._half_sent_timer = None
         exchange = self.exchange
         if exchange is not None and self.unsent:
--- a/saltport/upstream/http.py
+++ b/saltport/upstream/http.py
@@ -74,6 +74,7 @@
         return False
 
     def _answered(self) -> None:
+        """End the exchange with the complete HTTP answer."""
         status = self.status
         not_started = self.headers.get(b"not-started") == b"1"
         value = None if self._streaming else bytes(self._body)
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -235,6 +235,7 @@
                 connection.close()
 
     def _dial_for(self, server: Server) -> None:
+        """Dial as many connections as the queue of a server needs and the limits allow."""
         while server.queue and server.queue[0].over:
             server.queue.popleft()
         if server.dial_delay_timer is not None:
@@ -255,6 +256,7 @@
             server.dials.add(self.loop.create_task(self._dial(server)))
 
     def _close_late(self, server: Server) -> bool:
+        """Close a connection that waits for a late answer; return False if the server has none."""
         if not server.late_connections:
             return False
         self._close_and_free(next(iter(server.late_connections)))
@@ -267,6 +269,7 @@
         connection.close()
 
     def _evict(self) -> bool:
+        """Free a descriptor by closing an unneeded connection; return False if there is none."""
         if any(map(self._close_late, self._servers.values())):
             return True
         idle = [server.idle[0] for server in self._servers.values() if server.idle]
@@ -278,6 +281,7 @@
         return True
 
     async def _dial(self, server: Server) -> None:
+        """Dial one connection to a server, and assign queued exchanges to it or handle the failure."""
         connection: Connection | None = None
         own_lag = out_of_resources = False
         address = server.address
--- a/saltport/wire/http.py
+++ b/saltport/wire/http.py
@@ -31,6 +31,7 @@
         self._reset_parser()
 
     def _reset_parser(self) -> None:
+        """Prepare for the next answer."""
         self._parser = httptools.HttpResponseParser(self)
         self.headers: dict[bytes, bytes] = {}
         self._bytes_outside_body = 0  # since the last body byte
--- a/saltport/wire/resp_answers.py
+++ b/saltport/wire/resp_answers.py
@@ -155,6 +155,7 @@
         self._complete_answer(Answer(value, note, report), data, position, messages)
 
     def _start_value(self, length: int, data: bytes, messages: list[Message]) -> None:
+        """Begin to return a long value in parts; `data` is what follows its length line."""
         messages.append(ValueStarted(length))
         self.value_length, self.remaining_bytes = length, length + len(CRLF)
         self._buffer.clear()
@@ -180,6 +181,7 @@
         return data
 
     def _complete_answer(self, answer: Message, data: bytes, position: int, messages: list[Message]) -> None:
+        """Append a complete answer that ends at `position`; the bytes after it are dropped."""
         messages.append(answer)
         self.has_trailing_data = self.has_trailing_data or position < len(data)
         self._buffer.clear()
