--- a/saltport/decisions/health.py
+++ b/saltport/decisions/health.py
@@ -12,6 +12,7 @@
 from saltport.decisions.timeliness import Timeliness
 from saltport.structures.response_time import ResponseTimeEstimate
 
+# Outcomes of attempts that the server answered normally, and of those that it did not answer.
 ANSWERED, UNANSWERED = (Outcome.OK, Outcome.MISS), (Outcome.TIMEOUT, Outcome.RESET)
 NO_EVIDENCE = (Outcome.CANCELLED, Outcome.NOT_SENT)  # outcomes that say nothing about a server
 
@@ -23,12 +24,19 @@
         self.entry, self.load = entry, 0
         self.weight = entry.weight if weighted else 1.0
         self.seed = int.from_bytes(blake2b(entry.id.encode(), digest_size=8).digest(), "big")
+        """Seed of the hashes that select servers for slots, equal at every router."""
         self.slow_start_ends_at = entry.started + cold_time if entry.started and cold_time else 0
+        """Until then the server has a reduced weight, as it has just started; 0: no slow start."""
         self.unanswered_in_a_row = 0
+        """Consecutive attempts without an answer; those in flight at the same time count as one."""
         self.response_time = ResponseTimeEstimate()
         self.limit = Limit(known_at)
         self.timeliness = Timeliness()
-        self.weight_factor, self.weight_factor_at = 1.0, 0  # set in weight_adjustment.py
+        self.weight_factor, self.weight_factor_at = 1.0, 0
+        """The share of its slots' reads that the server keeps, and when the last change of it has settled.
+
+        Load reports of attempts that were sent before that time are ignored.
+        """
         self._last_unanswered_at = 0
 
     def record_outcome(self, outcome: Outcome, took: int, aim: int, sent_at: int, now: int) -> None:
--- a/saltport/decisions/limits.py
+++ b/saltport/decisions/limits.py
@@ -42,6 +42,7 @@
         """The smoothed response time."""
         self.base_response_time = 0.0
         """The response time without queueing, which is the least time observed recently."""
+        # Times of the last cut and of the last answer, and the length and the end of the last pause.
         self._cut_at, self._last_answer_at, self._pause, self._paused_until = 0, known_at, 0, 0
 
     def mark_current(self, now: int) -> None:
--- a/saltport/decisions/request.py
+++ b/saltport/decisions/request.py
@@ -17,6 +17,7 @@
 
     # Class attributes serve as defaults, so that values that most requests never change take no memory.
     slot = sends = sent_at = 0
+    """The key's slot, the number of attempts sent so far, and when the latest was sent."""
     lost_after = 0
     """The time after which the answer of the current attempt counts as lost."""
     slot_share = 0.0
@@ -24,13 +25,17 @@
     replication_state: Any = None
     """The replication's own state for this request."""
     failed: Sequence[Node] = ()
+    """Servers that are not tried again for this request."""
     node: Node | None = None
+    """The server of the current or latest attempt."""
     possible_effect_node: Node | None = None
     """The server of the first attempt that may have had an effect."""
     counts_as_load = False
     """Whether the current attempt is counted in its server's load."""
-    # `leader`: whether other requests wait for this one's fetch.
     fetching = refetching = in_flight = leader = waiting = done = False
+    """In this order, whether: the current attempt goes to the origin; a lost fetch was repeated already; an
+    attempt is in flight; reads of the same key may wait for this one's fetch; the request waits (for such a
+    fetch, or for the origin); it has its final answer."""
 
     def __init__(
         self, event: api.RequestArrived, cls: api.RequestClass, rate_limiter: Suppressor, attempts: int
