--- a/saltport/admin/listener.py
+++ b/saltport/admin/listener.py
@@ -21,8 +21,8 @@
 from saltport.transport.listening import listening_socket
 from saltport.transport.stream import StreamProtocol, TcpStream
 
-MAX_CALLERS = 32
-MAX_HEAD_BYTES = 8 << 10
+MAX_CALLERS = 32  # connections to the administration interface at the same time
+MAX_HEAD_BYTES = 8 << 10  # of a call's request line and headers
 MAX_BODY_BYTES = 64 << 10  # no call needs a body, but some callers send one
 EVICTION_GRACE_S = 0.1  # no connection younger than this is closed for a new one: callers send at once
 CALL_TIMEOUT_S = 5.0  # to receive a complete call and to send its response
--- a/saltport/decisions/tenancy.py
+++ b/saltport/decisions/tenancy.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Mapping
 
-MAX_PREFIXES = 4096
+MAX_PREFIXES = 4096  # of keys, that assign requests to tenants
 MAX_PREFIX_BYTES = 250  # the longest key of memcached
 
 
--- a/saltport/downstream/acceptors.py
+++ b/saltport/downstream/acceptors.py
@@ -12,7 +12,7 @@
 from saltport.transport.listening import listening_socket
 from saltport.transport.stream import StreamProtocol, TcpStream
 
-BACKLOG = 1024
+BACKLOG = 1024  # connections that the kernel queues for each listener
 
 
 class ClientAcceptors:
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -46,7 +46,7 @@
 # A well-behaved client may take 2 s to send the head of a command, and a misbehaving one must get an error or
 # a close within 3 s.
 COMMAND_PROGRESS_TIMEOUT_S = 2.4  # to complete a command or to receive COMMAND_PROGRESS_BYTES more of it
-COMMAND_PROGRESS_BYTES = 16 << 10
+COMMAND_PROGRESS_BYTES = 16 << 10  # that restart the time-out of a partially received command
 MAX_PENDING_BYTES = 64 << 10  # of a partial command passed to a successor that does not take records
 IDLE_TIMEOUT_S = 2.0  # a connection without an open request may be closed after this time
 FIRST_REQUEST_GRACE_S = 0.1  # a new client is expected to send its first request within this time
--- a/saltport/handover/exchange.py
+++ b/saltport/handover/exchange.py
@@ -25,7 +25,7 @@
     decode,
 )
 
-RECORD_PART_BYTES = 64 << 10
+RECORD_PART_BYTES = 64 << 10  # size of the messages into which a longer connection record is split
 # Frozen, queued or sent connections at a time: bounds memory, descriptors and the pause of each connection.
 MAX_IN_FLIGHT = 32
 MAX_RECORD_BYTES = MAX_REPLY_BYTES + MAX_COMMAND_BYTES
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -38,8 +38,8 @@
 
 SOCKET_NAME = "saltport.takeover"
 MAX_SOCKET_PATH_BYTES = 107  # limit of the kernel
-MAX_MESSAGE_BYTES = 96 << 10
-MAX_REPLY_BYTES = 256
+MAX_MESSAGE_BYTES = 96 << 10  # of a message to the successor
+MAX_REPLY_BYTES = 256  # of a message to the predecessor
 OPEN_TIMEOUT_S = 5.0  # for retries while the machine lacks the resources to open a socket
 RETRY_S = 0.01  # delay before a full link is tried again; the other process frees it by receiving
 CREDENTIALS = struct.Struct("3i")
--- a/saltport/router/log.py
+++ b/saltport/router/log.py
@@ -5,7 +5,7 @@
 import logging
 import time
 
-MAX_LINES_PER_S = 5
+MAX_LINES_PER_S = 5  # of the log; further lines are dropped and counted
 
 
 class _RateLimitFilter(logging.Filter):
--- a/saltport/simulator/adapter.py
+++ b/saltport/simulator/adapter.py
@@ -42,6 +42,7 @@
 
 
 def _server(entry: Fields) -> api.Server:
+    """Return the entry of the server list that a line of the simulator's message describes."""
     return api.Server(
         id=entry["server"],
         kind=entry.get("type") or "",
@@ -54,15 +55,18 @@
 
 
 def _servers_changed(fields: Fields) -> api.ServersChanged:
+    """Return the event for a changed server list."""
     kind = _indexed("backendsChanged.scope", _LIST_KINDS, fields["scope"])
     return api.ServersChanged(kind, tuple(_server(entry) for entry in fields.get("lines") or ()))
 
 
 def _load(row: list[float] | None) -> tuple[float, ...] | None:
+    """Return the values of a load report; None: the answer had none."""
     return tuple(row) if row else None
 
 
 def _request(fields: Fields) -> api.RequestArrived:
+    """Return the event for a client's request."""
     return api.RequestArrived(
         request=typed("request.corr", fields["corr"], str),
         request_class=fields["category"],
@@ -75,6 +79,7 @@
 
 
 def _reply(fields: Fields) -> api.AttemptEnded:
+    """Return the event for the end of an attempt."""
     return api.AttemptEnded(
         request=fields["corr"],
         attempt=fields["copy"],
@@ -88,6 +93,7 @@
 
 
 def _echo(fields: Fields) -> api.ProbeEnded:
+    """Return the event for the result of a probe."""
     return api.ProbeEnded(
         server=fields["server"],
         outcome=choice("echo.verdict", _OUTCOMES, fields["verdict"]),
@@ -148,6 +154,7 @@
         return orjson.dumps({"groups": groups}, option=orjson.OPT_APPEND_NEWLINE)
 
     def _deliver(self, number: int, message: Any, now: int, orders: list[Fields]) -> None:
+        """Pass an event to a simulated router, or create or remove one; append its actions to `orders`."""
         if len(typed("event", message, dict)) != 1:
             raise WireError("event: expected an object with a single key, the event's name")
         ((name, fields),) = message.items()
--- a/saltport/structures/slot_rankings.py
+++ b/saltport/structures/slot_rankings.py
@@ -14,8 +14,8 @@
 from saltport.structures.rendezvous import RendezvousHash, WeightedNode, rendezvous_score
 
 MAX_CHANGES_APPLIED = 48  # to one row at once: for more it is cheaper to rank the row again
-MAX_CHANGES_LOGGED = 8 * MAX_CHANGES_APPLIED
-MAX_ROWS = 16_384
+MAX_CHANGES_LOGGED = 8 * MAX_CHANGES_APPLIED  # latest additions and removals of nodes
+MAX_ROWS = 16_384  # rankings stored at the same time
 
 NodeT = TypeVar("NodeT", bound=WeightedNode)
 
--- a/saltport/transport/loop.py
+++ b/saltport/transport/loop.py
@@ -15,7 +15,7 @@
 from saltport.transport.poller import Poller
 
 CREATION_TIMEOUT_S = 10.0  # for a loop that the machine has no descriptors for
-RETRY_PAUSE_S = 0.01
+RETRY_PAUSE_S = 0.01  # between two attempts to create the event loop
 
 T = TypeVar("T")
 
--- a/saltport/upstream/second_connection.py
+++ b/saltport/upstream/second_connection.py
@@ -12,7 +12,7 @@
 FREQUENT_OVERLAPS = 8  # within the idle time; a second connection would then carry as many requests
 ANSWER_TIME_WEIGHT = 0.125  # weight of the latest answer time in the moving average
 WAIT_FACTOR = 2.0  # longest wait, in multiples of the average answer time
-MAX_WAIT_S = 0.1
+MAX_WAIT_S = 0.1  # longest wait for a free connection before another one is dialed
 
 
 class SecondConnectionPolicy:
--- a/saltport/upstream/shortage_backoff.py
+++ b/saltport/upstream/shortage_backoff.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-FIRST_PAUSE_S, MAX_PAUSE_S = 0.01, 0.1
+FIRST_PAUSE_S, MAX_PAUSE_S = 0.01, 0.1  # before dials are retried; doubled at each failure
 
 
 class ShortageBackoff:
--- a/saltport/wire/memcached.py
+++ b/saltport/wire/memcached.py
@@ -19,7 +19,7 @@
 REQUEST_MAGIC, RESPONSE_MAGIC = 0x80, 0x81
 MAX_KEY_BYTES = 250
 MAX_VALUE_BYTES = 4 << 20
-MAX_EXTRAS_BYTES = 20
+MAX_EXTRAS_BYTES = 20  # of the extras field, which holds the parameters of an opcode
 
 
 class Opcode(IntEnum):
--- a/saltport/wire/resp.py
+++ b/saltport/wire/resp.py
@@ -9,11 +9,11 @@
 import math
 
 MAX_VALUE_BYTES = 4 << 20  # PROTOCOL: the maximum length of a value
-STREAMING_THRESHOLD_BYTES = 64 << 10
+STREAMING_THRESHOLD_BYTES = 64 << 10  # longer values are passed on in parts
 MAX_FAST_PATH_BYTES = 2048
-MAX_WORDS = 16
+MAX_WORDS = 16  # in a client's command
 MAX_COMMAND_OVERHEAD_BYTES = 16 << 10  # all of a command except its value; valid commands need far less
-MAX_REPORT_BYTES = 256
+MAX_REPORT_BYTES = 256  # of a load report
 MAX_LENGTH_LINE_BYTES = 16  # type byte, digits and line end
 CRLF = b"\r\n"
 
