--- a/saltport/decisions/overload.py
+++ b/saltport/decisions/overload.py
@@ -1,7 +1,8 @@
 """Load shedding when the router itself is overloaded: its event loop is busy and received data lies unread.
 
-Traffic above a tenant's portion is shed first; within a tenant, reads that can't be in time, then retries,
-then first tries; writes are never shed. Times are in nanoseconds. docs/design/overload.md has more.
+Traffic above a tenant's portion is shed first; within a tenant, reads that can't be in time, then marked
+retries, then first tries. Writes are counted but never shed. Times are in nanoseconds; see
+docs/design/overload.md.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 MIN_OVERLOADED_REPORTS = 3  # in a row, since a single stall is no overload
 ADJUSTMENT_STEP = 0.3  # share of the difference to the target share that each report closes
 RISE_S = 4.0  # for a rise of the admitted share from 0 to 1
-MIN_ADMITTED_SHARE = 0.05
-SMOOTHING = 0.3
+MIN_ADMITTED_SHARE = 0.05  # of the arriving reads, however overloaded the router is
+SMOOTHING = 0.3  # weight of the latest report in the smoothed numbers of arrivals
 MIN_WEIGHT = 0.01  # of tenants without a portion
 TOO_LATE, RETRY, FIRST = 0, 1, 2  # ranks of reads, the first to be shed first
 
@@ -62,9 +63,11 @@
             self.admitted += (min(capacity_share, 1.0) - self.admitted) * ADJUSTMENT_STEP
         elif not overloaded:
             self.admitted = min(self.admitted + report.span / (RISE_S * NS_PER_S), 1.0)
-        for kind in self._usual_arrivals.keys() | self._arrivals.keys():
-            usual = self._usual_arrivals.get(kind, 0.0)
-            self._usual_arrivals[kind] = usual + (self._arrivals[kind] - usual) * SMOOTHING
+        for tenant_and_rank in self._usual_arrivals.keys() | self._arrivals.keys():
+            usual = self._usual_arrivals.get(tenant_and_rank, 0.0)
+            self._usual_arrivals[tenant_and_rank] = (
+                usual + (self._arrivals[tenant_and_rank] - usual) * SMOOTHING
+            )
         self._arrivals.clear()
         self._chances = self._admission_chances() if self.admitted < 1.0 else {}
         if (previous < 1.0) == (self.admitted < 1.0):
--- a/saltport/decisions/server_registry.py
+++ b/saltport/decisions/server_registry.py
@@ -27,7 +27,11 @@
         return server in self.listed or server in self._gone or server in self.excluded
 
     def apply(self, event: ServersChanged) -> tuple[list[Server], list[str]]:
-        """Apply a change of the list; return the changed entries that are usable, and the other ids."""
+        """Apply a change of the list.
+
+        Return the entries of the event whose servers are ready and not excluded, and the ids of the servers
+        that may not be used: they are not ready, left the list, or are excluded.
+        """
         left = [entry.id for entry in event.servers if entry.state is not ServerState.READY]
         listed = {entry.id: entry for entry in event.servers if entry.state is not ServerState.GONE}
         unlisted = self.listed.keys() - listed.keys() if event.kind is not ListKind.DELTA else set()
@@ -39,11 +43,16 @@
         while len(self._gone) > MAX_REMOVED_IDS:
             del self._gone[next(iter(self._gone))]
         self.listed.update(listed)
-        usable = [self._adjusted(entry) for entry in listed.values() if entry.state is ServerState.READY]
+        usable = [
+            self._with_readmission_time(entry)
+            for entry in listed.values()
+            if entry.state is ServerState.READY
+        ]
         excluded = [entry.id for entry in usable if entry.id in self.excluded]
         return [entry for entry in usable if entry.id not in self.excluded], [*left, *unlisted, *excluded]
 
-    def _adjusted(self, entry: Server) -> Server:
+    def _with_readmission_time(self, entry: Server) -> Server:
+        """Return the entry with the time of its readmission as its start, if that is later."""
         readmitted_at = self._readmitted_at.get(entry.id, 0)
         return replace(entry, started=readmitted_at) if readmitted_at > entry.started else entry
 
@@ -60,4 +69,4 @@
         if entry is None or entry.state is not ServerState.READY:
             return None
         self._readmitted_at[server] = now
-        return self._adjusted(entry)
+        return self._with_readmission_time(entry)
--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -46,7 +46,7 @@
 # A well-behaved client may take 2 s to send the head of a command, and a misbehaving one must get an error or
 # a close within 3 s.
 COMMAND_PROGRESS_TIMEOUT_S = 2.4  # to complete a command or to receive COMMAND_PROGRESS_BYTES more of it
-COMMAND_PROGRESS_BYTES = 16 << 10
+COMMAND_PROGRESS_BYTES = 16 << 10  # that restart the time-out of a partially received command
 MAX_PENDING_BYTES = 64 << 10  # of a partial command passed to a successor that does not take records
 IDLE_TIMEOUT_S = 2.0  # a connection without an open request may be closed after this time
 FIRST_REQUEST_GRACE_S = 0.1  # a new client is expected to send its first request within this time
@@ -62,8 +62,8 @@
 
     ready: bool
 
-    def touched(self) -> None:
-        """Record that the kernel has reported data or an event for a client connection."""
+    def begin_loop_iteration(self) -> None:
+        """Record that the event loop handles data or an event of a client connection, for the lag meter."""
 
     def unread_since(self, now_ns: int) -> int:
         """Return the earliest time at which data read at `now_ns` can have arrived in the kernel."""
@@ -126,7 +126,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport and register with the server; restore the state of a hand-over."""
         host = self.server.host
-        host.touched()
+        host.begin_loop_iteration()
         self.transport = cast(TcpStream, transport)
         self.transport.set_write_buffer_limits(high=HIGH_WATER_BYTES)
         self._receive_times = self._new_receive_times()
@@ -141,6 +141,7 @@
                 self._receive_times.reading_stopped(time.monotonic_ns())
 
     def _new_receive_times(self) -> ReceiveTimes:
+        """Return a new estimator of the times at which received data arrived in the kernel."""
         assert self.transport is not None
         sock, server = self.transport.get_extra_info("socket"), self.server
         return ReceiveTimes(sock, server.kernel_clock, server.host.unread_since, time.monotonic_ns())
@@ -166,7 +167,7 @@
             # Danger: if each process restarted its timeout, a partial command could hold its connection
             # indefinitely.
             self._progress_at -= record.command_age_ms / 1000
-        self.flush()
+        self.remove_completed_replies()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Complete a hand-over, or handle the end of the connection."""
@@ -180,6 +181,7 @@
         return False
 
     def _mark_closed(self, reason: CloseReason) -> None:
+        """Remove the connection from the server, release its resources, and drop its open requests."""
         if self.closed:
             return
         self.closed = True
@@ -197,6 +199,7 @@
                 self.server.host.client_gone(reply)
 
     def _log_close(self, access_log: AccessLog, reason: CloseReason) -> None:
+        """Write the close of the connection to the access log."""
         unsent = 0
         # After ALL_ANSWERED, the lingering close still sends the unsent bytes.
         if self.transport is not None and reason is not CloseReason.ALL_ANSWERED:
@@ -206,19 +209,23 @@
 
     def data_received(self, data: bytes) -> None:
         """Handle received data; an exception closes only this connection."""
-        self.server.host.touched()
+        self.server.host.begin_loop_iteration()
         self._in_batch = True
         try:
-            self._read(data)
+            self._process_input(data)
         except Exception:
             log.exception("client connection closed: handling received data failed")
             self.abort(CloseReason.FAULT)
         finally:
             self._in_batch = False
         if not self.replies and self._closes_when_answered:
-            self.flush()
+            self.remove_completed_replies()
 
-    def _read(self, data: bytes) -> None:
+    def _process_input(self, data: bytes) -> None:
+        """Parse received bytes into commands, and queue a reply for each command and start to handle it.
+
+        For a command that is received in part, update its progress and reserve memory if it is long.
+        """
         reader = self._dialect
         self.last_active_at = self.server.loop.time()
         starts_command = not reader.need
@@ -274,6 +281,7 @@
         reply.send(self._dialect.breaking())
 
     def _handle_message(self, message: Message, reply: Reply, received: Received) -> None:
+        """Handle one parsed command: pass on, refuse or reject a request, or answer a ping."""
         match message:
             case Request() if not self.refusing:
                 self.has_carried_request = True
@@ -300,8 +308,12 @@
         if self.transport is not None:
             self.transport.write(data)
 
-    def flush(self) -> None:
-        """Remove completed replies from the head of the queue; then continue with the next, move or close."""
+    def remove_completed_replies(self) -> None:
+        """Remove the completed replies, which are written already, from the head of the queue.
+
+        The next reply then writes what it has buffered. A connection that moves to the successor or closes
+        after its last reply does so here.
+        """
         replies = self.replies
         while replies and replies[0].done:
             reply = replies.popleft()
@@ -320,6 +332,7 @@
             self._set_reading()
 
     def _log_answer(self, reply: Reply, request_id: str) -> None:
+        """Write the final answer of a request to the access log."""
         access_log = self.server.access_log
         if access_log is not None and reply.answer is not None and not self.closed:
             access_log.answered(self.number, request_id, reply.answer)
@@ -350,6 +363,7 @@
             self.replies[0].source.resume()
 
     def _set_reading(self) -> None:
+        """Resume or pause reading, as the connection has capacity for more commands or not."""
         full = len(self.replies) >= MAX_PIPELINE
         wanted = not (
             self.writing_paused
@@ -411,7 +425,7 @@
         if (
             self.transport is None
             or self.closed
-            or (self.server.successor is not None and self._goes_to_successor())
+            or (self.server.successor is not None and self._try_hand_over())
         ):
             return
         if self.idle or (even_mid_command and not self.replies and not self._read_is_delayed):
@@ -421,8 +435,12 @@
                 even_mid_command or not self._dialect.need or self._close_when_answered
             )
 
-    def _goes_to_successor(self) -> bool:
-        """Hand the connection over if possible; return whether it moves now or later."""
+    def _try_hand_over(self) -> bool:
+        """Start the hand-over of the connection to the successor process, if that is possible.
+
+        Return True if the connection has been passed on or will be once its outstanding replies permit, and
+        False if it stays in this process.
+        """
         self._set_reading()
         if self._moves_to_successor:
             self.freeze()
@@ -430,7 +448,10 @@
         return not self.replies and self._hand_over_idle()
 
     def freeze(self) -> None:
-        """Freeze the connection for the successor process if its outstanding replies allow that now."""
+        """Stop reading and writing the connection, to send its state to the successor process.
+
+        Nothing happens while its outstanding replies do not permit a hand-over; this is then called again.
+        """
         self._set_reading()
         transport, successor = self.transport, self.server.successor
         # Danger: within a batch, commands that were read but not handled yet would be lost.
@@ -438,7 +459,7 @@
             return
         if transport is None or transport.is_closing():
             return
-        if successor is None or self.server.handovers_in_progress >= successor.room:
+        if successor is None or self.server.handovers_in_progress >= successor.free_capacity:
             return  # retried at the next drain step; until then its values keep streaming
         if can_hand_over(self.replies, self.server.exits_at - self.server.loop.time()):
             try:
@@ -448,7 +469,7 @@
             self.server.handovers_in_progress += 1
 
     def _hand_over_frozen(self, frozen: FrozenConnection) -> None:
-        """Send the frozen connection's record and descriptors to the successor, and count it out here."""
+        """Send the frozen connection's record and descriptors to the successor, and close it here."""
         successor, transport = self.server.successor, self.transport
         self.server.handovers_in_progress -= 1
         if self.closed or successor is None or transport is None:
@@ -466,7 +487,11 @@
         )
 
     def _hand_over_idle(self) -> bool:
-        """Pass an idle connection to a successor that takes no records; return False if not possible now."""
+        """Pass on a connection without outstanding replies, as its socket and the bytes of a partial command.
+
+        This is for a successor that does not accept a `ConnectionRecord`, the serialized state of a
+        connection with outstanding replies. Return False if it is not possible now.
+        """
         successor, transport, pending = self.server.successor, self.transport, self._dialect.held
         if successor is None or transport is None or transport.is_closing() or self.closed:
             return False
@@ -706,6 +731,7 @@
                 connection.finish(even_mid_command)
 
     def _sweep(self) -> None:
+        """Check the timeouts of all connections; repeat regularly."""
         self._timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.loop.time()
         for connection in list(self._connections):
--- a/saltport/lifecycle/service.py
+++ b/saltport/lifecycle/service.py
@@ -52,7 +52,7 @@
 BAN_SYNC_S = 0.1  # between two checks for bans changed by another process
 OWN_DESCRIPTORS = 32  # standard streams, the listener, the event loop, discovery
 ADMIN_DESCRIPTORS = 36  # the operators' listener and its maximum number of connections
-CLIENT_DESCRIPTOR_SHARE = 0.6
+CLIENT_DESCRIPTOR_SHARE = 0.6  # part of the descriptors that client connections may use
 COMMAND_MEMORY_SHARE = 0.2  # part of the memory limit for long commands of clients
 BANS_FOLDER = "saltport.out"
 LAG_WINDOW_NS = 500_000_000  # the longest loop delay in this window extends the time allowed to peers
@@ -83,7 +83,7 @@
         dial_timeout_s, idle_close_s = config.dial_timeout / NS_PER_S, config.idle_close / NS_PER_S
         self._pool = Pool(loop, descriptors - client_descriptors, dial_timeout_s, idle_close_s)
         self._host = RouterHost(loop, config.settings, config.seed, self._pool, config.max_open)
-        self._pool.on_event = self._host.touched
+        self._pool.on_event = self._host.begin_loop_iteration
         self._memcached = _memcached(config.memcached) if config.memcached.on else None
         command_memory = int(config.memory * COMMAND_MEMORY_SHARE)
         self._clients = ClientServer(
@@ -108,7 +108,7 @@
         folder = environ.get("TMPDIR")
         store = BanStore(Path(folder) / BANS_FOLDER) if folder and config.admin else None
         self._bans = Bans(
-            store, lambda: self._host.disabled_servers, self._host.disable_server, self._host.enable_server
+            store, lambda: self._host.excluded_servers, self._host.exclude_server, self._host.readmit_server
         )
         self._peers = _peer_link(loop, config, self._host) if config.peers is not None else None
         self._owners = (
@@ -124,6 +124,7 @@
         )
 
     def _default_dialect(self) -> Callable[[], ClientDialect]:
+        """Return a function that creates the dialect of a connection to the clients' main listener."""
         if self._memcached is None or not self._config.memcached.shared:
             return RespDialect
         from saltport.downstream.memcached import DetectingDialect
@@ -240,6 +241,7 @@
         return listing
 
     def _apply_listing(self, listing: Listing) -> None:
+        """Pass a listing to the router host, which is ready after the first complete list."""
         if not self._has_received_list:
             self._has_received_list = True
             log.info("received the first server list: generation %d", listing.generation)
@@ -321,6 +323,7 @@
         return self._change_ban(server, self._bans.unban)
 
     def _change_ban(self, server: str, change: Callable[[str], None]) -> bool:
+        """Ban or unban a server by `change`; return False if the server is unknown. Raises CallError."""
         if not self._host.knows(server):
             return False
         try:
@@ -328,7 +331,7 @@
         except OSError as error:
             raise CallError(f"cannot store the change: {error.strerror or error}") from None
         log.info(
-            "%s: taken %s by an operator", server, "out" if server in self._host.disabled_servers else "back"
+            "%s: taken %s by an operator", server, "out" if server in self._host.excluded_servers else "back"
         )
         return True
 
@@ -395,6 +398,7 @@
     # A new configuration
 
     def _reload(self) -> None:
+        """Read the configuration again and apply the changes that need no restart."""
         figures = self._host.figures
         if self._reload_retry is not None:
             self._reload_retry.cancel()
@@ -425,6 +429,10 @@
 def _owners_link(
     loop: asyncio.AbstractEventLoop, plan: OwnersPlan, peers: PeerLink, host: RouterHost, seed: int
 ) -> OwnersLink:
+    """Return the component that elects one owner for each task of the fleet, which then runs that task.
+
+    It exchanges messages with the other routers over `peers`.
+    """
     from saltport.owners.link import OwnersLink  # imported only if enabled
 
     return OwnersLink(loop, plan, peers, host, seed)
@@ -437,6 +445,7 @@
     owners: OwnersLink | None,
     host: RouterHost,
 ) -> FailoverLink | None:
+    """Return the component that distributes traffic over zones by a shared plan; None if it is off."""
     topology = config.settings.topology
     if not config.failover or topology is None or peers is None or owners is None:
         return None
@@ -446,6 +455,7 @@
 
 
 def _peer_link(loop: asyncio.AbstractEventLoop, config: Config, host: RouterHost) -> PeerLink:
+    """Return the component that exchanges messages with the other routers of the fleet."""
     from saltport.peers.event_log import EventLog  # imported only if enabled
     from saltport.peers.link import PeerLink
 
@@ -478,6 +488,7 @@
 
 
 def _access_log(loop: asyncio.AbstractEventLoop, config: Config) -> AccessLog:
+    """Return the log of client requests, in a file of this process in the configured folder."""
     from saltport.downstream.access_log import AccessLog  # imported only if enabled
 
     path = Path(config.access_log.folder) / f"access-{config.name}-{os.getpid()}.jsonl"
@@ -485,6 +496,7 @@
 
 
 def _memcached(features: MemcachedFeatures) -> Callable[[], ClientDialect]:
+    """Return a function that creates the memcached dialect of a client connection."""
     from saltport.downstream.memcached import MemcachedDialect, MemcachedRules  # imported only if enabled
 
     rules = MemcachedRules(
--- a/saltport/router/host.py
+++ b/saltport/router/host.py
@@ -84,7 +84,7 @@
         self.figures = Figures(())
         self._use_settings(settings)
         self._ready_servers: dict[str, tuple[Address, Callable[[Server], Connection]]] = {}
-        """Address and connection class of each server listed as ready, including those disabled by hand."""
+        """Address and connection class of each server listed as ready, including those that are excluded."""
         self._requests: dict[str, OpenRequest] = {}
         self._events: deque[tuple[Event, bytes | None]] = deque()
         self._event_value: bytes | None = None  # the value that belongs to the event being handled
@@ -95,19 +95,24 @@
 
     # The router's own lag
 
-    def touched(self) -> None:
-        """Note that an event from the kernel or a timer is being handled; starts a loop iteration."""
+    def begin_loop_iteration(self) -> None:
+        """Record that the event loop handles an event from the kernel or a timer.
+
+        The first such event after a wait of the loop begins an iteration of the lag meter; further ones have
+        no effect.
+        """
         if not self.lag.in_iteration:
             self.lag.begin_iteration(time.monotonic_ns())
             # The loop runs this callback just before it polls the kernel again.
             self.loop.call_soon(self._end_loop_iteration)
 
     def _end_loop_iteration(self) -> None:
+        """Record in the lag meter that the event loop has finished an iteration and polls the kernel next."""
         self.lag.end_iteration(time.monotonic_ns())
 
     def _heartbeat(self) -> None:
         """Wake up periodically, so that a long wait of the loop shows that the process was stopped."""
-        self.touched()
+        self.begin_loop_iteration()
         self.loop.call_later(HEARTBEAT_NS / NS_PER_S, self._heartbeat)
         # By elapsed time and not by the number of heartbeats: late heartbeats must not make reports rare.
         now = time.monotonic_ns()
@@ -151,6 +156,7 @@
     # Settings
 
     def _use_settings(self, settings: Settings) -> None:
+        """Store the settings and what is derived from them."""
         self.settings = settings
         self._classes = {cls.name for cls in settings.classes}
         self._probe_timeout = min(cls.aim for cls in settings.classes)
@@ -280,6 +286,7 @@
         self._handle_events()
 
     def _list_servers(self, listing: Listing) -> None:
+        """Pass the usable servers of a listing to the pool, and the removed ones."""
         is_full_list = listing.change.kind is not ListKind.DELTA
         gone = set(self._ready_servers) if is_full_list else set()
         for server in listing.change.servers:
@@ -297,21 +304,21 @@
             self._pool.unlist_server(server_id)
 
     def knows(self, server_id: str) -> bool:
-        """Whether a server is listed, was listed earlier, or is disabled by an operator."""
+        """Whether a server is listed, was listed earlier, or is excluded by an operator."""
         return self._router.registry.knows(server_id)
 
     @property
-    def disabled_servers(self) -> frozenset[str]:
-        """The ids of the servers that an operator has disabled."""
+    def excluded_servers(self) -> frozenset[str]:
+        """The ids of the servers that an operator has excluded from use."""
         return frozenset(self._router.registry.excluded)
 
-    def disable_server(self, server_id: str) -> None:
-        """Send no more requests to a server, whatever the list says, until `enable_server`."""
+    def exclude_server(self, server_id: str) -> None:
+        """Send no more requests to a server, whatever the list says, until `readmit_server`."""
         self.dispatch(ServerExcluded(server_id))
         self._pool.unlist_server(server_id)
 
-    def enable_server(self, server_id: str) -> None:
-        """End the effect of `disable_server`: use the server again if it is listed as ready."""
+    def readmit_server(self, server_id: str) -> None:
+        """End the exclusion of a server: use it again if it is listed as ready."""
         if server_id in self._ready_servers:
             self._pool.list_server(server_id, *self._ready_servers[server_id])
         self.dispatch(ServerReadmitted(server_id))
@@ -348,6 +355,7 @@
             self._handle_events()
 
     def _handle_events(self) -> None:
+        """Pass the queued events to the decision module, and carry out its actions."""
         if self._handling:
             return
         self._handling = True
@@ -388,7 +396,7 @@
             case Log():
                 log.info("%s", action.message)
             case Answer():
-                self._answer(action.request)
+                self._send_deferred_answer(action.request)
             case Copy():
                 self._copy(action)
             case Invalidate():
@@ -407,14 +415,14 @@
         attempt.set_timeout_at(min(now + action.timeout, last) if action.timeout else last)
         self._pool.submit(action.server, attempt)
 
-    def _answer(self, request_id: str) -> None:
-        """Send the held receipt of a write to the client."""
+    def _send_deferred_answer(self, request_id: str) -> None:
+        """Send the client the origin's answer to a write, deferred until all copies were invalidated."""
         request = self._requests.get(request_id)
-        if request is None or request.closed or request.held_receipt is None:
+        if request is None or request.closed or request.deferred_answer is None:
             return
         request.closed = True
         self.count_end(request, self.figures.answered)
-        request.reply.served(request.held_receipt)
+        request.reply.served(request.deferred_answer)
         self.forget_if_finished(request)
 
     def _copy(self, action: Copy) -> None:
@@ -431,6 +439,8 @@
         self._pool.submit(action.server, copy)
 
     def _invalidate(self, action: Invalidate) -> None:
+        """Delete a key at one cache server, and report the result to the decision module."""
+
         def ended_event(outcome: Outcome) -> Event:
             return InvalidationEnded(action.key, action.server, outcome, action.sequence)
 
@@ -438,6 +448,8 @@
         self._pool.submit(action.server, invalidation)
 
     def _set_timer(self, due: int, token: str) -> None:
+        """Raise a TimerFired event with this token at the time `due`, never earlier."""
+
         def fire() -> None:
             # Danger: the decision module ignores a timer that fires early; the request would wait for ever.
             if time.monotonic_ns() < due:
--- a/saltport/upstream/connection.py
+++ b/saltport/upstream/connection.py
@@ -60,7 +60,10 @@
 
 
 class Exchange:
-    """One command or HTTP request to a server and its answer; `ended` is called exactly once."""
+    """One command or HTTP request to a server and its answer; `ended` is called exactly once.
+
+    `report` is the load report in the server's answer, unparsed.
+    """
 
     connection: Connection | None = None
     over = False
@@ -185,6 +188,7 @@
             )
 
     def _give_up_half_sent(self) -> None:
+        """End the exchange as not sent if a part of its request is still unsent."""
         self._half_sent_timer = None
         exchange = self.exchange
         if exchange is not None and self.unsent:
--- a/saltport/upstream/pool.py
+++ b/saltport/upstream/pool.py
@@ -16,9 +16,9 @@
 from saltport.transport.stream import TcpStream
 from saltport.upstream.connection import Connection, Exchange, Server, StartResult
 
-MAX_CONNECTIONS_PER_SERVER = 16
+MAX_CONNECTIONS_PER_SERVER = 16  # further exchanges wait in the server's queue
 IDLE_SHARE = 0.6  # part of `idle_close` after which an idle connection is closed
-SWEEP_INTERVAL_S = 0.5
+SWEEP_INTERVAL_S = 0.5  # between two searches for connections that have been idle for too long
 MAX_TIMER_DELAY_S = 0.02  # a later timer means a blocked loop, with unread events in the kernel
 
 
@@ -235,6 +235,7 @@
                 connection.close()
 
     def _dial_for(self, server: Server) -> None:
+        """Dial as many connections as the queue of a server needs and the limits allow."""
         while server.queue and server.queue[0].over:
             server.queue.popleft()
         if server.dial_delay_timer is not None:
@@ -255,6 +256,7 @@
             server.dials.add(self.loop.create_task(self._dial(server)))
 
     def _close_late(self, server: Server) -> bool:
+        """Close a connection that waits for a late answer; return False if the server has none."""
         if not server.late_connections:
             return False
         self._close_and_free(next(iter(server.late_connections)))
@@ -267,6 +269,7 @@
         connection.close()
 
     def _evict(self) -> bool:
+        """Free a descriptor by closing an unneeded connection; return False if there is none."""
         if any(map(self._close_late, self._servers.values())):
             return True
         idle = [server.idle[0] for server in self._servers.values() if server.idle]
@@ -278,6 +281,7 @@
         return True
 
     async def _dial(self, server: Server) -> None:
+        """Dial one connection to a server, and assign queued exchanges to it or handle the failure."""
         connection: Connection | None = None
         own_lag = out_of_resources = False
         address = server.address
@@ -334,6 +338,7 @@
         self._dial_for(server)
 
     def _dial_failed(self, server: Server, outcome: Outcome) -> None:
+        """End the first exchange that waits for a server with `outcome`, and dial again for the others."""
         while server.queue:
             exchange = server.queue.popleft()
             if not exchange.over:
@@ -345,10 +350,12 @@
         self.descriptor_freed()
 
     def _remove_if_unused(self, server: Server) -> None:
+        """Forget a server that is not listed and uses no descriptor."""
         if not server.is_listed and not server.descriptor_count:
             self._servers.pop(server.id, None)
 
     def _sweep(self) -> None:
+        """Close connections that were idle for too long, and dial for queued exchanges; repeat regularly."""
         self._sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         oldest = self.loop.time() - self.idle_limit
         for server in self._servers.values():
