--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -30,10 +30,12 @@
 # Number of routers to which a new plan is forwarded at once, and to which the latest plan is sent
 # periodically.
 FORWARD_NEW, FORWARD_PERIODIC = 3, 2
-ORDER_RETRY_NS = 500 * NS_PER_MS  # between two sends of an unanswered order, and of a plan query
-ORDER_TIMEOUT_NS = 5_000 * NS_PER_MS
-MAX_ORDERS = 32  # orders under way, and stored results
-MAX_REPORT_SPAN = 4  # in report intervals; the evidence of a longer span is out of date
+ORDER_RETRY_NS = 500 * NS_PER_MS  # time after which an unanswered order or plan query is sent again
+ORDER_TIMEOUT_NS = 5_000 * NS_PER_MS  # time after which an unanswered order fails
+MAX_ORDERS = 32  # limit of a router's unanswered orders, and of its stored order results
+# A report that covers more report intervals than this is not sent: the process was suspended meanwhile, so
+# the evidence is out of date.
+MAX_REPORT_INTERVALS = 4
 
 
 class Agent:
@@ -155,7 +157,7 @@
             self.follower.inherit(answer.plan, now)
 
     def _announce(self, plan: Plan, now: int) -> None:
-        """Apply a new plan of this owner and send it to all routers."""
+        """As the owner, apply a plan that this router has just made and send it to all other routers."""
         self.follower.receive(plan, now)
         self._announce_at = now + self.settings.plan_interval_ns
         self._broadcast(plan)
@@ -177,7 +179,11 @@
         return now - self._reported_at >= self.settings.report_interval_ns
 
     def report(self, evidence: Evidence, now: int) -> None:
-        """Send the evidence collected since the last report to the owner of the plan."""
+        """Report the evidence collected since the last report to the owner of the failover task.
+
+        The owner is the router that made the current plan; without a plan there is no one to report to. If it
+        is this router, the report goes to its own decider.
+        """
         span_ms, self._reported_at = max((now - self._reported_at) // NS_PER_MS, 1), now
         plan = self.follower.plan
         zone_reports = tuple(
@@ -192,7 +198,7 @@
             self.topology.digest, self.topology.own_zone, epoch, number, span_ms, evidence.demand,
             evidence.refused, zone_reports, origins,
         )  # fmt: skip
-        if span_ms > MAX_REPORT_SPAN * self.settings.report_interval_ns // NS_PER_MS:
+        if span_ms > MAX_REPORT_INTERVALS * self.settings.report_interval_ns // NS_PER_MS:
             return  # the process was suspended, so the evidence is out of date
         decider = self._current_decider(now)
         if decider is not None:
@@ -237,7 +243,12 @@
     # Orders
 
     def order(self, action: str, zone: int, transition_ms: int, force: bool, now: int) -> int:
-        """Submit an operator's order to the owner; return its id, its key in `order_results`."""
+        """Submit an operator's order to the owner of the failover task; return the order's id.
+
+        The result appears under this id in `order_results`. `zone` is the index of the zone to evacuate or to
+        return, `transition_ms` the duration of the move (0: the default); `force` evacuates also where too
+        many reads would be refused.
+        """
         self._last_order_id += 1
         order = Order(self._last_order_id & 0xFFFFFFFF, action, zone, transition_ms, force)
         if len(self._orders) >= MAX_ORDERS:
@@ -323,8 +334,8 @@
                     zone: parts / SHARE_SCALE for zone, parts in zip(zones, plan.refused, strict=True)
                 },
                 "origins": {
-                    area: topology.distinct_regions[served]
-                    for area, served in zip(topology.distinct_regions, plan.origins, strict=True)
+                    region: topology.distinct_regions[served]
+                    for region, served in zip(topology.distinct_regions, plan.origins, strict=True)
                 },
             }
         return view
--- a/saltport/failover/board.py
+++ b/saltport/failover/board.py
@@ -11,9 +11,9 @@
 from saltport.failover.messages import Report
 from saltport.failover.settings import FailoverSettings
 
-ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # a zone without a report for this long counts as without routers
+ROUTER_TIMEOUT_NS = 3 * NS_PER_S  # a zone none of whose routers has reported for this long has no live router
 FAST_SMOOTHING, SLOW_SMOOTHING = 0.5, 0.1  # weight of a new window in the smoothed demand
-MAX_REPORTS_PER_WINDOW = 8  # of one router; further reports count only as its latest one
+MAX_REPORTS_PER_WINDOW = 8  # limit per router; further reports of a window only replace its latest report
 
 
 @dataclass(slots=True)
@@ -128,17 +128,19 @@
                 strained_counts[zone] += rejected + late
                 attempts[zone] += rejected + answered_count
             samples.setdefault(source, []).append(by_zone)
-            source_area = topology.region_index(source)
-            for origin_area in range(len(topology.distinct_regions)):
+            source_region = topology.region_index(source)
+            for origin_region in range(len(topology.distinct_regions)):
                 counts = [
-                    report.origins[origin_area] for report in received if origin_area < len(report.origins)
+                    report.origins[origin_region]
+                    for report in received
+                    if origin_region < len(report.origins)
                 ]
                 answered_count, unanswered = (
                     sum(good_count for good_count, _ in counts),
                     sum(silent_count for _, silent_count in counts),
                 )
                 if answered_count + unanswered:
-                    window.origins.setdefault((source_area, origin_area), []).append(
+                    window.origins.setdefault((source_region, origin_region), []).append(
                         PathSample(answered_count + unanswered, unanswered)
                     )
         for source, by_router in samples.items():
--- a/saltport/failover/change.py
+++ b/saltport/failover/change.py
@@ -12,9 +12,9 @@
 from saltport.failover.plans import Matrix
 from saltport.failover.settings import FailoverSettings
 
-OVERLOAD_THRESHOLD = 0.95  # a load above this share of a zone's capacity is a reason for a plan
-MIN_RELIEF = 0.05  # share of a zone's capacity by which the plan must reduce its load
-MIN_REFUSED_CHANGE = 0.05  # change of the refused share of a zone's reads that is a reason for a plan
+OVERLOAD_THRESHOLD = 0.95  # share of a zone's capacity; a zone with a higher load is overloaded
+MIN_RELIEF = 0.05  # share of an overloaded zone's capacity by which a new plan must reduce its load
+MIN_REFUSED_CHANGE = 0.05  # smallest change of a zone's refused share of reads that justifies a new plan
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -29,18 +29,19 @@
 from saltport.failover.waterfall import UNLIMITED, Distribution, distribute
 
 REASONS_WITHOUT_MOVES = ("new owner", "trials end")  # reasons of plans that change no share
-MAX_REFUSED_SHARE = 0.95  # some reads must go on, to find out when a zone has recovered
-DEMAND_TRANSITION_MS = 1_000  # transition of a plan that only follows a change of demand
-ORDER_TRANSITION_MS = 10_000  # default transition for an operator's order
+MAX_REFUSED_SHARE = 0.95  # some reads are always sent, to find out when a zone has recovered
+DEMAND_TRANSITION_MS = 1_000  # duration of the transition to a plan that only follows a change of demand
+ORDER_TRANSITION_MS = 10_000  # default duration of the transition after an operator's order
 # A zone whose routers have been silent for longer is taken as a zone that has no routers of its own.
 ROUTERLESS_ZONE_EXPIRY_NS = 600_000 * NS_PER_MS
 # Reads that try zones marked bad: wanted per second, and the bounds as a share of a source zone's reads.
 TRIALS_PER_S, MIN_TRIAL_SHARE, MAX_TRIAL_SHARE = 5.0, 0.01, 0.1
 SETTLE_NS = 2_000 * NS_PER_MS  # late answers within this time after reads moved do not reduce a capacity
-NEGLIGIBLE_SHARE = 0.005  # shares up to this are no reason for a new plan
-RECENT_RECOVERY_NS = 20_000 * NS_PER_MS  # all listed servers of a recovered zone count for this long
-MAX_TRANSITION_MS = 3_600_000
-MAX_REASON_CHARS = 16  # a plan must fit one datagram
+NEGLIGIBLE_SHARE = 0.005  # shares of reads up to this value are no reason for a new plan
+# For this long after a recovery, all listed servers of the zone count as in use.
+RECENT_RECOVERY_NS = 20_000 * NS_PER_MS
+MAX_TRANSITION_MS = 3_600_000  # limit of the duration of a transition
+MAX_REASON_CHARS = 16  # limit of a plan's reason, so that the plan fits one datagram
 MAX_STORED_RESULTS = 64  # order results that are remembered to answer repeated orders
 
 
@@ -77,15 +78,16 @@
         self._recovery_ms = (
             max(settings.min_recovery_ns, int(settings.warm_up_factor * warm_up_ns)) // NS_PER_MS
         )
-        zones, areas = range(len(topology.zones)), range(len(topology.distinct_regions))
+        zones, regions = range(len(topology.zones)), range(len(topology.distinct_regions))
         plan = follower.plan
         bad = plan.bad if plan else bytes(len(zones))
         self.paths = {
             (a, b): PathHealth(settings, bool(bad[a] >> b & 1)) for a in zones for b in zones
         }  # fmt: skip
-        lost_areas = plan.lost_origins if plan else 0
+        lost_origins = plan.lost_origins if plan else 0
         self.origin_paths = {
-            (a, b): PathHealth(settings, a == b and bool(lost_areas >> a & 1)) for a in areas for b in areas
+            (a, b): PathHealth(settings, a == b and bool(lost_origins >> a & 1))
+            for a in regions for b in regions
         }  # fmt: skip
         self.capacities = [ZoneCapacity(settings, topology.server_capacity(zone)) for zone in zones]
         self.evacuated = plan.evacuated if plan else 0
@@ -108,7 +110,10 @@
     # Evidence
 
     def tick(self, now: int) -> Plan | None:
-        """Evaluate the reports once per report interval; return a new plan if one is needed."""
+        """Close and evaluate a window of reports once per report interval.
+
+        Return a new plan if the evidence calls for one, else None.
+        """
         self._now = now
         if now - self._window_closed_at < self._settings.report_interval_ns:
             return None
@@ -236,7 +241,7 @@
         has_recovered = any(
             old_bad[s] & ~desired.bad[s] for s in range(len(old_bad)) if s not in desired.doubted
         )
-        if self._serving_areas() != plan.origins or self._lost_areas() != plan.lost_origins:
+        if self._serving_regions() != plan.origins or self._lost_origins() != plan.lost_origins:
             return self._create_plan(desired, end, self._remaining_transition_ms(plan, now), "origin")
         current = Allocation(
             self._follower.final_matrix(), tuple(share / SHARE_SCALE for share in plan.refused)
@@ -323,8 +328,12 @@
     def _without_evacuated(
         self, source: int, row: tuple[float, ...], desired: _DesiredPlan
     ) -> tuple[float, ...]:
-        """Return a source zone's current row without the shares of evacuated zones.
+        """Return a source zone's current shares by target zone, without those of evacuated zones.
 
+        This is for a source zone that keeps its current row, because its evidence is not believed or it has
+        next to no demand. The shares of the other zones are scaled up to a sum of 1. If none remain, all
+        reads go to the nearest zone that `desired` marks neither as evacuated nor, if the evidence is
+        believed, as bad.
         Danger: an evacuation must not depend on evidence. If the row were returned unchanged, a zone that is
         evacuated while all zones look bad would keep its reads for good: once all zones have recovered,
         nothing triggers another plan.
@@ -373,7 +382,7 @@
         return Plan(
             self.topology.digest, self.epoch, self._plan_number, self.name, 0, 0,
             min(transition_ms, MAX_TRANSITION_MS), encode_shares(begin), encode_shares(end), refused, bad,
-            self._trial_shares(), self.evacuated, self.frozen, self._serving_areas(), self._lost_areas(),
+            self._trial_shares(), self.evacuated, self.frozen, self._serving_regions(), self._lost_origins(),
             bitmask(list(self._routers_seen_at)), reason[:MAX_REASON_CHARS],
         )  # fmt: skip
 
@@ -389,21 +398,35 @@
             (plan.bad[s] if plan and s in desired.doubted else mask) for s, mask in enumerate(desired.bad)
         )
 
-    def _serving_areas(self) -> bytes:
-        """Return, by region, the nearest region whose origin answers; the region itself if none does."""
-        areas = range(len(self.topology.distinct_regions))
+    def _serving_regions(self) -> bytes:
+        """Return for each region the index of the nearest region whose origin answers it, as one byte.
+
+        If no origin answers a region, this is its own index.
+        """
+        regions = range(len(self.topology.distinct_regions))
         return bytes(
             next(
-                (o for o in self.topology.regions_by_distance(area) if not self.origin_paths[area, o].bad),
-                area,
+                (
+                    o
+                    for o in self.topology.regions_by_distance(region)
+                    if not self.origin_paths[region, o].bad
+                ),
+                region,
             )
-            for area in areas
+            for region in regions
         )
 
-    def _lost_areas(self) -> int:
-        """Return a bit mask of the regions whose own origin does not answer."""
+    def _lost_origins(self) -> int:
+        """Return a bit mask of the regions that get no answers from the origin in the same region.
+
+        Bit `i` stands for the region with index `i` in `topology.distinct_regions`.
+        """
         return bitmask(
-            [area for area in range(len(self.topology.distinct_regions)) if self.origin_paths[area, area].bad]
+            [
+                region
+                for region in range(len(self.topology.distinct_regions))
+                if self.origin_paths[region, region].bad
+            ]
         )
 
     # Orders
--- a/saltport/failover/follower.py
+++ b/saltport/failover/follower.py
@@ -49,7 +49,7 @@
         return self._apply(plan, now, fenced=True)
 
     def inherit(self, plan: Plan, now: int) -> bool:
-        """As a new owner without a plan of its own, apply one of an earlier owner; return whether it is new.
+        """As a new owner, apply a plan of an earlier owner; return whether it is newer than the current one.
 
         Danger: this must not ask the fence. At a voter, the fence has already seen the epoch of the new owner
         and would reject all earlier plans; operators' orders that were already answered would be lost.
@@ -92,8 +92,8 @@
             and 0 <= plan.transition_ms <= MAX_DURATION_MS
         )
         valid_shares = len(plan.begin) == len(plan.end) == zones * zones
-        areas = len(self.topology.distinct_regions)
-        valid_origins = len(plan.origins) == areas and all(area < areas for area in plan.origins)
+        regions = len(self.topology.distinct_regions)
+        valid_origins = len(plan.origins) == regions and all(region < regions for region in plan.origins)
         return same_topology and valid_shares and valid_origins and valid_times
 
     def owner_silence_ns(self, now: int) -> int:
@@ -101,7 +101,7 @@
         return max(now - self.created_at - self._confirmed_after_ns, 0)
 
     def is_binding(self, now: int) -> bool:
-        """Whether there is a plan and its owner confirmed it recently enough for it to be valid."""
+        """Whether there is a plan, and its owner confirmed it within the validity time of plans."""
         return self.plan is not None and self.owner_silence_ns(now) <= self._settings.plan_validity_ns
 
     def matrix(self, now: int) -> Matrix:
@@ -131,9 +131,10 @@
         )
 
     def plan_to_forward(self, now: int) -> Plan | None:
-        """Return the plan with its current age, to send to other routers.
+        """Return the latest received plan with its current age, to send to other routers.
 
-        Forwarding does not count as a confirmation by the owner.
+        Return None if no plan was ever received; an expired plan is returned too. Forwarding does not count
+        as a confirmation by the owner, so it does not extend the validity of the plan.
         """
         if self.plan is None:
             return None
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -18,7 +18,7 @@
 MESSAGE_PREFIX = (
     0xC1  # first byte of a failover message in a datagram of the peers; no other message begins with it
 )
-TICK_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 0.1  # time between two calls of the agent's periodic work
 
 log = logging.getLogger("saltport")
 
@@ -138,7 +138,13 @@
         return {**view, "orders": orders}
 
     def order(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
-        """Submit an operator's order to the owner; return its id, or None for an unknown zone."""
+        """Submit an operator's order to the owner of the failover task.
+
+        Return the order's id, under which `view` shows the result, or None for an unknown zone. `action` is
+        `evacuate` or `return`, which move the reads of `zone` within `transition_ms` (0: the default), or
+        `freeze` or `thaw`, which stop and resume the making of plans for all zones. `force` evacuates a zone
+        also where too many reads would be refused.
+        """
         topology = self.agent.topology
         if zone and zone not in topology.zone_index:
             return None
@@ -150,6 +156,6 @@
         return number
 
     def close(self) -> None:
-        """Stop the agent."""
+        """Stop the periodic work of the agent."""
         if self._timer is not None:
             self._timer.cancel()
--- a/saltport/failover/plans.py
+++ b/saltport/failover/plans.py
@@ -70,9 +70,9 @@
 
     If it is not binding, it refuses no reads and tries no bad zones.
     """
-    zones, area = len(topology.zones), topology.region_index(zone)
-    served = plan.origins[area] if area < len(plan.origins) else area
-    order = (served, *(other for other in topology.regions_by_distance(area) if other != served))
+    zones, region = len(topology.zones), topology.region_index(zone)
+    served = plan.origins[region] if region < len(plan.origins) else region
+    order = (served, *(other for other in topology.regions_by_distance(region) if other != served))
     trials = (
         ()
         if not binding
@@ -80,6 +80,6 @@
     )
     refused = plan.refused[zone] / SHARE_SCALE if binding else 0.0
     row = tuple(round(share, 3) for share in matrix[zone])
-    lost = bool(plan.lost_origins >> area & 1)
+    lost = bool(plan.lost_origins >> region & 1)
     trial = plan.trial_permille[zone] / 1_000
     return ZonePlan(row, refused, trials, trial, bit_positions(plan.evacuated, zones), order, lost, binding)
--- a/saltport/failover/room.py
+++ b/saltport/failover/room.py
@@ -8,7 +8,7 @@
 
 PEAK_DECAY_S = 600.0  # time over which the observed peak rate decays to nothing
 PROVEN_MARGIN = 1.25  # a zone without a configured capacity may get this multiple of its peak rate
-CUT_FACTOR = 0.95  # of the rate at overload, as the new limit
+CUT_FACTOR = 0.95  # share of the rate at overload to which the limit is cut
 RATE_SMOOTHING = 0.4  # weight of a new window in the smoothed rate
 MAX_DECAY_STEP_S = 2.0  # a longer gap between two windows decays the peak rate no further
 PROBE_RETRIES = 4  # an uncut limit resets the retry time after this many retry times since the last cut
@@ -31,10 +31,11 @@
         """Whether the limit was lifted after a cut, to find out if the zone can do more again."""
 
     def add_window(self, in_time_rate: float, strained_share: float, now: int, settled: bool = True) -> None:
-        """Update the capacity from a window.
+        """Update the zone's capacity from the evidence of one report interval.
 
-        `in_time_rate` is answers in time per second, `strained_share` the share of attempts that were late or
-        rejected. `settled` is False shortly after reads were moved between zones.
+        `in_time_rate` is the answers in time per second, `strained_share` the share of attempts that were
+        late or rejected. `settled` is False shortly after reads were moved between zones: such a window does
+        not reduce the capacity.
         Danger: requests that waited in vain in another zone move along with the reads, all at once and
         already late. Counted as overload, they would reduce the capacity of a zone just when it is needed.
         """
--- a/saltport/owners/assignments.py
+++ b/saltport/owners/assignments.py
@@ -14,7 +14,7 @@
 from saltport.owners.log import Entry, EntryKind
 
 MAX_TASK_NAME_BYTES = 64  # so that a row fits a log entry, and an entry a datagram
-MAX_TASKS = 4_096
+MAX_TASKS = 4_096  # limit of the tasks that have an owner, and of the tasks that routers want done
 
 
 class Session(Struct, frozen=True, array_like=True, order=True):
@@ -33,7 +33,10 @@
 
 
 class RemoveTasks(Struct, frozen=True, array_like=True, tag=1):
-    """Command: remove tasks that are no longer wanted, if they still have the epochs in the rows."""
+    """Command: remove tasks that no router wants done any more.
+
+    Each row has a task and its epoch; a task that has another epoch by now is not removed.
+    """
 
     rows: tuple[tuple[str, int], ...]
 
@@ -111,7 +114,7 @@
 
     @classmethod
     def load(cls, data: bytes) -> Assignments:
-        """Read the state from the data of a snapshot; raises ValueError."""
+        """Return the state in the data of a snapshot; raises ValueError if the data is invalid."""
         if not data:
             return cls.empty()
         tasks = msgspec.msgpack.decode(data, type=dict[str, Assignment])
--- a/saltport/owners/coordinator.py
+++ b/saltport/owners/coordinator.py
@@ -105,6 +105,10 @@
         return replies
 
     def _assignment_messages(self, session: Session, rows: list[tuple[str, int]]) -> list[AssignedTasks]:
+        """Return messages that list the rows (task, epoch) as assigned to a session.
+
+        Rows beyond `max_assignment_messages` messages are left out.
+        """
         pages: list[AssignedTasks] = []
         while rows and len(pages) < self.settings.max_assignment_messages:
             page, room = [], MESSAGE_ROWS_BYTES
@@ -120,14 +124,17 @@
             self._sessions.renew(message.session, -self.settings.lease - 1)
 
     def on_applied(self, changed: list[str]) -> None:
-        """Clear the pending state of tasks that a committed command has changed."""
+        """Drop the pending commands, recalls and returns of tasks that a committed command has changed."""
         for task in changed:
             self._pending.pop(task, None)
             self._recalled.pop(task, None)
             self._returned.pop(task, None)
 
     def on_proposal_failed(self, tasks: list[str]) -> None:
-        """Clear the pending state of tasks whose command was not proposed."""
+        """Mark tasks as no longer pending after Raft refused to propose their command.
+
+        The next call of `decide` returns commands for them again.
+        """
         for task in tasks:
             self._pending.pop(task, None)
 
@@ -193,6 +200,7 @@
         reason: str,
         now: int,
     ) -> None:
+        """Add a task to the rows to assign to a session, and record the reason of the assignment."""
         rows_by_owner.setdefault(to, []).append((task, epoch))
         self.assignment_reasons[task] = (reason, now)
 
--- a/saltport/owners/link.py
+++ b/saltport/owners/link.py
@@ -22,10 +22,10 @@
 from saltport.peers.agent import MemberState
 from saltport.peers.link import PeerLink
 
-TRIALS_INTERVAL_NS = 250_000_000
-STORAGE_RETRY_NS = 200_000_000  # between attempts to open the storage, which a predecessor may still hold
+TRIALS_INTERVAL_NS = 250_000_000  # time between two schedulings of the trials of ejected servers
+STORAGE_RETRY_NS = 200_000_000  # time between attempts to open the storage while another process has it open
 EVIDENCE_TAG = 64  # tag of `trials.Evidence`, the first element of its encoding
-RESIGN_WAIT_S = 0.05  # for the replies of a leadership transfer
+RESIGN_WAIT_S = 0.05  # time to wait for the replies of a leadership transfer before the process ends
 
 log = logging.getLogger("saltport")
 
@@ -75,10 +75,10 @@
         self.member: Member | None = None
         self.trouble = ""
         self.wanted: list[str] = []
-        """Pieces of work that other parts of this process want done."""
+        """Names of tasks that other parts of this process want done, by whichever router owns them."""
         self._storage: Storage | None = None
         self._storage_failed = False
-        """Whether it failed while this voter was voting; it is reopened as soon as it works."""
+        """Whether the storage failed while this voter was voting; it is reopened as soon as it works."""
         self._storage_retry_at = 0
         self._timer: asyncio.TimerHandle | None = None
         self._last_tick_at = 0
@@ -104,6 +104,10 @@
         return True
 
     def _stored_state(self, storage: Storage) -> tuple[Log, Vote, bool]:
+        """Return a storage's log and vote, and whether this voter's state was lost.
+
+        A new file counts as lost state unless the settings allow the voter to begin without one.
+        """
         return storage.log, storage.vote, storage.is_new and not self._plan.begin
 
     def _create_member(self, now: int) -> Member:
@@ -127,6 +131,7 @@
         return member
 
     def _tick(self) -> None:
+        """Run the periodic work of the member and the trials, and schedule the next call."""
         try:
             now = boot_clock()
             member = self.member
@@ -165,6 +170,7 @@
             log.info("owners: the storage works again, this voter resumes voting")
 
     def _log_coordinator_change(self, member: Member, now: int) -> None:
+        """Log when coordinators stop or resume answering this router."""
         is_without = member.without_coordinator(now)
         if is_without != self._was_without_coordinator:
             self._was_without_coordinator = is_without
@@ -174,6 +180,7 @@
                 log.info("owners: a coordinator answers")
 
     def _run_trials(self, member: Member, scheduler: Trials, now: int) -> None:
+        """Schedule trials of ejected servers, and send evidence of recovered ones to all routers."""
         ejected = self._servers.trials_due()
         member.owner_lease.set_wanted([*self._plan.tasks, *self.wanted, *scheduler.wanted(ejected)])
         shift = time.monotonic_ns() - now  # the decision module uses the monotonic clock
@@ -206,10 +213,15 @@
         self._receive(member, sender, message, now)
 
     def _receive(self, member: Member, sender: str, message: Message, now: int) -> None:
+        """Pass a message to the member, and store and send the output."""
         member.receive(sender, message, now)
         self._perform_output(member)
 
     def _perform_output(self, member: Member) -> None:
+        """Store the state in the member's output, then send its messages.
+
+        If the storage fails, nothing is sent and the voter stops voting.
+        """
         output = member.take_output()
         if self._storage is not None:
             try:
--- a/saltport/owners/log.py
+++ b/saltport/owners/log.py
@@ -22,7 +22,7 @@
 
 
 class Entry(Struct, frozen=True, array_like=True):
-    """An entry of the replicated log."""
+    """An entry of the replicated log, identified by its index; `term` is the term of its leader."""
 
     index: int
     term: int
--- a/saltport/owners/member.py
+++ b/saltport/owners/member.py
@@ -72,11 +72,14 @@
 
     @property
     def coordinator(self) -> Coordinator | None:
-        """The coordinator; None unless this voter leads."""
+        """The coordinator, which assigns the tasks; None unless this voter leads."""
         return self._coordinator
 
     def without_coordinator(self, now: int) -> bool:
-        """Whether no coordinator has replied for longer than a lease, so that each router acts on its own."""
+        """Whether no coordinator has replied to this router for longer than the duration of a lease.
+
+        The router then acts without coordination, for example in its trials of ejected servers.
+        """
         return now - self._last_reply_at > self.settings.lease
 
     def tick(self, now: int) -> None:
@@ -94,7 +97,7 @@
         )
 
     def _update_coordinator(self, raft: Raft, now: int) -> bool:
-        """Create or drop the coordinator as this voter gains or loses the lead; whether there is one."""
+        """Create the coordinator if this voter leads, drop it otherwise; return whether there is one."""
         if not raft.leads(now):
             self._coordinator = None
         elif self._coordinator is None:
@@ -103,11 +106,13 @@
 
     @staticmethod
     def _propose_decisions(raft: Raft, coordinator: Coordinator, now: int) -> None:
+        """Propose the coordinator's decisions to Raft as log entries."""
         for command in coordinator.decide(now):
             if raft.propose(encode_command(command), now) is None:
                 coordinator.on_proposal_failed([task for task, _ in command.rows])
 
     def _send_renewal(self, renew: Renew, now: int) -> None:
+        """Send a lease renewal to the voter that answered last, or to a random one after a silence."""
         if now - self._target_since > 2 * self.settings.renew_interval or not self._target:
             # No reply from the target: another voter may lead by now.
             self._target = self._rng.choice(self.voters)
@@ -115,6 +120,7 @@
         self._send(self._target, renew)
 
     def _send(self, to: str, message: Message) -> None:
+        """Queue a message for a router."""
         self._messages.append((to, message))
 
     def resign(self, now: int) -> None:
@@ -154,6 +160,7 @@
                     self._update_coordinator(self.raft, now)
 
     def _on_renew(self, sender: str, request: Renew, now: int) -> None:
+        """As a voter, answer a renewal as the coordinator, or redirect the sender to the leader."""
         raft = self.raft
         if raft is None or sender != request.session.name:
             return
--- a/saltport/owners/messages.py
+++ b/saltport/owners/messages.py
@@ -19,17 +19,22 @@
     returned: tuple[str, ...] = ()
     """Tasks that the session has stopped working on."""
     wanted: tuple[str, ...] = ()
+    """Tasks that this router wants done, by whichever router owns them."""
 
 
 class RenewReply(Struct, frozen=True, array_like=True, tag=17):
-    """Reply that extends the lease."""
+    """Reply to Renew: extends the session's lease, counted from the sending of the renewal.
+
+    `sent_at` is copied from the renewal. The session must stop working on the `recalled` tasks and report
+    them as returned; it need not report the `confirmed_returns` again.
+    """
 
     session: Session
     sent_at: int
     recalled: tuple[str, ...] = ()
-    """Tasks that the session should return."""
+    """Tasks that the session must return."""
     confirmed_returns: tuple[str, ...] = ()
-    """Returned tasks whose return is recorded."""
+    """Tasks of the renewal's `returned` whose return the coordinator has recorded."""
 
 
 class AssignedTasks(Struct, frozen=True, array_like=True, tag=18):
--- a/saltport/owners/raft.py
+++ b/saltport/owners/raft.py
@@ -143,14 +143,22 @@
 
 
 class TermQuery(Struct, frozen=True, array_like=True, tag=7):
-    """Question of a restarted voter for the others' terms; `nonce` and `boot_count` identify this start."""
+    """Query of a restarted voter for the other voters' terms; it needs them to rejoin if it lost its state.
+
+    `nonce` is random and identifies the querying process; `boot_count` is the number of its start as counted
+    on its disk, 0 if starts are not counted.
+    """
 
     nonce: int
     boot_count: int = 0
 
 
 class TermReply(Struct, frozen=True, array_like=True, tag=8):
-    """Reply to TermQuery; `boot_count` is the asker's latest start that the sender knew before the query."""
+    """Reply to TermQuery: the sender's term, and the nonce of the query.
+
+    `boot_count` is the highest boot count that the sender knew of the querying voter before this query. If it
+    is not below the querying voter's own, the voter's disk was replaced by an older copy.
+    """
 
     term: int
     nonce: int
@@ -257,7 +265,7 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Latest cluster configuration in the log, committed or not."""
+        """Latest cluster configuration (voters and learners) in the log, committed or not."""
         return self.log.configuration()[1]
 
     @property
@@ -303,7 +311,10 @@
                     self._reset_election_timer(now)
 
     def propose(self, data: bytes, now: int) -> int | None:
-        """Append a command and return its index; None if this is not a leader or transfers leadership."""
+        """Append a command to the replicated log and return the index of its entry.
+
+        Return None if this member is not the leader, or is transferring its leadership.
+        """
         return self._propose(EntryKind.COMMAND, data, now)
 
     def change_configuration(self, configuration: Configuration, now: int) -> int | None:
@@ -354,6 +365,7 @@
     # Elections
 
     def _reset_election_timer(self, now: int) -> None:
+        """Schedule the next election, or while recovering the next term query."""
         if self.role is Role.RECOVERING:
             self._wake_at = min(
                 self._wake_at, now + self.settings.heartbeat_interval
@@ -365,6 +377,10 @@
         )
 
     def _change_role(self, role: Role, term: int, now: int, leader: str = "") -> None:
+        """Take a role in a term, with the leader if known, and drop the state of the previous role.
+
+        A recovering voter stays in its role.
+        """
         if term > self.vote.term:
             self._store_vote(Vote(term))
         if self.role is not Role.RECOVERING:
@@ -376,10 +392,15 @@
         self._reset_election_timer(now)
 
     def _store_vote(self, vote: Vote) -> None:
+        """Set the current term and vote, and have them stored."""
         self.vote = vote
         self._ready.vote = vote
 
     def _start_election(self, now: int, pre_vote: bool, leadership_transfer: bool = False) -> None:
+        """Request the votes of all voters for the next term; with `pre_vote` only ask if they would vote.
+
+        `leadership_transfer`: the leader asked for the election, so voters may still be in contact with it.
+        """
         self.role = Role.PRECANDIDATE if pre_vote else Role.CANDIDATE
         self.leader = ""
         self._votes_granted = {self.name}
@@ -394,6 +415,7 @@
         self._count_votes(now)
 
     def _count_votes(self, now: int) -> None:
+        """Start the election after a won pre-vote, or become leader after a won election."""
         configuration = self.configuration
         if len(self._votes_granted & set(configuration.voters)) < configuration.quorum:
             return
@@ -403,6 +425,7 @@
             self._become_leader(now)
 
     def _become_leader(self, now: int) -> None:
+        """Become leader, and append the no-op entry that commits those of earlier terms."""
         self.role, self.leader = Role.LEADER, self.name
         self._transfer_target = ""
         self._leader_since = self._next_heartbeat_at = now
@@ -416,6 +439,7 @@
         self._leader_tick(now)
 
     def _on_request_vote(self, sender: str, request: RequestVote, now: int) -> None:
+        """Grant or refuse a vote (3.4, 3.6.1, and 9.6 for pre-votes)."""
         if self.role is Role.RECOVERING:
             return
         leader_timed_out = now - self._leader_contact_at >= self.settings.election_timeout
@@ -443,6 +467,7 @@
         self._send(sender, RequestVoteReply(self.vote.term, granted, False))
 
     def _on_request_vote_reply(self, sender: str, message: RequestVoteReply, now: int) -> None:
+        """Count a granted vote; on a refusal of a later term, become its follower."""
         if not message.vote_granted:
             if message.term > self.vote.term:
                 self._change_role(Role.FOLLOWER, message.term, now)
@@ -455,6 +480,7 @@
     # Leading
 
     def _leader_tick(self, now: int) -> None:
+        """As leader, send heartbeats when they are due; step down without contact to a quorum."""
         acknowledged_at = self._quorum_acknowledged_at()
         if now - max(acknowledged_at, self._leader_since) > self.settings.election_timeout:
             self._change_role(Role.FOLLOWER, self.vote.term, now)  # 6.2: no quorum for an election timeout
@@ -488,6 +514,7 @@
         return times[others - 1] if len(times) >= others else 0
 
     def _propose(self, kind: EntryKind, data: bytes, now: int) -> int | None:
+        """Append an entry and send it to all members; return its index, None as `propose` does."""
         if self.role is not Role.LEADER or self._transfer_target:
             return None
         index = self._append_local(kind, data)
@@ -501,12 +528,17 @@
         return index
 
     def _append_local(self, kind: EntryKind, data: bytes) -> int:
+        """Append an entry to this member's log, have it stored, and return its index."""
         entry = Entry(self.log.last_index + 1, self.vote.term, kind, data)
         self.log.entries.append(entry)
         self._ready.entries.append(entry)
         return entry.index
 
     def _send_append_entries(self, name: str, now: int, force: bool = False) -> None:
+        """Send a member the entries it lacks, or a part of the snapshot if they are no longer in the log.
+
+        Without `force`, nothing is sent while the member has not replied to the previous request.
+        """
         progress = self.progress[name]
         if progress.awaiting_reply and not force:
             return
@@ -524,6 +556,7 @@
         )
 
     def _send_install_snapshot(self, name: str, progress: _Progress, now: int) -> None:
+        """Send a member the next part of the snapshot."""
         snapshot = self.log.snapshot
         progress.snapshot_offset = max(progress.snapshot_offset, 0)
         data = snapshot.data[
@@ -550,6 +583,7 @@
         return progress
 
     def _on_append_entries_reply(self, sender: str, message: AppendEntriesReply, now: int) -> None:
+        """As leader, record which entries a member has, and send it further ones."""
         progress = self._record_reply(sender, message.term, message.sent_at, now)
         if progress is None:
             return
@@ -569,6 +603,7 @@
         self._finish_transfer(now)
 
     def _on_install_snapshot_reply(self, sender: str, message: InstallSnapshotReply, now: int) -> None:
+        """As leader, record how much of the snapshot a member has, and send the next part or entries."""
         progress = self._record_reply(sender, message.term, message.sent_at, now)
         if progress is None:
             return
@@ -584,7 +619,10 @@
         self._send_append_entries(sender, now)
 
     def _advance_commit_index(self, now: int) -> None:
-        """Commit the entries that a quorum stores, counting entries of the current term only (3.6.2)."""
+        """As the leader, commit all entries up to the last one of the current term that a quorum stores.
+
+        Entries of earlier terms are never committed by counting the members that store them (3.6.2).
+        """
         configuration = self.configuration
         match_indexes = sorted(
             (self.log.last_index if name == self.name else self.progress[name].match_index
@@ -607,6 +645,7 @@
                     self._change_role(Role.FOLLOWER, self.vote.term, now)  # 4.2.2: this leader removed itself
 
     def _finish_transfer(self, now: int) -> None:
+        """Ask the target of a leadership transfer to start an election once it has all entries."""
         progress = self.progress.get(self._transfer_target)
         if progress is not None and progress.match_index == self.log.last_index:
             self._send(self._transfer_target, TimeoutNow(self.vote.term))
@@ -624,6 +663,7 @@
         return True
 
     def _on_append_entries(self, sender: str, message: AppendEntries, now: int) -> None:
+        """Append a leader's entries if they follow this log, commit what the leader committed, and reply."""
         if not self._accept_leader(sender, message.term, now):
             self._send(
                 sender, AppendEntriesReply(self.vote.term, -1, self.log.last_index + 1, message.sent_at)
@@ -661,6 +701,7 @@
             self._send(sender, AppendEntriesReply(message.term, -1, message.match_index + 1, 0))
 
     def _on_install_snapshot(self, sender: str, message: InstallSnapshot, now: int) -> None:
+        """Collect the parts of a leader's snapshot, restore the complete one, and reply."""
         if not self._accept_leader(sender, message.term, now):
             self._send(
                 sender, InstallSnapshotReply(self.vote.term, message.last_included_index, 0, message.sent_at)
@@ -698,6 +739,7 @@
             self._send(sender, InstallSnapshotReply(message.term, message.last_included_index, len(data), 0))
 
     def _restore_snapshot(self, snapshot: Snapshot) -> None:
+        """Replace the log up to a snapshot's index, and the state of the state machine, by the snapshot."""
         self.log.install_snapshot(snapshot)
         self.commit_index = self.last_applied = snapshot.index
         self._ready.snapshot = self._ready.restore = snapshot
@@ -706,12 +748,14 @@
     # Recovery of a voter that lost its state
 
     def _send_term_queries(self, now: int) -> None:
+        """While recovering, ask all other voters for their terms."""
         self._wake_at = now + self.settings.heartbeat_interval
         for name in self.configuration.voters:
             if name != self.name:
                 self._send(name, TermQuery(self._nonce, self._boot_count))
 
     def _on_term_reply(self, sender: str, message: TermReply, now: int) -> None:
+        """Record a voter's term for the recovery; start a recovery if the reply shows a stale disk."""
         if message.nonce != self._nonce or sender not in self.configuration.voters:
             return
         if self._boot_count and message.boot_count >= self._boot_count and self.role is not Role.RECOVERING:
@@ -731,6 +775,11 @@
                 self._store_vote(Vote(highest, self.name))
 
     def _try_finish_recovery(self, term: int, commit_index: int, match_index: int) -> None:
+        """End the recovery if this log has all entries committed in a term that is late enough.
+
+        `match_index` is the last index at which this log agrees with the leader's. The term must be at least
+        the highest one that a quorum of voters reported, so that no acknowledged entry can be missing.
+        """
         is_term_known = 0 <= self._recovery_term <= term
         of_this_term = self.log.term_at(commit_index) == term
         if self.role is Role.RECOVERING and is_term_known and of_this_term and match_index >= commit_index:
@@ -741,6 +790,7 @@
     # Messages
 
     def _send(self, to: str, message: Message) -> None:
+        """Queue a message for a member; it is sent after the state has been stored."""
         self._ready.messages.append((to, message))
 
     def receive(self, sender: str, message: Message, now: int) -> None:
--- a/saltport/owners/storage.py
+++ b/saltport/owners/storage.py
@@ -18,7 +18,7 @@
 from saltport.owners.log import Configuration, Entry, Log, Snapshot, Vote
 
 _RECORD_HEADER_BYTES = 8  # four bytes of length, four of CRC-32
-MAX_RECORD_BYTES = 16 << 20
+MAX_RECORD_BYTES = 16 << 20  # a greater length in a record header shows that the header is damaged
 
 
 class StorageError(Exception):
@@ -26,7 +26,10 @@
 
 
 class StorageBusyError(StorageError):
-    """Another process has the file open, such as a predecessor that still runs; opening can be retried."""
+    """Another process has the voter's file open, such as the previous process of this router.
+
+    Opening can be retried: it succeeds once that process has ended.
+    """
 
 
 class FileHeader(Struct, frozen=True, array_like=True, tag=0):
@@ -57,6 +60,7 @@
 
 
 def _encode_record(record: _Record) -> bytes:
+    """Return a record as bytes for the file: its length, its CRC-32 and its encoding."""
     payload = msgspec.msgpack.encode(record)
     return len(payload).to_bytes(4, "big") + zlib.crc32(payload).to_bytes(4, "big") + payload
 
@@ -89,6 +93,7 @@
             raise
 
     def _take_lock(self) -> None:
+        """Lock the file against other processes; raises StorageBusyError if one has it open."""
         # Danger: two processes with one file would each store votes and entries that the other does not know.
         self._lock = os.open(self._path.with_name(self._path.name + ".lock"), os.O_RDWR | os.O_CREAT, 0o600)
         try:
@@ -98,6 +103,7 @@
         self.is_new = not self._path.exists()
 
     def _read(self, data: bytes) -> None:
+        """Apply all records of the file, and skip a torn last one; raises StorageError if it is damaged."""
         offset = 0
         while offset < len(data):
             size = int.from_bytes(data[offset : offset + 4], "big")
@@ -120,6 +126,7 @@
             raise StorageError(f"{self._path}: the header record is missing")
 
     def _apply(self, record: _Record) -> None:
+        """Update the state in memory by a record; raises StorageError if it does not fit the state."""
         match record:
             case FileHeader(name, identity, boot_count):
                 if name != self._name:
@@ -162,6 +169,7 @@
         self._file = file
 
     def _write(self, file: int, data: bytes) -> None:
+        """Write all bytes to a file and sync it."""
         while data:
             data = data[os.write(file, data) :]
         os.fsync(file)
--- a/saltport/owners/trials.py
+++ b/saltport/owners/trials.py
@@ -17,15 +17,16 @@
 from saltport.owners.owner_lease import OwnerLease
 from saltport.owners.raft import NS_PER_S
 
-PREFIX = "probe/"
-POSTPONE_NS = 2 * NS_PER_S  # by which routers other than the owner postpone their trial each time
-REPORT_PERIOD_NS = 8 * NS_PER_S  # after success, repeated because messages may be lost
-REPORT_INTERVAL_NS = 1 * NS_PER_S
-TRIAL_SPREAD_NS = 2 * NS_PER_S  # of the other routers' trials after evidence
-OWNER_TIMEOUT_NS = 30 * NS_PER_S  # without evidence, up to twice this until a router may try itself
-TRIAL_WINDOW_NS = 6 * NS_PER_S  # for a router's own trial after the owner timeout
-UNCOORDINATED_SPREAD_NS = 6 * NS_PER_S  # of trials by routers without a coordinator
-MAX_EVIDENCE_AGE_NS = 10 * NS_PER_S
+PREFIX = "probe/"  # a task with this prefix is the trial of the server named after it
+POSTPONE_NS = 2 * NS_PER_S  # time by which routers other than the owner postpone their trial, again and again
+REPORT_PERIOD_NS = 8 * NS_PER_S  # time for which a recovery is reported repeatedly, as messages may be lost
+REPORT_INTERVAL_NS = 1 * NS_PER_S  # time between two reports of the same recovery
+TRIAL_SPREAD_NS = 2 * NS_PER_S  # after evidence, the other routers start their trials within this time
+# Without evidence from the owner, another router tries a server itself after this time to twice this time.
+OWNER_TIMEOUT_NS = 30 * NS_PER_S
+TRIAL_WINDOW_NS = 6 * NS_PER_S  # time after the owner timeout in which a router's own trial is not postponed
+UNCOORDINATED_SPREAD_NS = 6 * NS_PER_S  # routers without a coordinator start their trials within this time
+MAX_EVIDENCE_AGE_NS = 10 * NS_PER_S  # evidence of an older recovery starts no trial
 
 
 class Evidence(Struct, frozen=True, array_like=True, tag=64):
--- a/saltport/owners/words.py
+++ b/saltport/owners/words.py
@@ -5,11 +5,14 @@
 from collections.abc import Iterator
 from typing import Any
 
-_MAX_TASK_LINES = 60
+_MAX_TASK_LINES = 60  # limit of the tasks that are listed
 
 
 def lines(report: dict[str, Any]) -> Iterator[str]:
-    """Yield the lines of one router's report."""
+    """Yield the lines of text that show a router's session, tasks and voter state.
+
+    `report` is the JSON object that `OwnersLink.view` returns.
+    """
     if "session" not in report:
         yield f"owners: {report['state']}"
         return
