--- a/saltport/dissemination/acknowledgements.py
+++ b/saltport/dissemination/acknowledgements.py
@@ -1,4 +1,8 @@
-"""Sums acknowledgements on the way from routers through site and region collectors to the coordinator.
+"""Combines acknowledgements on the way from routers through site and region collectors to the coordinator.
+
+In each round, every router acknowledges the last entry of each topic that it has applied. A collector
+combines the acknowledgements of its children (the routers of a site, the sites of a region, or at the
+coordinator the regions) into a single one.
 
 A collector uses the latest acknowledgement of each child for some rounds, so that a lost datagram at most
 delays a count by a round; each child is counted once. The collector of each site and region rotates. Only the
@@ -13,17 +17,17 @@
 from saltport.dissemination.messages import VERSION, Acknowledgement, Level, Rejection, TopicProgress, encode
 from saltport.dissemination.settings import MAX_MESSAGE_BYTES
 
-MAX_REJECTIONS = 4  # in one acknowledgement
-MAX_CHILDREN = 2_048  # at a collector
+MAX_REJECTIONS = 4  # limit of the rejections in one acknowledgement
+MAX_CHILDREN = 2_048  # limit of the children of a collector
 CHILD_EXPIRY_ROUNDS = 4  # rounds after which a child without a newer acknowledgement is no longer counted
-MAX_REASON_CHARS = 60
+MAX_REASON_CHARS = 60  # limit of the length of a rejection's reason
 
 RejectionKey = tuple[int, int, int, str]
 """Topic, entry number, index of the record in the entry, and reason."""
 
 
 def merge_progress(progress: Iterable[TopicProgress]) -> tuple[TopicProgress, ...]:
-    """The lowest progress of each topic, ordered by topic."""
+    """Return the progress of the slowest router for each topic, ordered by topic."""
     lowest: dict[int, TopicProgress] = {}
     for reported in progress:
         current = lowest.get(reported.topic)
@@ -33,7 +37,10 @@
 
 
 def merge_rejections(rejections: Iterable[Rejection]) -> tuple[Rejection, ...]:
-    """Sum the counts of equal rejections; return those of the latest entries, at most `MAX_REJECTIONS`."""
+    """Combine equal rejections, adding up their counts of routers.
+
+    Return those of the entries with the highest numbers, at most `MAX_REJECTIONS`.
+    """
     counts: dict[RejectionKey, int] = {}
     for rejection in rejections:
         key = (rejection.topic, rejection.number, rejection.index, rejection.reason[:MAX_REASON_CHARS])
@@ -59,13 +66,13 @@
     latest: dict[str, Acknowledgement] = field(default_factory=dict)
     """Latest acknowledgement by child."""
     due: int | None = None
-    """Time to send the sum of the current round, or None if it was sent."""
+    """Time to send the combined acknowledgement of the current round, or None if it was sent."""
     round: int = 0
     """Latest round of which an acknowledgement arrived."""
 
 
 class Collector:
-    """Latest acknowledgements of child nodes, summed for the next level."""
+    """Stores the latest acknowledgement of each child, and combines them for the next level."""
 
     def __init__(self, site_delay: int, region_delay: int) -> None:
         self._collect_delays = {Level.SITE: site_delay, Level.REGION: region_delay, Level.VOTERS: 0}
@@ -73,7 +80,7 @@
 
     @property
     def due(self) -> int | None:
-        """Time to send the next sum, or None."""
+        """Time to send the next combined acknowledgement, or None."""
         return min((state.due for state in self._levels.values() if state.due is not None), default=None)
 
     def add(self, child: str, acknowledgement: Acknowledgement, now: int) -> None:
@@ -91,14 +98,18 @@
                 state.due = now + self._collect_delays[acknowledgement.level]
 
     def take_due(self, now: int) -> list[Acknowledgement]:
-        """Return the sums that are due, addressed to the next level."""
+        """Return the combined acknowledgements that are due, addressed to the next level."""
         due = [level for level, state in self._levels.items() if state.due is not None and state.due <= now]
         for level in due:
             self._levels[level].due = None
-        return [self.sum(level) for level in due]
+        return [self.combine(level) for level in due]
+
+    def combine(self, level: Level) -> Acknowledgement:
+        """Combine the acknowledgements that this collector received at `level`, one from each child.
 
-    def sum(self, level: Level) -> Acknowledgement:
-        """Sum of the children that acknowledged in the last rounds, addressed to the next level."""
+        Children whose latest acknowledgement is `CHILD_EXPIRY_ROUNDS` or more rounds old are left out. The
+        result is addressed to the level above `level`.
+        """
         state = self._levels.setdefault(level, _LevelState())
         for child in [
             c
--- a/saltport/dissemination/acknowledger.py
+++ b/saltport/dissemination/acknowledger.py
@@ -13,9 +13,9 @@
 from saltport.dissemination.settings import NS_PER_MS, DisseminationSettings
 from saltport.dissemination.topic_store import AppliedRecord
 
-ROUNDS_PER_COLLECTOR = 16  # rounds after which another router collects
-REJECTION_REPEAT_ROUNDS = 6  # rounds that report a rejection, because datagrams get lost
-MAX_REJECTIONS = 16  # waiting to be reported
+ROUNDS_PER_COLLECTOR = 16  # rounds after which another router becomes the collector
+REJECTION_REPEAT_ROUNDS = 6  # rounds in which the same rejection is reported, because datagrams get lost
+MAX_REJECTIONS = 16  # limit of the rejections waiting to be reported
 ROUND_BITS = 24  # bits for the round within an epoch; the epoch above them makes later rounds greater
 OWN_REPORT_SPREAD_NS = 200 * NS_PER_MS  # the routers of a site spread their acknowledgements over this time
 
@@ -60,7 +60,8 @@
     def collect(self, source: int, acknowledgement: Acknowledgement, placement: Placement, now: int) -> None:
         """Store an acknowledgement by its router or, above the site level, by its site.
 
-        The collector of a site rotates: keyed by site, the latest sum replaces that of another collector.
+        The collector of a site rotates: keyed by site, its latest acknowledgement replaces that of the
+        previous collector.
         """
         site = placement.site(source)
         if site is not None:
@@ -86,7 +87,7 @@
         return sent
 
     def _own(self, logs: Mapping[int, TopicLog]) -> Acknowledgement:
-        """This router's own acknowledgement of the current round."""
+        """Return this router's own acknowledgement of the current round."""
         progress = tuple(TopicProgress(topic, log.last, self._node) for topic, log in sorted(logs.items()))
         rejections = tuple(rejection for _, rejection in self._rejections)
         left = ((rounds - 1, rejection) for rounds, rejection in self._rejections if rounds > 1)
--- a/saltport/dissemination/freshness.py
+++ b/saltport/dissemination/freshness.py
@@ -17,8 +17,9 @@
 from saltport.dissemination.settings import NS_PER_MS, DisseminationSettings
 
 CLOCK_DRIFT_DIVISOR = 1_000  # a clock may be off by elapsed time divided by this
-MAX_PENDING_HEADS = 64  # by topic; later pushes are ignored, which errs towards refusal
-BACKOFF_FACTOR = 1.5
+# Limit of the heads of each topic that wait for entries; later ones are ignored, which errs towards refusal.
+MAX_PENDING_HEADS = 64
+BACKOFF_FACTOR = 1.5  # factor by which the time between unanswered polls grows
 MAX_BACKOFF_STEPS = 3  # limits polls to about one per second
 
 
@@ -65,7 +66,11 @@
         return self._poll_number
 
     def on_push(self, push: Push, now: int) -> None:
-        """Process the heads and send time of a push; call `on_applied` afterwards for its entries."""
+        """Process a received push before its entry is applied; call `on_applied` afterwards.
+
+        The heads of a push (the number of the last committed entry of each topic) and its send time tell as
+        of when this router is caught up once it has applied the entries up to the heads.
+        """
         if push.epoch != self._epoch:
             self._epoch, self._coordinator_started, self._poll_tries = push.epoch, None, 0
             self._pending_heads.clear()
@@ -121,7 +126,7 @@
                 self._caught_up[topic] = sent
 
     def age(self, topic: int, now: int) -> int | None:
-        """Upper bound of the nanoseconds since a topic was caught up with, or None if it never was."""
+        """Return how long ago at most, in nanoseconds, this router was caught up; None if it never was."""
         caught_up = self._caught_up.get(topic) if topic in self._known_topics else self._all_heads_as_of
         return None if caught_up is None else now - caught_up
 
--- a/saltport/dissemination/ledger.py
+++ b/saltport/dissemination/ledger.py
@@ -6,8 +6,8 @@
 
 from saltport.dissemination.messages import Origin
 
-MAX_OUTCOMES = 16_384  # the latest are remembered; the outcome of an older submission is unknown
-MAX_STREAMS = 16_384
+MAX_OUTCOMES = 16_384  # limit of the outcomes remembered; that of an older submission is unknown
+MAX_STREAMS = 16_384  # limit of the streams whose last committed submission is remembered
 
 Stream = tuple[int, int, int]
 """Router, process start and topic; submissions of one stream are committed in order."""
@@ -42,6 +42,7 @@
         self._remember(origin, reason)
 
     def _remember(self, origin: Origin, reason: str) -> None:
+        """Store the outcome of a submission: why it was refused, or an empty string if committed."""
         self._outcomes[origin] = reason
         if len(self._outcomes) > MAX_OUTCOMES:
             self._outcomes.popitem(last=False)
--- a/saltport/dissemination/log.py
+++ b/saltport/dissemination/log.py
@@ -76,11 +76,11 @@
         return self._retained.get(number) or self._pending.get(number)
 
     def truncated(self, number: int) -> bool:
-        """Whether an entry in order is no longer retained."""
+        """Whether an entry has been removed from the log, which retains only the latest entries."""
         return number <= self.last and number not in self._retained
 
     def missing(self, limit: int) -> tuple[int, ...]:
-        """The first numbers, at most `limit`, of entries that exist but are not in this log."""
+        """Return the lowest numbers, at most `limit`, of the entries that exist but are not in this log."""
         found: list[int] = []
         number, end = self.last + 1, min(self.head, self.last + self._max_pending)
         while number <= end and len(found) < limit:
@@ -106,5 +106,6 @@
         self._offer_all(sorted(remaining, key=lambda entry: entry.number))
 
     def _offer_all(self, entries: Iterable[Entry]) -> None:
+        """Offer entries to this log one after the other."""
         for entry in entries:
             self.offer(entry)
--- a/saltport/dissemination/messages.py
+++ b/saltport/dissemination/messages.py
@@ -86,10 +86,15 @@
 
 
 class Poll(Struct, frozen=True, array_like=True, tag=108):
-    """Request for the latest heartbeat; answered by a push without entry."""
+    """Request for a heartbeat: a push without an entry, which carries the current heads of the topics.
+
+    The coordinator answers with a new heartbeat, a router with the heads of the latest push that it received.
+    """
 
     number: int = 0
-    """Number that the coordinator repeats in its answer, to synchronise with its clock; 0 for other nodes."""
+    """Random number that the coordinator copies to its answer, so that the sender can synchronise with its
+    clock; 0 in polls to other nodes.
+    """
 
 
 class Repair(Struct, frozen=True, array_like=True, tag=102):
@@ -138,11 +143,15 @@
 
 
 class Acknowledgement(Struct, frozen=True, array_like=True, tag=105):
-    """Sum of the acknowledgements of a round, sent upward by a router, a site or a region."""
+    """Which entries the counted routers have applied and which records they rejected, as of a round.
+
+    A router sends its own acknowledgement to its site's collector. The collector of a site or region sends
+    the combination of those it received to the level above. `level` is the level of the receiver.
+    """
 
     round: int
     level: Level
-    """Level of the collector that receives it."""
+    """Level of the collector that receives this message."""
     router_count: int
     progress: tuple[TopicProgress, ...]
     rejections: tuple[Rejection, ...] = ()
--- a/saltport/dissemination/placement.py
+++ b/saltport/dissemination/placement.py
@@ -24,6 +24,7 @@
 
 
 def _hash_rank(place: str, node: int) -> bytes:
+    """Return the sort key of a node in the hash order of a site or region."""
     return blake2b(f"{place}/{node}".encode(), digest_size=8).digest()
 
 
@@ -52,6 +53,7 @@
 
     @staticmethod
     def _hash_order(place: str, nodes: Iterable[int]) -> tuple[int, ...]:
+        """Return nodes in the hash order of a site or region, which is the same at every node."""
         return tuple(sorted(nodes, key=lambda node: _hash_rank(place, node)))
 
     @property
@@ -85,6 +87,10 @@
         return self._order("region", region, rotation)[: self._relay_count["region"]]
 
     def _order(self, kind: str, name: str, rotation: int) -> tuple[int, ...]:
+        """Return the nodes of a site or region, starting with the relays of a rotation.
+
+        `kind` is "site" or "region"; the result is empty if there is no such site or region.
+        """
         order = self._orders.get((kind, name), ())
         if not order:
             return order
--- a/saltport/dissemination/relay.py
+++ b/saltport/dissemination/relay.py
@@ -13,7 +13,7 @@
 from saltport.dissemination.messages import Level, Push
 from saltport.dissemination.placement import Placement, Site
 
-MAX_REMEMBERED_PUSHES = 256
+MAX_REMEMBERED_PUSHES = 256  # limit of the pushes in the history of forwards
 HEARTBEAT_ROTATION_MS = 101  # interval after which heartbeats use other relays
 
 
--- a/saltport/dissemination/repair.py
+++ b/saltport/dissemination/repair.py
@@ -15,7 +15,7 @@
 from saltport.dissemination.messages import Level
 from saltport.dissemination.settings import DisseminationSettings
 
-BACKOFF_FACTOR = 1.4
+BACKOFF_FACTOR = 1.4  # factor by which the time between fetches without progress grows
 
 
 class PlannedFetch(NamedTuple):
@@ -74,6 +74,7 @@
             self._restart(now)
 
     def _restart(self, due: int) -> None:
+        """Schedule the next fetch for `due`, starting again at the lowest level."""
         self.due = self._escalation_due = due
         self.tries, self._level, self._site_tries = 0, Level.SITE, 0
         self._outstanding.clear()
@@ -106,5 +107,6 @@
         return fetches
 
     def _retry_interval(self, level: Level) -> int:
+        """Return the time in nanoseconds between the first two fetches at a level."""
         settings = self._settings
         return (settings.site_retry, settings.region_retry, settings.voter_retry)[level]
--- a/saltport/dissemination/router.py
+++ b/saltport/dissemination/router.py
@@ -155,6 +155,7 @@
                 self._queue.enqueue(WorkKind.PUSH, (target,), submit, now)
 
     def _send_acknowledgements(self, now: int) -> None:
+        """Send the acknowledgements that are due."""
         due = self._acknowledger.due
         if due is None or due > now:
             return
@@ -166,6 +167,7 @@
     # Pushes
 
     def _on_push(self, push: Push, now: int) -> None:
+        """Process a push: apply and forward it, and note its heads; one of an older epoch is ignored."""
         if not self.fence.admit(TASK, push.epoch):
             return
         self._coordinator = self.submissions.coordinator = push.coordinator
@@ -179,6 +181,7 @@
             self._on_head(head, now)
 
     def _send_poll(self, now: int) -> None:
+        """Poll another node for a newer push, after a time without one."""
         level = self._silence_detector.next_poll(now)
         target = self._target(self._rng.getrandbits(16), level, 0)
         self._queue.enqueue(WorkKind.FETCH, (target,), Poll(), now)
@@ -227,6 +230,7 @@
         return offer
 
     def _record(self, applied: list[AppliedRecord]) -> None:
+        """Add records to `applied` for the host, and queue the refused ones for acknowledgement."""
         self.applied += applied
         self._acknowledger.on_applied(applied)
 
@@ -303,6 +307,7 @@
     # Snapshots
 
     def _on_snapshot_part(self, source: int, part: SnapshotPart, now: int) -> None:
+        """Add a part to the transfer of its snapshot, and load the snapshot once it is complete."""
         log = self.topic_store.log(part.topic)
         if log is None or not SnapshotTransfer.acceptable(part):
             return
@@ -319,6 +324,7 @@
             self._load_snapshot(transfer, now)
 
     def _load_snapshot(self, transfer: SnapshotTransfer, now: int) -> None:
+        """Replace a topic's state by a transferred snapshot; an unreadable one is counted and dropped."""
         try:
             applied = self.topic_store.load(transfer.topic, transfer.number, transfer.epoch, transfer.data)
         except ValueError:
--- a/saltport/dissemination/silence.py
+++ b/saltport/dissemination/silence.py
@@ -8,7 +8,7 @@
 from saltport.dissemination.messages import Level
 from saltport.dissemination.settings import DisseminationSettings
 
-BACKOFF_FACTOR = 1.5
+BACKOFF_FACTOR = 1.5  # factor by which the time between polls grows
 SITE_ONLY_TRIES = 4
 """Number of polls that all go to the site; later, each second one goes to the region or the voters."""
 
@@ -24,7 +24,7 @@
         self._tries = 0
 
     def on_push(self, epoch: int, sent_ms: int, now: int) -> bool:
-        """Record a push; return whether it is newer than all earlier ones."""
+        """Record a push by its epoch and send time; return whether it is newer than all earlier ones."""
         if (epoch, sent_ms) <= self.latest:
             return False
         self.latest = (epoch, sent_ms)
--- a/saltport/dissemination/states.py
+++ b/saltport/dissemination/states.py
@@ -79,7 +79,10 @@
         return FetchToken(self._applied)
 
     def overtaken(self, key: bytes, token: FetchToken) -> bool:
-        """Whether the result of a fetch may be older than a purge; if so, discard it and fetch again."""
+        """Whether a key may have been purged since the fetch with this token began.
+
+        If so, the caller must discard the result of the fetch and fetch again.
+        """
         return token.last_purge < max(self._floor, self._latest.get(key, 0))
 
     def save(self) -> bytes:
--- a/saltport/dissemination/submissions.py
+++ b/saltport/dissemination/submissions.py
@@ -13,8 +13,8 @@
 from saltport.dissemination.messages import Decision, Submission, Submit, encode
 from saltport.dissemination.settings import MAX_MESSAGE_BYTES, DisseminationSettings
 
-MAX_RECORD_BYTES = 144
-SUBMIT_OVERHEAD_BYTES = 16  # a message without its submissions
+MAX_RECORD_BYTES = 144  # limit of the body of a submission
+SUBMIT_OVERHEAD_BYTES = 16  # size of an encoded Submit message without its submissions
 
 
 class Outcome(Enum):
--- a/saltport/dissemination/term.py
+++ b/saltport/dissemination/term.py
@@ -9,9 +9,9 @@
 from saltport.dissemination.submissions import MAX_RECORD_BYTES
 from saltport.dissemination.topic_store import TopicStore
 
-MAX_ENTRY_BYTES = 176  # encoded entry; with its push and heads it must fit a datagram
-ENTRY_OVERHEAD_BYTES = 21  # encoded entry without its records, each of which adds two bytes
-MAX_WAITING_SUBMISSIONS = 4_096  # of all routers, for the next batch
+MAX_ENTRY_BYTES = 176  # limit of an encoded entry; a push with it and the heads must fit a datagram
+ENTRY_OVERHEAD_BYTES = 21  # size of an encoded entry without its records, each of which adds two bytes
+MAX_WAITING_SUBMISSIONS = 4_096  # limit of the submissions of all routers that wait for the next batch
 
 NO_MAJORITY = "no majority of voters"
 OVERLOADED = "too many submissions"
@@ -101,6 +101,7 @@
         return proposals
 
     def _entry(self, topic: int, chosen: list[tuple[Origin, Submission]]) -> Proposal:
+        """Return a topic's next entry with these submissions as its records, and their origins."""
         number, previous_epoch = self._last_proposed.get(topic, (0, 0))
         records = tuple(submission.body for _, submission in chosen)
         self._last_proposed[topic] = (number + 1, self.epoch)
--- a/saltport/dissemination/topic_store.py
+++ b/saltport/dissemination/topic_store.py
@@ -18,9 +18,10 @@
 from saltport.dissemination.settings import DisseminationSettings
 from saltport.dissemination.states import TopicState, UnknownTopic
 
-PART_BYTES = 160  # data of a snapshot in one message
-MAX_PARTS = 4_096
-SNAPSHOT_REUSE_ENTRIES = 64  # a snapshot of several parts serves this long: its parts must match
+PART_BYTES = 160  # size of a snapshot's part, so that it fits a message
+MAX_PARTS = 4_096  # limit of the parts of a snapshot
+# A snapshot of several parts is replaced only after so many further entries: its parts must belong together.
+SNAPSHOT_REUSE_ENTRIES = 64
 
 StateFactory = Callable[[int], TopicState | None]
 """Create a topic's state, or return None if this release does not know the topic."""
@@ -58,9 +59,11 @@
 
     @property
     def parts(self) -> int:
+        """Number of parts of the snapshot, at least 1."""
         return max(-(-len(self.data) // PART_BYTES), 1)
 
     def part(self, topic: int, part: int) -> SnapshotPart:
+        """Return the message with the part of this number, counted from 0."""
         data = self.data[part * PART_BYTES : (part + 1) * PART_BYTES]
         return SnapshotPart(topic, self.epoch, self.number, part, self.parts, data)
 
@@ -95,6 +98,7 @@
         return offer, self._apply(log) if offer is OfferResult.APPENDED else []
 
     def _apply(self, log: TopicLog) -> list[AppliedRecord]:
+        """Apply the entries of a log that are now in order to the topic's state."""
         return [
             AppliedRecord(entry.topic, entry.epoch, entry.number, index, record,
                     self.states[entry.topic].apply(entry.number, record))
@@ -103,7 +107,11 @@
         ]  # fmt: skip
 
     def answer(self, fetch: Fetch) -> FetchAnswer:
-        """Return the requested entries, or a snapshot's first part if requested or an entry is truncated."""
+        """Return the answer to a fetch: the requested entries that are in the log.
+
+        If a snapshot is requested, or a requested entry was already removed from the start of the log, it is
+        the first part of a snapshot instead.
+        """
         log = self.logs.get(fetch.topic)
         numbers = fetch.numbers[: self._settings.fetch_entries]
         if log is None or (not numbers and not log.last):
--- a/saltport/dissemination/voter.py
+++ b/saltport/dissemination/voter.py
@@ -36,10 +36,10 @@
 from saltport.dissemination.topic_store import StateFactory, TopicStore
 
 HEADS_ROTATION_MS = 250  # interval after which pushes carry the heads of other topics, if there are too many
-MAX_REJECTIONS = 256
-BYTES_PER_S = 4_000_000  # bounds answers in a storm of fetches only, so far above a router's rate
+MAX_REJECTIONS = 256  # limit of the rejections that a voter remembers
+BYTES_PER_S = 4_000_000  # limit of what is sent; far above a router's, it only matters in a storm of fetches
 BURST_BYTES = 8_000_000
-MESSAGES_PER_S = 50_000
+MESSAGES_PER_S = 50_000  # limit of the messages received
 
 
 class Voter:
@@ -209,8 +209,11 @@
 
     @property
     def acknowledgement_summary(self) -> Acknowledgement:
-        """Sum of recent acknowledgements: count of routers, and the lowest entry applied by topic."""
-        return self._collector.sum(Level.VOTERS)
+        """The recent acknowledgements of all regions, combined into one.
+
+        It has the number of routers counted, and for each topic the progress of the slowest of them.
+        """
+        return self._collector.combine(Level.VOTERS)
 
     def _notify_origin(self, key: RejectionKey, now: int) -> None:
         """Report a rejection to the router that submitted the record."""
--- a/saltport/peers/agent.py
+++ b/saltport/peers/agent.py
@@ -41,19 +41,21 @@
 from saltport.peers.suspicions import Suspicions
 from saltport.peers.views import QuorumState, Views
 
-JOIN_RETRY_NS = 250 * NS_PER_MS
-JOIN_SEEDS = 3
-JOIN_TIMEOUT_NS = 3 * NS_PER_S  # after which a router that no seed answers becomes a member alone
-SYNC_INTERVAL_NS = 500 * NS_PER_MS  # between two sync requests
+JOIN_RETRY_NS = 250 * NS_PER_MS  # time between two rounds of pings to seeds while joining
+JOIN_SEEDS = 3  # seeds pinged in each round
+JOIN_TIMEOUT_NS = 3 * NS_PER_S  # time after which a router that no seed has answered becomes a member alone
+SYNC_INTERVAL_NS = 500 * NS_PER_MS  # minimum time between two sync requests
 MAX_SYNC_PACKETS = 12  # datagrams in the answer to one sync request
 MAX_SYNC_REPLIES_PER_S = 40  # datagrams in answers to all sync requests
-REFUTATION_NS = 750 * NS_PER_MS  # during which a refutation is sent at each tick
-MAX_REFUTATION_TARGETS = 12
+REFUTATION_NS = 750 * NS_PER_MS  # time for which a refutation is sent again at each tick
+MAX_REFUTATION_TARGETS = 12  # routers that get a refutation at each tick
 GOSSIP_BURST_TARGETS = 6  # extra gossip datagrams per tick while many updates are unsent
-UNHEARD_PROBES_PER_TICK = 4  # during a mass suspicion
-GOSSIP_BURST_THRESHOLD = 8  # unsent updates from which extra gossip is sent
-ZONE_CUT_INTERVAL_NS = 2 * NS_PER_S
-LEAVE_TARGETS = 16
+# While many members are suspected at once, the number of further members probed at each tick: those that this
+# router itself has not heard within two probe periods.
+UNHEARD_PROBES_PER_TICK = 4
+GOSSIP_BURST_THRESHOLD = 8  # number of unsent updates above which extra gossip is sent
+ZONE_CUT_INTERVAL_NS = 2 * NS_PER_S  # time between two checks for zones cut off and for records to forget
+LEAVE_TARGETS = 16  # random members that get the announcement of a departure, besides the observers
 
 
 class MemberState(StrEnum):
@@ -218,7 +220,7 @@
             self.send_queue.send(seed, Ping(self.send_queue.next_seq()), now, [self.me.alive()])
 
     def _become_member(self) -> None:
-        """End the join."""
+        """End the join: this router counts as a member from now on."""
         self.state = MemberState.MEMBER
         self._emit("joined", self.name, f"start {self.me.start}")
 
@@ -255,7 +257,9 @@
             self.probes.start(self._exploration_order.pop(), now)
 
     def _probe_unheard(self, now: int) -> None:
-        """Probe further members during a mass suspicion, those unheard for longest first.
+        """While many members are suspected, probe further members that this router has not heard lately.
+
+        Those neither heard nor probed for longest come first.
 
         Danger: the few routers on the small side of a partition probe only some of the others. Without this
         the rest would look alive to them and make them a majority, until deaths have changed the rings.
@@ -514,7 +518,11 @@
                 self.probes.start(update.name, now)
 
     def _on_change(self, change: Change) -> None:
-        """Update suspicions, probes and views after a change of a record, and emit the event."""
+        """Process a change of another router's record.
+
+        Removes suspicions and probes that the change makes obsolete, removes a departed router from the view,
+        and emits a MembershipEvent if the router joined, returned, restarted, died or left.
+        """
         record, name = change.record, change.record.name
         self.suspicions.on_change(record)
         if not record.live:
--- a/saltport/peers/envelope.py
+++ b/saltport/peers/envelope.py
@@ -15,12 +15,12 @@
 from saltport.peers.messages import Packet, decode, encode
 from saltport.peers.settings import MAX_DATAGRAM_BYTES, MAX_MEMBERS
 
-VERSION = 1
+VERSION = 1  # version of the envelope's format, in the first byte of a datagram
 MAC_BYTES = 16
 MIN_KEY_BYTES = 16
-MAX_KEYS = 2
-REPLAY_WINDOW = 256  # datagrams by which those of one sender may be out of order
-MAX_SENDERS = MAX_MEMBERS  # with their starts; the least recently heard one is evicted
+MAX_KEYS = 2  # limit of the keys that are valid at a time
+REPLAY_WINDOW = 256  # number of datagrams by which one of a sender may arrive out of order
+MAX_SENDERS = MAX_MEMBERS  # limit of the sender processes remembered; the least recently heard is evicted
 
 
 class KeyFileError(ValueError):
--- a/saltport/peers/event_log.py
+++ b/saltport/peers/event_log.py
@@ -6,8 +6,8 @@
 
 from saltport.peers.agent import MembershipEvent
 
-_IMMEDIATE = ("paused", "displaced", "quorum")
-_MAX_NAMES = 5
+_IMMEDIATE = ("paused", "displaced", "quorum")  # kinds of events that are logged at once, as warnings
+_MAX_NAMES = 5  # limit of the router names in a line for each kind of event
 
 
 class EventLog:
--- a/saltport/peers/gossip_queue.py
+++ b/saltport/peers/gossip_queue.py
@@ -14,13 +14,13 @@
 from saltport.peers.messages import Dead, Suspect, Update, ZoneCut, encode
 from saltport.peers.settings import MAX_MEMBERS, NS_PER_MS
 
-RETRANSMIT_MULTIPLIER = 4  # times log10 of the number of members
-MAX_UPDATES = MAX_MEMBERS  # as many as a full member table produces
+RETRANSMIT_MULTIPLIER = 4  # each update is sent this many times log10 of the number of members
+MAX_UPDATES = MAX_MEMBERS  # limit of queued updates: as many as a full member table produces
 
 
 @dataclass(slots=True)
 class _QueuedUpdate:
-    """An update with its encoded size, its age and the number of its transmissions."""
+    """An update to disseminate, its encoded size in bytes, when it was queued, and how often it was sent."""
 
     update: Update
     size: int
@@ -74,6 +74,7 @@
         self._remove(next(iter(most_transmitted)))
 
     def _put(self, key: Hashable, queued: _QueuedUpdate, level: int) -> None:
+        """Add an update under its key at the level of its number of transmissions."""
         while len(self._levels) <= level:
             self._levels.append({})
         self._levels[level][key] = queued
@@ -82,6 +83,7 @@
             self._suspected_by.setdefault(queued.update.name, set()).add(queued.update.accuser)
 
     def _remove(self, key: Hashable) -> None:
+        """Remove the update with this key, if there is one."""
         level = self._level_of.pop(key, None)
         if level is None:
             return
--- a/saltport/peers/link.py
+++ b/saltport/peers/link.py
@@ -19,14 +19,14 @@
 from saltport.peers.send_queue import Identity
 from saltport.peers.settings import NS_PER_S, PeerSettings
 
-BIND_RETRY_S = 0.1
-LEAVE_INTERVAL_S = 0.05  # between the two announcements of a departure
+BIND_RETRY_S = 0.1  # time between attempts to bind the address
+LEAVE_INTERVAL_S = 0.05  # time between the two announcements of a departure
 START_NUMBER_EPOCH_S = 1_700_000_000  # Unix time; start numbers fit four bytes until 2032
-# Danger: if a process restarted within one step, all its datagrams would count as replays.
+# Danger: if a process restarted before the start number has grown, all its datagrams would count as replays.
 START_NUMBERS_PER_S = 16
-MIN_TICK_NS = 10_000_000
-MAX_PAYLOAD_BYTES = 200  # where names have at most 14 characters
-LAG_DECAY = 0.9  # per tick
+MIN_TICK_NS = 10_000_000  # minimum time between two ticks of the agent
+MAX_PAYLOAD_BYTES = 200  # limit of a payload if router names have at most 14 characters
+LAG_DECAY = 0.9  # factor by which the recorded lag of the event loop decays at each tick
 
 log = logging.getLogger("saltport")
 
@@ -82,8 +82,10 @@
         self.agent = self._create_agent()
 
     def _create_agent(self) -> Agent:
-        # The clock gives only a first guess; routers that know a later start of this name report it.
-        """Return a new agent with a start number from the clock."""
+        """Return a new agent with a start number from the clock.
+
+        The number is only a first guess: other routers report a later start of this name that they know of.
+        """
         start = max(int((time.time() - START_NUMBER_EPOCH_S) * START_NUMBERS_PER_S), 1)
         me = Identity(self._name, start, self._plan.place, self._plan.zone)
         seeds: Sequence[Place] = range(len(self._plan.peers))
@@ -91,7 +93,11 @@
         return Agent(me, seeds, self._settings, random.Random(self._seed ^ now), now)
 
     async def open(self) -> None:
-        """Bind the address and start the agent; waits while a previous process holds the address."""
+        """Bind the UDP socket and start the membership agent.
+
+        Retries for as long as the address cannot be bound, for example because the previous process of this
+        router still uses it. Returns without binding if the link is closed meanwhile.
+        """
         waited = False
         while not self._closed:
             try:
@@ -104,7 +110,7 @@
                 waited = True
                 await asyncio.sleep(BIND_RETRY_S)
             else:
-                # Danger: if it was created before the previous process ended, both could have the same
+                # Danger: if the agent was created before the previous process ended, both could have the same
                 # start number.
                 self.agent = self._create_agent()
                 self._tick()
--- a/saltport/peers/local_health.py
+++ b/saltport/peers/local_health.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-MAX_SCORE = 4
-LAG_FACTOR = 2  # times the lag: a probe and its answer may each wait that long
+MAX_SCORE = 4  # worst health score; 0 is the best
+LAG_FACTOR = 2  # a probe and its answer may each wait for the lag of the event loop
 
 
 class LocalHealth:
--- a/saltport/peers/members.py
+++ b/saltport/peers/members.py
@@ -17,8 +17,9 @@
 from saltport.peers.messages import Alive, Dead, Left, Place, State, Suspect
 from saltport.peers.settings import MAX_MEMBERS
 
-DIGEST_PARTS = 16  # parts of the members' digest, compared one by one in a sync
-_FINAL = 1 << 62  # in place of the incarnation: no update of the same start supersedes a departure
+DIGEST_PARTS = 16  # number of parts of the member table, whose digests are compared one by one in a sync
+# Compared in place of a departed router's incarnation: no update of the same start supersedes a departure.
+_FINAL = 1 << 62
 
 
 @lru_cache(maxsize=2 * MAX_MEMBERS)
@@ -157,7 +158,10 @@
         return Change(record, previous_state, restarted)
 
     def _update_indexes(self, record: Record, sign: int) -> None:
-        """Add a live record to the digests and rings, or remove it with `sign` -1."""
+        """Add a record to the digests of live members and to the hash rings; with `sign` -1 remove it.
+
+        A record that is not live is in neither, so it is ignored.
+        """
         if not record.live:
             return
         name = record.name
@@ -181,8 +185,9 @@
         return True
 
     def forget(self, before_ns: int) -> list[str]:
-        """Remove records dead or departed since before a time; returns all names removed since the last
-        call.
+        """Remove the records of routers that have been dead or departed since before a time.
+
+        Returns the names of these routers, and of those evicted for lack of space since the last call.
         """
         evicted, self._evicted = self._evicted, []
         expired = [r.name for r in self.records.values() if not r.live and r.since < before_ns]
--- a/saltport/peers/messages.py
+++ b/saltport/peers/messages.py
@@ -110,7 +110,7 @@
 
 
 class IndirectResult(Struct, frozen=True, array_like=True, tag=3):
-    """The result of an indirect probe: whether the target answered in time."""
+    """A helper's reply to IndirectPing: whether the target answered the helper in time."""
 
     seq: int
     name: str
@@ -126,7 +126,7 @@
 
 
 class Gossip(Struct, frozen=True, array_like=True, tag=5):
-    """A datagram without a request or an answer, sent for its updates only."""
+    """The empty body of a packet that is sent for its membership updates only."""
 
 
 class Payload(Struct, frozen=True, array_like=True, tag=6):
--- a/saltport/peers/probes.py
+++ b/saltport/peers/probes.py
@@ -13,12 +13,15 @@
 from saltport.peers.send_queue import SendQueue
 from saltport.peers.settings import PeerSettings
 
-MAX_RELAYED_PROBES = 256  # active probes on behalf of others
+MAX_RELAYED_PROBES = 256  # limit of the unfinished probes on behalf of other routers
 
 
 @dataclass(slots=True)
 class _Probe:
-    """An active probe of this router."""
+    """An unanswered probe that this router has sent to `target`.
+
+    After some attempts, helpers are asked to probe the target too; each helper replies with a result.
+    """
 
     target: str
     seq: int
@@ -28,12 +31,15 @@
     attempts: int = 1
     asked_helpers: set[str] = field(default_factory=set)
     helper_replied: bool = False
-    """Whether any helper sent a result, positive or negative."""
+    """Whether any helper sent a result, also a negative one: this router itself can then be reached."""
 
 
 @dataclass(frozen=True, slots=True)
 class _RelayedProbe:
-    """A probe that this router runs on behalf of another one."""
+    """A probe that this router, as a helper, has sent to `target` on behalf of `asker`.
+
+    `seq` is the number of the asker's own probe, `expires_at` when a negative result is sent.
+    """
 
     asker: str
     seq: int
@@ -68,7 +74,7 @@
         self._relays.clear()
 
     def cancel(self, name: str) -> None:
-        """Discard the probe of a router whose state is known by other means."""
+        """Discard the probe of a router that is already known to be dead or departed."""
         self._active.pop(name, None)
 
     def start(self, name: str, now: int) -> None:
--- a/saltport/peers/reach.py
+++ b/saltport/peers/reach.py
@@ -12,9 +12,9 @@
 from saltport.peers.members import Members, Record
 from saltport.peers.messages import ZoneCut
 
-MIN_CUT_MEMBERS = 2  # members heard indirectly or not at all, from which a zone is reported as cut
-MAX_CUT_ZONES = 8  # in one update
-MAX_HELPERS = 3  # stored for one member
+MIN_CUT_MEMBERS = 2  # a zone is reported as cut if at least so many of its members are not heard directly
+MAX_CUT_ZONES = 8  # limit of the zones in one update
+MAX_HELPERS = 3  # limit of the helpers stored for one member
 
 
 @dataclass(frozen=True, slots=True)
--- a/saltport/peers/suspicion.py
+++ b/saltport/peers/suspicion.py
@@ -13,8 +13,8 @@
 from saltport.peers.messages import Suspect
 from saltport.peers.settings import NS_PER_MS, PeerSettings, ceil_ms
 
-TRANSIT_TOLERANCE_NS = 250 * NS_PER_MS  # by which two reports of the same time may differ
-MAX_ACCUSERS = 8  # that are stored: more make no difference
+TRANSIT_TOLERANCE_NS = 250 * NS_PER_MS  # time by which two reports of the same moment may differ
+MAX_ACCUSERS = 8  # limit of the accusers stored for a suspicion: more make no difference
 
 
 @dataclass(slots=True)
--- a/saltport/peers/suspicions.py
+++ b/saltport/peers/suspicions.py
@@ -11,10 +11,10 @@
 from saltport.peers.settings import NS_PER_MS, PeerSettings, ceil_ms
 from saltport.peers.suspicion import Suspicion
 
-WITNESS_INTERVAL_NS = 250 * NS_PER_MS
-INDIRECT_PROBERS = 5
-MANY_SUSPECTED_SHARE = 0.1  # of all members
-MIN_MASS_SUSPICION = 3  # suspects at the same time that may have one common cause
+WITNESS_INTERVAL_NS = 250 * NS_PER_MS  # minimum time between two notifications of a suspect's accusers
+INDIRECT_PROBERS = 5  # number of members that probe a suspected router besides its observers
+MANY_SUSPECTED_SHARE = 0.1  # share of all members from which many count as suspected
+MIN_MASS_SUSPICION = 3  # smallest number of routers suspected at once that may have one common cause
 
 
 class Suspicions:
@@ -35,7 +35,7 @@
 
     @property
     def deaths_pending(self) -> bool:
-        """Whether a suspicion has more than one accuser, so that a death may follow soon."""
+        """Whether any suspected router has more than one accuser, so that it may be declared dead soon."""
         return any(len(suspicion.accusers) > 1 for suspicion in self.by_name.values())
 
     @property
--- a/tests/dissemination/test_relays.py
+++ b/tests/dissemination/test_relays.py
@@ -268,7 +268,7 @@
     collector.add("a", acknowledgement(1, 1, 5), 0)
     for number in range(1, 2 + CHILD_EXPIRY_ROUNDS):
         collector.add("b", acknowledgement(2, number, 9), 0)
-    summed = collector.sum(Level.SITE)
+    summed = collector.combine(Level.SITE)
     assert (summed.router_count, summed.progress) == (1, (TopicProgress(1, 9, 2),))
 
 
@@ -277,7 +277,7 @@
     for child in range(30):
         reasons = tuple(Rejection(2, number, 0, "no number") for number in range(1, 8))
         collector.add(str(child), Acknowledgement(1, Level.SITE, 1, (), reasons), 0)
-    summed = collector.sum(Level.SITE)
+    summed = collector.combine(Level.SITE)
     assert [rejection.number for rejection in summed.rejections] == [7, 6, 5, 4]
     assert {rejection.count for rejection in summed.rejections} == {30}
 
