--- a/saltport/load/driver.py
+++ b/saltport/load/driver.py
@@ -23,6 +23,8 @@
 ROUTER_DEAD_S = 1.0
 """How long a router gets no requests after a failed connection, unless all are unreachable."""
 CONNECT_TIMEOUT_S = 1.0
+# The delay of this process's event loop is measured once per interval; a delay above the threshold is written
+# to the ledger, so that the audit does not attribute it to a router.
 LAG_INTERVAL_S, LAG_THRESHOLD_S = 0.05, 0.02
 
 
@@ -37,9 +39,14 @@
         self._reader = hiredis.Reader()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Store the transport of the new connection."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
+        """Parse received data, and pass a complete reply to the current try.
+
+        Data beyond the reply is recorded in the ledger, and the connection is dropped.
+        """
         current = self.current
         if current is None:
             # Data without a request: the previous try got a second reply.
@@ -65,12 +72,14 @@
         current.on_answer(answer)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Remove the connection, and inform the try whose reply it was to carry."""
         self.drop()
         current, self.current = self.current, None
         if current is not None:
             current.on_connection_lost(self.used)
 
     def drop(self) -> None:
+        """Abort the connection, and do not reuse it."""
         if self in self.router.idle:
             self.router.idle.remove(self)
         if self.transport is not None:
@@ -98,6 +107,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
+        """Send the request on an idle connection to the router, or open a new one for it."""
         while self.router.idle:
             connection = self.router.idle.pop()
             if connection.transport is not None and not connection.transport.is_closing():
@@ -106,11 +116,13 @@
         self._open_connection()
 
     def _open_connection(self) -> None:
+        """Connect to the router in a background task, which then sends the request."""
         task = self.driver.loop.create_task(self._connect())
         self.driver.tasks.add(task)
         task.add_done_callback(self.driver.tasks.discard)
 
     async def _connect(self) -> None:
+        """Connect to the router and send the request; on failure, avoid the router for a while."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self.driver.loop.create_connection(
@@ -124,6 +136,7 @@
             self._send(connection)
 
     def _send(self, connection: _Connection) -> None:
+        """Write the request to a connection as a KV.GET or KV.SET command, and start the time-out."""
         assert connection.transport is not None
         request, request_class = self.request, self.request.request_class
         self.connection, connection.current = connection, self
@@ -149,6 +162,7 @@
         self.request.try_ended("none", 0)
 
     def _stop_listening(self) -> None:
+        """End a timed-out try that has got no late reply, and drop its connection."""
         connection, self.connection = self.connection, None
         if connection is not None:
             connection.current = None
@@ -156,6 +170,11 @@
         self.finish("none")
 
     def on_answer(self, answer: Any) -> None:
+        """Finish the try with the result of a complete reply, parsed by hiredis.
+
+        The result is `served` for the right value, `wrong` for one of another request or key, `refused` for a
+        BUSY error, and `failed` for any other reply.
+        """
         if isinstance(answer, hiredis.ReplyError):
             text = str(answer)
             if text.startswith("BUSY"):
@@ -191,6 +210,10 @@
         self.finish("cut" if self.begun else "gone")
 
     def finish(self, answer: str, retry_after_ms: int = 0, **more: Any) -> None:
+        """End the try with a result, once: write it to the ledger and report it to the request.
+
+        A try that has timed out was reported already.
+        """
         if self.ended:
             return
         self.ended = True
@@ -220,12 +243,17 @@
         self.tries_made = 0
 
     def start_try(self) -> None:
+        """Start the next try of this request at a random router."""
         self.tries_made += 1
         self.driver.report.tries += 1
         self.driver.tries_in_flight += 1
         _Try(self, self.driver.pick_router()).start()
 
     def try_ended(self, answer: str, retry_after_ms: int) -> None:
+        """Retry after a delay if the try failed and a retry is allowed; else record the outcome.
+
+        There is no retry beyond the limit of the plan or the deadline, or after a wrong value.
+        """
         now = time.monotonic_ns()
         if answer != "served":
             delay_ms = retry_delay_ms(self.driver.plan, self.tries_made, retry_after_ms, self.driver.rng)
@@ -272,7 +300,10 @@
         self._stopping = True
 
     async def run(self, progress: Callable[[str], None] | None = None) -> dict[str, Any]:
-        """Run the plan and return the summary of the report."""
+        """Run the plan until all requests have ended, and return the summary of the report.
+
+        `progress` is called once per second with a line of text about the results so far.
+        """
         self.begun = time.monotonic_ns()
         self.ledger.write("load", seed=self.plan.seed, seconds=self.plan.seconds)
         progress_task = (
@@ -295,6 +326,7 @@
         return self.report.summary()
 
     async def _run_open(self) -> None:
+        """Start each request at its planned time, without waiting for replies."""
         for arrival in arrivals(self.plan, self.profile):
             wait = self.begun + arrival.at - time.monotonic_ns()
             if wait > NS_PER_MS:
@@ -304,6 +336,7 @@
             self._start_request(arrival, self.begun + arrival.at, self._request_done)
 
     async def _run_closed(self) -> None:
+        """Run the clients, each of which starts a request when its previous one has ended."""
         planned = arrivals(self.plan, self.profile)
         end = self.begun + int(self.plan.seconds * 1e9)
 
@@ -323,10 +356,12 @@
         await asyncio.gather(*(client() for _ in range(self._closed)))
 
     def _start_request(self, arrival: Arrival, intended: int, done: Callable[[], None]) -> None:
+        """Start the first try of a request; `done` is called when the request has ended."""
         self.open_requests += 1
         _ClientRequest(self, arrival, intended, done).start_try()
 
     def _request_done(self) -> None:
+        """Count a request as ended."""
         self.open_requests -= 1
 
     def check_finished(self) -> None:
@@ -335,6 +370,7 @@
             self._finished.set()
 
     async def _measure_lag(self) -> None:
+        """Write delays of this process's event loop above the threshold to the ledger."""
         while True:
             due = time.monotonic() + LAG_INTERVAL_S
             await asyncio.sleep(LAG_INTERVAL_S)
@@ -343,6 +379,7 @@
                 self.ledger.write("lag", ns=int(lag * 1e9))
 
     async def _report_progress(self, progress: Callable[[str], None]) -> None:
+        """Call `progress` with a line of text once per second."""
         while True:
             await asyncio.sleep(1.0)
             seconds = (time.monotonic_ns() - self.begun) / 1e9
--- a/saltport/load/plan.py
+++ b/saltport/load/plan.py
@@ -64,7 +64,7 @@
     seed: int = 1
 
     def hot_at(self, second: float) -> float:
-        """Return the hot key's share of requests at this second of the run."""
+        """Return the share of requests that ask for the hot key at this second of the run."""
         if not self.hot or not self.hot_from <= second < self.hot_until:
             return 0.0
         off_phase = bool(self.hot_every) and (second - self.hot_from) % (2 * self.hot_every) >= self.hot_every
@@ -86,7 +86,12 @@
 
 
 def parse_steps(text: str) -> tuple[Step, ...]:
-    """Parse `RATE` or `RATE,SECONDS:RATE,...`; raises PlanError."""
+    """Parse the steps of a load, with rates in requests per second; raises PlanError.
+
+    The text is `RATE,SECONDS:RATE,...`, for example `100,20:300`: 100 per second from the start of the run,
+    and 300 from 20 s into the run on. The first rate has no time, all others have one. Each rate applies
+    until the next step or the end of the run, so a single `RATE` applies to the complete run.
+    """
     steps: list[Step] = []
     for number, part in enumerate(text.split(",")):
         at, sign, rate = part.partition(":")
@@ -110,7 +115,7 @@
     return f"pkg-{rank:05d}/1.{rank % 10}.0"
 
 
-HOT_KEY = "pkg-hot/9.9.9"
+HOT_KEY = "pkg-hot/9.9.9"  # the key that gets the share of requests set by `LoadPlan.hot`
 
 
 def most_popular_keys(plan: LoadPlan, limit: int) -> list[str]:
--- a/saltport/load/report.py
+++ b/saltport/load/report.py
@@ -11,8 +11,8 @@
 from saltport.standins.profile import Profile
 
 NS_PER_US = 1_000
-MAX_LATENCY_US = 120_000_000
-SIGNIFICANT_DIGITS = 3
+MAX_LATENCY_US = 120_000_000  # longer latencies are recorded as this one
+SIGNIFICANT_DIGITS = 3  # precision of the histogram
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 OUTCOMES = ("served", "refused", "failed")
 
@@ -74,6 +74,7 @@
             self._in_aim += latency_ns <= self._profile.request_class(request_class).aim_ms * 1_000_000
 
     def _count(self, **wanted: str) -> dict[str, int]:
+        """Return the number of requests by outcome, optionally of one class (`name`) or one `tenant` only."""
         positions = {"name": 0, "tenant": 1, "end": 2}
         return {
             outcome: sum(
@@ -112,11 +113,12 @@
         }
 
     def _tail(self, second: int) -> dict[str, float]:
+        """Return the median and 99th percentile of the latencies of requests planned for this second."""
         histogram = self._by_second[second].summary()
         return {"p50_ms": histogram.get("p50_ms", 0.0), "p99_ms": histogram.get("p99_ms", 0.0)}
 
     def progress(self) -> str:
-        """Return a one-line progress summary."""
+        """Return one line of text with the counts by outcome and the p50 and p99 latencies so far."""
         ends = self._count()
         tail = self._all.summary()
         return (
--- a/saltport/standins/__main__.py
+++ b/saltport/standins/__main__.py
@@ -24,6 +24,7 @@
         self._stopped = stopped
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Stop the fleet at the end of standard input."""
         self._stopped.set()
 
 
--- a/saltport/standins/control.py
+++ b/saltport/standins/control.py
@@ -13,7 +13,7 @@
 from saltport.standins.fleet import Fleet
 from saltport.standins.peer import Address
 
-MAX_LINE_BYTES = 64 << 10
+MAX_LINE_BYTES = 64 << 10  # limit of the length of a command
 
 
 class ControlServer:
@@ -36,6 +36,7 @@
             self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Execute the commands of one connection until it ends."""
         try:
             while line := await reader.readline():
                 writer.write(orjson.dumps(self.execute(line)) + b"\n")
@@ -60,6 +61,7 @@
             return {"ok": False, "error": str(error)}
 
     def _command(self, message: dict[str, Any]) -> dict[str, Any]:
+        """Execute the command named by `do`, and return the fields of its reply; raises FaultError."""
         match message.get("do"):
             case "strike":
                 fault = self._fleet.start_fault(
@@ -102,6 +104,7 @@
                 )
 
     def _schedule(self, message: dict[str, Any]) -> list[Fault]:
+        """Return the random faults that the fields of a `play` command ask for."""
         nodes = list(self._fleet.state()["nodes"])
         kinds = message.get("kinds") or list(KINDS)
         return schedule(
--- a/saltport/standins/faults.py
+++ b/saltport/standins/faults.py
@@ -1,4 +1,7 @@
-"""The kinds of faults that the simulated servers support, and random schedules of them by seed."""
+"""The kinds of faults that the simulated servers support, and random schedules of them by seed.
+
+The parameters of a fault are called `figures`, as in its JSON form; most are numbers, such as a rate.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultKind:
-    """A kind of fault: its target, its numeric parameters with their ranges, and its duration."""
+    """A kind of fault: its target, a description, its numeric parameters with their ranges, its duration."""
 
     target: str
     about: str
@@ -77,7 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault of a schedule; `at` and `until` are seconds from the start of the run, `until` 0: no end."""
+    """One fault of a schedule, with its target and its parameters (`figures`).
+
+    `at` and `until` are seconds from the start of the run; `until` 0: no end.
+    """
 
     at: float
     until: float
--- a/saltport/standins/fleet.py
+++ b/saltport/standins/fleet.py
@@ -18,11 +18,12 @@
 from saltport.standins.registry import Entry, Registry, instance_entry, unix_ms
 
 ZONES = ("a", "b", "c")
-CELL_COUNT = 6
-NODE_KIND, ORIGIN_KIND = "std-1c", "origin"
+CELL_COUNT = 6  # number of cells (groups of servers in the registry) that the nodes are spread over
+NODE_KIND, ORIGIN_KIND = "std-1c", "origin"  # machine types of cache nodes and origins in the registry
 MAX_FILLED_NODES = 2  # nodes that store the origin's reply to one request
-MAX_TRACKED_MISSES = 20_000
-REMOVAL_DELAY_S, ADD_DELAY_S = 0.5, 0.3  # until the registry publishes a removed or an added node
+MAX_TRACKED_MISSES = 20_000  # limit of the requests whose missed nodes are remembered
+REMOVAL_DELAY_S, ADD_DELAY_S = 0.5, 0.3  # time until the registry publishes a removed or an added node
+# The delay of the event loop is measured once per interval; one above the threshold is written to the ledger.
 LAG_INTERVAL_S, LAG_THRESHOLD_S = 0.05, 0.02
 
 
@@ -102,15 +103,18 @@
         )
 
     def _new_node(self, node_id: str, cold: bool) -> Node:
+        """Create a node with this id and add it to the fleet."""
         node = Node(node_id, self.profile, self, self.ledger, self._rng.getrandbits(32), cold)
         self.nodes[node_id] = node
         return node
 
     def _publish_state(self, server: str, state: str, delay: float = 0.0) -> None:
+        """Set a server's lifecycle state, and have the registry publish it after `delay` seconds."""
         self._states[server] = state
         self.registry.change(self._entry(server, state), delay)
 
     def _entry(self, server: str, state: str) -> Entry:
+        """Return the registry entry of a server in a lifecycle state."""
         number = hash_of(server)
         if server in self.origins:
             zone = ZONES[0] if server == self.origin.id else ZONES[2]
@@ -188,25 +192,30 @@
                 self._timers.add(loop.call_later(fault.until, self._end_scheduled, fault))
 
     def _start_scheduled(self, fault: Fault) -> None:
+        """Start a scheduled fault; record it as skipped if its target has another fault."""
         try:
             self.start_fault(fault.kind, fault.target, fault.figures)
         except FaultError as error:
             self.ledger.write("fault_skipped", fault=fault.kind, target=fault.target, why=str(error))
 
     def _end_scheduled(self, fault: Fault) -> None:
+        """End a scheduled fault, if it is still active."""
         active = self.active_faults.get(fault.target)
         if active is not None and active.kind == fault.kind:
             self.end_fault(fault.target)
 
     def _node(self, target: str) -> Node:
+        """Return the present node of a fault target, which is named by its original node's id."""
         return self.nodes[self._node_ids[target]]
 
     def _start_kill(self, target: str, figures: dict[str, Any]) -> None:
+        """Crash a node; the registry lists it as removed after a delay."""
         node = self._node(target)
         node.crash()
         self._publish_state(node.id, "removed", REMOVAL_DELAY_S)
 
     def _end_kill(self, target: str) -> None:
+        """Restart a crashed node, empty and cold, at its address."""
         node = self._node(target)
         node.restart()
         if not node.crashed_by_overload:
@@ -214,55 +223,71 @@
             self._publish_state(node.id, "up", REMOVAL_DELAY_S)
 
     def _start_freeze(self, target: str, figures: dict[str, Any]) -> None:
+        """Suspend a node; its kernel still accepts connections and data."""
         self._node(target).peer.stop_responding(cut_off=False)
 
     def _start_cut_off(self, target: str, figures: dict[str, Any]) -> None:
+        """Make a node unreachable: new connections to it time out."""
         self._node(target).peer.stop_responding(cut_off=True)
 
     def _end_freeze(self, target: str) -> None:
+        """Let a node respond again."""
         self._node(target).peer.resume()
 
     _end_cut_off = _end_freeze
 
     def _start_refuse(self, target: str, figures: dict[str, Any]) -> None:
+        """Let a node refuse new connections."""
         self._node(target).peer.refuse_connections()
 
     def _end_refuse(self, target: str) -> None:
+        """Let a node accept connections again."""
         node = self._node(target)
         if not node.crashed_by_overload:
             node.peer.open()
 
     def _start_turn_away(self, target: str, figures: dict[str, Any]) -> None:
+        """Let a node answer every request with -BUSY."""
         self._node(target).rejecting = True
 
     def _end_turn_away(self, target: str) -> None:
+        """Let a node process requests again."""
         self._node(target).rejecting = False
 
     def _start_slow(self, target: str, figures: dict[str, Any]) -> None:
+        """Lengthen all work of a node by the factor `figures["factor"]`."""
         self._node(target).cores.slowdown = figures["factor"]
 
     def _end_slow(self, target: str) -> None:
+        """Let a node work at its normal speed again."""
         self._node(target).cores.slowdown = 1.0
 
     def _start_trickle(self, target: str, figures: dict[str, Any]) -> None:
+        """Limit the speed of a node's replies to `figures["rate"]` bytes per second."""
         self._node(target).throttle_rate = figures["rate"]
 
     def _end_trickle(self, target: str) -> None:
+        """Remove the limit on the speed of a node's replies."""
         self._node(target).throttle_rate = 0.0
 
     def _start_spoil(self, target: str, figures: dict[str, Any]) -> None:
+        """Corrupt the share `figures["share"]` of a node's replies, by the corruption `figures["how"]`."""
         self._node(target).corruption = figures["how"], figures["share"]
 
     def _end_spoil(self, target: str) -> None:
+        """Stop corrupting the replies of a node."""
         self._node(target).corruption = None
 
     def _start_drain(self, target: str, figures: dict[str, Any]) -> None:
+        """Have the registry list a node as draining."""
         self._publish_state(self._node(target).id, "draining")
 
     def _end_drain(self, target: str) -> None:
+        """Have the registry list a drained node as up again."""
         self._publish_state(self._node(target).id, "up")
 
     def _start_replace(self, target: str, figures: dict[str, Any], here: bool = False) -> None:
+        """Replace a node by a cold one with a new id, at a new address or `here` at its address."""
         old = self._node(target)
         old.close()
         del self.nodes[old.id]
@@ -279,52 +304,68 @@
         self._publish_state(new.id, "up", ADD_DELAY_S)
 
     def _start_replace_here(self, target: str, figures: dict[str, Any]) -> None:
+        """Replace a node by a cold one with a new id at the same address."""
         self._start_replace(target, figures, here=True)
 
     def _start_flush(self, target: str, figures: dict[str, Any]) -> None:
+        """Remove the share `figures["share"]` of the cached objects of all nodes."""
         for node in self.nodes.values():
             node.store.flush(figures["share"], self._rng)
 
     def _start_origin_slow(self, target: str, figures: dict[str, Any]) -> None:
+        """Lengthen all work of the origin by the factor `figures["factor"]`."""
         self.origin.cores.slowdown = figures["factor"]
 
     def _end_origin_slow(self, target: str) -> None:
+        """Let the origin work at its normal speed again."""
         self.origin.cores.slowdown = 1.0
 
     def _start_origin_down(self, target: str, figures: dict[str, Any]) -> None:
+        """Crash the origin: it resets its connections and refuses new ones."""
         self.origin.crash()
 
     def _end_origin_down(self, target: str) -> None:
+        """Restart the origin."""
         self.origin.restart()
 
     def _start_origin_full(self, target: str, figures: dict[str, Any]) -> None:
+        """Let the origin answer every request with 503, as with a full queue."""
         self.origin.full = True
 
     def _end_origin_full(self, target: str) -> None:
+        """Let the origin process requests again."""
         self.origin.full = False
 
     def _start_origin_spoil(self, target: str, figures: dict[str, Any]) -> None:
+        """Corrupt the share `figures["share"]` of the origin's replies, as `figures["how"]` names."""
         self.origin.corruption = figures["how"], figures["share"]
 
     def _end_origin_spoil(self, target: str) -> None:
+        """Stop corrupting the replies of the origin."""
         self.origin.corruption = None
 
     def _start_list_late(self, target: str, figures: dict[str, Any]) -> None:
+        """Delay the publishing of all changes of the registry by `figures["delay"]` seconds."""
         self.registry.publish_delay_s = figures["delay"]
 
     def _end_list_late(self, target: str) -> None:
+        """Let the registry publish changes without additional delay again."""
         self.registry.publish_delay_s = 0.0
 
     def _start_list_down(self, target: str, figures: dict[str, Any]) -> None:
+        """Stop the registry: it resets its connections and refuses new ones."""
         self.registry.stop()
 
     def _end_list_down(self, target: str) -> None:
+        """Let the registry accept connections again."""
         self.registry.start()
 
     def _start_list_stale(self, target: str, figures: dict[str, Any]) -> None:
+        """Let the registry withhold all changes."""
         self.registry.publishing_paused = True
 
     def _end_list_stale(self, target: str) -> None:
+        """Let the registry publish the withheld changes and all further ones."""
         self.registry.resume_publishing()
 
     # Inspection
--- a/saltport/standins/links.py
+++ b/saltport/standins/links.py
@@ -17,17 +17,22 @@
 
 from saltport.address import Address
 
-CHUNK_BYTES = 16 << 10
+CHUNK_BYTES = 16 << 10  # most data that is read from a stream at once
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault on one direction of a link; several active faults combine."""
+    """A fault on one direction of a link; several active faults combine.
+
+    `loss` and `duplicates` are shares of the datagrams, `delay_s` is the range of a random delay in seconds,
+    `rate` is in bytes per second; 0 stands for no limit.
+    """
 
     cut: bool = False
     loss: float = 0.0
     """Share of datagrams that are dropped; streams lose no data."""
     duplicates: float = 0.0
+    """Share of datagrams that are delivered twice."""
     delay_s: tuple[float, float] = (0.0, 0.0)
     """Range of a random delay per datagram, which may reorder them; a stream is delayed at its start only."""
     max_datagram_bytes: int = 0
@@ -37,7 +42,7 @@
 
 
 class Links:
-    """The active faults between named endpoints, and the random decisions that follow from them."""
+    """The active faults between named endpoints; decides at random which datagrams to drop, delay or copy."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -87,6 +92,7 @@
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
+        """Pass on a datagram with its sender's address."""
         self._on_datagram(data, addr)
 
 
@@ -115,6 +121,7 @@
         return address
 
     def _forward(self, source: str, target: str, data: bytes, sender: Address) -> None:
+        """Deliver the copies of a datagram that the active faults leave, after their delays."""
         # Danger: a datagram from any other sender would be delivered as if `source` had sent it.
         if sender != self.endpoints[source]:
             return
@@ -126,6 +133,7 @@
                 self._deliver(source, target, data)
 
     def _deliver(self, source: str, target: str, data: bytes) -> None:
+        """Send a datagram to the target, from the address under which it knows the source."""
         transport = self._transports[source, target]
         if not transport.is_closing():
             transport.sendto(data, self.endpoints[target])
@@ -151,6 +159,7 @@
         return address
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        """Connect an accepted stream to the target, and copy data in both directions."""
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
@@ -169,6 +178,7 @@
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, source: str, target: str
     ) -> None:
+        """Copy one direction of a stream, delayed by the active faults, until it ends."""
         loop, first = asyncio.get_running_loop(), True
         while data := await reader.read(CHUNK_BYTES):
             while any(fault.cut for fault in self._links.active_faults(source, target)):
--- a/saltport/standins/model.py
+++ b/saltport/standins/model.py
@@ -113,7 +113,11 @@
 
 
 class ColdStartBudget:
-    """The load limit of a cold node: work per window stays under multiple x present capacity x window."""
+    """Detects when a cold node gets more work than it can survive.
+
+    The limit on the work sent within a window of time is the work that the node's cores can do in the window
+    at their present capacity, times `multiple`.
+    """
 
     def __init__(self, cores: int, multiple: float, window_ns: int) -> None:
         self._cores, self._multiple, self._window_ns = cores, multiple, window_ns
@@ -121,7 +125,11 @@
         self._total_work_ms = 0.0
 
     def record_and_check(self, now: int, work_ms: float, capacity_share: float) -> bool:
-        """Record work sent to a cold node; return whether the work in the window exceeds the limit."""
+        """Record work sent to the node; return whether the work within the last window exceeds the limit.
+
+        `work_ms` is in milliseconds of one core at full speed, `capacity_share` the share of its full
+        capacity that the node has at present.
+        """
         self._sent.append((now, work_ms))
         self._total_work_ms += work_ms
         while self._sent[0][0] <= now - self._window_ns:
--- a/saltport/standins/node.py
+++ b/saltport/standins/node.py
@@ -26,9 +26,9 @@
 from saltport.standins.spoil import corrupt_resp_reply, resp_answer
 from saltport.wire.resp import parse_info
 
-IDLE_SWEEP_INTERVAL_S = 0.5
-THROTTLE_INTERVAL_S = 0.05
-MAX_LOGGED_WORDS = 5
+IDLE_SWEEP_INTERVAL_S = 0.5  # time between two checks for idle connections
+THROTTLE_INTERVAL_S = 0.05  # time between two parts of a throttled reply
+MAX_LOGGED_WORDS = 5  # words of a malformed command that are written to the ledger
 
 
 class MissRecorder(Protocol):
@@ -109,6 +109,7 @@
         self.flush()
 
     def _send_throttled(self) -> None:
+        """Send the next part of the throttled replies, and schedule the one after it."""
         if self._throttle_timer is None and self._throttled and not self.lost:
             part = (
                 max(int(self.node.throttle_rate * THROTTLE_INTERVAL_S), 1)
@@ -123,6 +124,7 @@
             )
 
     def _on_throttle_timer(self) -> None:
+        """Continue to send throttled replies when the interval is over."""
         self._throttle_timer = None
         self._send_throttled()
 
@@ -194,6 +196,7 @@
         self.peer.close()
 
     def _close_idle_connections(self) -> None:
+        """Close the connections that are idle for too long, and schedule the next check."""
         self._idle_sweep_timer = asyncio.get_running_loop().call_later(
             IDLE_SWEEP_INTERVAL_S, self._close_idle_connections
         )
@@ -228,6 +231,7 @@
             connection.answer(reply_slot, b"-ERR unknown command\r\n")
 
     def _handle_probe(self, connection: NodeConnection, reply_slot: list[Any], is_load: bool) -> None:
+        """Answer a health probe: PING, or INFO with the load report."""
         now = time.monotonic_ns()
         self.ledger.write("probe", now, node=self.id)
         self.cores.schedule(now, self.profile.probe_work_ms, self.warm_up.capacity_share(now))
@@ -268,6 +272,10 @@
         first_byte_at: int,
         last_byte_at: int,
     ) -> None:
+        """Handle a KV.GET or KV.SET: queue its work, or reject it with -BUSY if the queue is full.
+
+        A cold node that gets too much work crashes instead.
+        """
         try:
             _, key, request_id, info = (word.decode() for word in words[:4])
             fields = parse_info(words[3])
@@ -318,6 +326,7 @@
         self, connection: NodeConnection, reply_slot: list[Any], request_class: ClassProfile,
         request_id: str, key: str, incarnation: int, started_at: int,
     ) -> None:  # fmt: skip
+        """Send the reply to a request whose work is done, unless the node has crashed since."""
         if incarnation != self.incarnation:
             return
         now = time.monotonic_ns()
--- a/saltport/standins/origin.py
+++ b/saltport/standins/origin.py
@@ -21,6 +21,7 @@
 from saltport.wire.resp import parse_info
 
 MAX_REMEMBERED = 100_000
+# Header of a 503 reply: the origin states that it has not begun the request, so even a write can be retried.
 NOT_STARTED = b"Not-Started: 1"
 
 
@@ -45,6 +46,7 @@
         self._start_request()
 
     def _start_request(self) -> None:
+        """Clear the parsed parts of the previous request."""
         self._target, self._body = b"", bytearray()
         self._headers: dict[bytes, bytes] = {}
 
@@ -189,6 +191,7 @@
         self, connection: OriginConnection, reply_slot: list[Any], request_class: ClassProfile,
         request_id: str, key: str, idempotency_key: str | None, is_write: bool, incarnation: int,
     ) -> None:  # fmt: skip
+        """Apply a write or read a value, and send the reply, unless the origin has crashed since."""
         if incarnation != self.incarnation:
             return
         now = time.monotonic_ns()
--- a/saltport/standins/peer.py
+++ b/saltport/standins/peer.py
@@ -11,9 +11,9 @@
 from typing import cast
 
 Address = tuple[str, int]
-BACKLOG = 512
-RESUME_READ_NS = 200_000_000  # time in which a resumed process reads data buffered in the kernel
-_RESET = struct.pack("ii", 1, 0)
+BACKLOG = 512  # limit of the connections that wait in the kernel to be accepted
+RESUME_READ_NS = 200_000_000  # time within which a resumed process reads the data buffered in the kernel
+_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER that makes a close send a TCP reset
 
 
 class PeerConnection(asyncio.Protocol):
@@ -99,6 +99,7 @@
         self._accepting = accepting
 
     def _accept_pending(self) -> None:
+        """Accept all connections that wait in the kernel."""
         loop = asyncio.get_running_loop()
         while self._listener is not None:
             try:
@@ -112,6 +113,7 @@
             task.add_done_callback(self._tasks.discard)
 
     async def _set_up(self, accepted: socket.socket) -> None:
+        """Create the protocol of an accepted connection."""
         try:
             await asyncio.get_running_loop().connect_accepted_socket(self._connect, accepted)
         except OSError:
--- a/saltport/standins/profile.py
+++ b/saltport/standins/profile.py
@@ -161,6 +161,7 @@
 
 
 def _read_class(entry: dict[str, Any]) -> ClassProfile:
+    """Return the request class in a JSON object; raises ValueError."""
     try:
         low, high = entry["work_ms"]
         return ClassProfile(**{**entry, "work_ms": (float(low), float(high))})
--- a/saltport/standins/registry.py
+++ b/saltport/standins/registry.py
@@ -20,7 +20,7 @@
 from saltport.standins.spoil import http_answer
 
 INSTANCES_PATH = "/registry/instances"
-MAX_WAIT_MS = 60_000
+MAX_WAIT_MS = 60_000  # limit of the time that a watch may wait for changes
 
 Entry = dict[str, Any]
 
@@ -126,6 +126,7 @@
         asyncio.get_running_loop().call_later(due - now, self._publish_due)
 
     def _publish_due(self) -> None:
+        """Publish the delayed changes that are due, and schedule the next."""
         now = time.monotonic()
         while self._delayed_changes and self._delayed_changes[0][0] <= now:
             self._publish(self._delayed_changes.popleft()[1])
@@ -135,6 +136,7 @@
             )
 
     def _publish(self, entry: Entry) -> None:
+        """Publish a changed entry and answer the pending watches, or withhold it while paused."""
         if self.publishing_paused:
             self._withheld.append(entry)
             return
--- a/saltport/standins/spoil.py
+++ b/saltport/standins/spoil.py
@@ -5,8 +5,8 @@
 import random
 from collections.abc import Iterator
 
-HUGE_VALUE_BYTES = 3 << 30
-CHUNK_BYTES = 16 << 10
+HUGE_VALUE_BYTES = 3 << 30  # length declared by a `huge` reply, far above a router's memory limit
+CHUNK_BYTES = 16 << 10  # size of the chunks of a `huge` reply's value
 MAX_CHUNKS = 64
 """Number of chunks sent of a huge value; a router should have closed the connection before."""
 
@@ -24,10 +24,12 @@
 
 
 def _noise(rng: random.Random, size: int) -> bytes:
+    """Return random bytes, none of which is ASCII."""
     return bytes(rng.getrandbits(8) | 0x80 for _ in range(size))
 
 
 def _endless_value(head: bytes, rng: random.Random) -> Iterator[bytes]:
+    """Yield the head of a `huge` reply, then `MAX_CHUNKS` chunks of its value, which stays incomplete."""
     yield head
     part = _noise(rng, 256) * (CHUNK_BYTES // 256)
     for _ in range(MAX_CHUNKS):
@@ -35,7 +37,11 @@
 
 
 def corrupt_resp_reply(kind: str, value: bytes, rng: random.Random) -> Iterator[bytes] | bytes | None:
-    """Return a corrupted reply of a node: bytes, chunks, or None for `cut`, where the caller resets."""
+    """Return a node's reply with `value`, corrupted in the way that `kind` names in `faults.CORRUPTIONS`.
+
+    The result is the bytes to send, or for `huge` an iterator over chunks of them. For `cut` it is None: the
+    caller then sends half of a valid reply and resets the connection. An unknown kind gives a valid reply.
+    """
     good = resp_answer(value, b"hit", b"latency_ms=1.000,queue=0")
     match kind:
         case "noise":
