--- a/benchmarks/zones_world.py
+++ b/benchmarks/zones_world.py
@@ -18,7 +18,7 @@
 from saltport.decisions.zoned import ZonedReplication
 from saltport.failover.agent import Agent
 from saltport.failover.messages import Message, Plan, decode, encode
-from saltport.failover.settings import LEASE_NAME, FailoverSettings
+from saltport.failover.settings import TASK_NAME, FailoverSettings
 from saltport.owners.fence import Fence
 from saltport.peers.link import MAX_PAYLOAD_BYTES
 
@@ -95,7 +95,7 @@
         topology = self.topologies[self.zone_of[place]]
         return Agent(
             f"r{place}", topology, SETTINGS, rng, self.now, lambda _: self.epoch_of(place), COLD_TIME,
-            lambda epoch: self.fences[place].admit(LEASE_NAME, epoch),
+            lambda epoch: self.fences[place].admit(TASK_NAME, epoch),
         )  # fmt: skip
 
     def epoch_of(self, place: int) -> int | None:
@@ -259,7 +259,7 @@
         """A router owns the plans from now on: voters know it from the record, the others from its plans."""
         self.owner, self.epoch, self.owner_until = to, self.epoch + 1, 1 << 62
         for voter in range(VOTERS):
-            self.fences[voter].admit(LEASE_NAME, self.epoch)
+            self.fences[voter].admit(TASK_NAME, self.epoch)
 
     def bring_back(self, zone: int) -> None:
         """Cold and empty; routers start anew and know nothing."""
--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -1,7 +1,8 @@
 """The failover protocol of one router: it reports evidence, follows and forwards plans. No I/O.
 
-While this router holds the failover lease, it also computes the plans. The caller passes in received
-messages, the time and the evidence, and sends the messages that `Agent.take_messages` returns.
+While this router owns the failover task, it also computes the plans: it is then called the owner. The caller
+passes in received messages, the time and the evidence, and sends the messages that `Agent.take_messages`
+returns.
 """
 
 from __future__ import annotations
@@ -48,7 +49,8 @@
     ) -> None:  # fmt: skip
         """Create the agent of the router `name`.
 
-        `current_epoch` returns the epoch of the lease if this router holds it at the given time, else None.
+        `current_epoch` returns the epoch under which this router owns the failover task at the given time, or
+        None if it does not own it.
         `warm_up_ns` is how long a cold server takes to warm up. `admit` tells whether a plan of an epoch may
         be applied.
         """
@@ -92,7 +94,7 @@
         self._live_routers = live_routers
         epoch = self._current_epoch(now)
         if epoch is not None and (self.decider is None or self.decider.epoch != epoch):
-            self._begin_tenure(epoch, now)
+            self._begin_ownership(epoch, now)
         decider = self._current_decider(now)
         if decider is not None and now >= self._decide_at:
             self._decide_at = now + self.settings.decision_interval_ns
@@ -119,9 +121,9 @@
                 self._send(name, plan)
 
     def _current_decider(self, now: int) -> Decider | None:
-        """Return the decider if this router still holds the lease under its epoch, else None.
+        """Return the decider if this router still owns the failover task under its epoch, else None.
 
-        Danger: call this before each effect: the process may have been suspended, and the lease may have
+        Danger: call this before each effect: the process may have been suspended, and its ownership may have
         expired, since the last check.
         """
         if self.decider is not None and self.decider.epoch != self._current_epoch(now):
@@ -130,8 +132,8 @@
             self._query = None
         return self.decider
 
-    def _begin_tenure(self, epoch: int, now: int) -> None:
-        """Query all routers for the latest plan, then start to decide.
+    def _begin_ownership(self, epoch: int, now: int) -> None:
+        """As a new owner of the failover task, query all routers for the latest plan, then start to decide.
 
         The plan is the only record of operators' orders, so a new owner must have it before it makes its own.
         Danger: a process that has just started knows few other routers. If answers from a majority of them
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -1,8 +1,8 @@
 """Computes failover plans from the routers' reports and carries out operators' orders. No I/O.
 
-Only the router that holds the failover lease runs a Decider.
-Danger: the caller must check before each call that the lease still has the epoch of this Decider. A process
-that was stopped for a while could otherwise issue plans after it lost the lease.
+Only the owner of the failover task runs a Decider.
+Danger: the caller must check before each call that this router still owns the task under the epoch of this
+Decider. A process that was stopped for a while could otherwise issue plans after it lost the task.
 """
 
 from __future__ import annotations
@@ -65,7 +65,7 @@
 
 
 class Decider:
-    """Computes failover plans for the fleet during one tenure of the lease, under one epoch."""
+    """Computes failover plans for the fleet while this router owns the failover task under one epoch."""
 
     def __init__(
         self, name: str, topology: Topology, settings: FailoverSettings, follower: Follower, epoch: int,
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -1,4 +1,4 @@
-"""Connects failover to the event loop, the peers' socket, the leases and the routing decisions."""
+"""Connects failover to the event loop, the peers' socket, the owned tasks and the routing decisions."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from saltport.decisions.topology import Evidence, Topology
 from saltport.failover.agent import Agent
 from saltport.failover.messages import decode, encode
-from saltport.failover.settings import LEASE_NAME, FailoverSettings
+from saltport.failover.settings import TASK_NAME, FailoverSettings
 from saltport.owners.link import OwnersLink, boot_clock
 from saltport.peers.link import PeerLink
 
@@ -52,7 +52,7 @@
             peers.agent.name, topology, FailoverSettings(), random.Random(seed ^ 0xFA11), boot_clock(),
             self._current_epoch, warm_up_ns, self._admit,
         )  # fmt: skip
-        owners.wanted.append(LEASE_NAME)
+        owners.wanted.append(TASK_NAME)
         peers.prefix_handlers[MESSAGE_PREFIX] = self._on_datagram
         self._last_zone_plan: ZonePlan | None = None
         self._last_logged: tuple[object, ...] = ()
@@ -60,14 +60,14 @@
         self._tick()
 
     def _current_epoch(self, now: int) -> int | None:
-        """Return the epoch of the failover lease if this router holds it, else None."""
+        """Return the epoch under which this router owns the failover task, or None if it does not."""
         member = self._owners.member
-        return member.owner_lease.effect_epoch(LEASE_NAME, now) if member is not None else None
+        return member.owner_lease.effect_epoch(TASK_NAME, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
-        """Whether the fence of this process allows plans of an epoch."""
+        """Whether plans of this epoch may be applied: the fence has seen no later one of this task."""
         member = self._owners.member
-        return member is None or member.fence.admit(LEASE_NAME, epoch)
+        return member is None or member.fence.admit(TASK_NAME, epoch)
 
     def _tick(self) -> None:
         """Run the agent's periodic work and schedule the next call."""
--- a/saltport/failover/settings.py
+++ b/saltport/failover/settings.py
@@ -6,8 +6,8 @@
 
 from saltport.decisions.interface import NS_PER_S
 
-LEASE_NAME = "failover"
-"""Name of the lease whose owner computes the failover plans."""
+TASK_NAME = "failover"
+"""Name of the owned task whose owner computes the failover plans."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/nemesis/test_zone_processes.py
+++ b/tests/nemesis/test_zone_processes.py
@@ -13,7 +13,7 @@
 
 from saltport.audit import Limits, Verdict
 from saltport.cli import cli
-from saltport.failover.settings import LEASE_NAME
+from saltport.failover.settings import TASK_NAME
 from saltport.harness import run_load
 from saltport.load.plan import LoadPlan, Step
 from saltport.nemesis.history import Course, History
@@ -72,7 +72,7 @@
             )
             followed[course.by] = age
     holders = dict.fromkeys(
-        (hold.epoch, hold.by) for hold in nemesis.history.holds if hold.piece == LEASE_NAME
+        (hold.epoch, hold.by) for hold in nemesis.history.holds if hold.piece == TASK_NAME
     )
     lines.append(f"epochs and their owners: {list(holders)}")
     for name, told in sorted(nemesis.zones.items()):
