--- a/saltport/cli/operating.py
+++ b/saltport/cli/operating.py
@@ -89,7 +89,7 @@
 def owners(router: Address, step_down: bool, transfer: str | None, may: str | None, as_json: bool) -> None:
     """Show who owns which of the fleet's work, with epochs and leases."""
     from saltport.admin.client import voter_path
-    from saltport.owners.words import lines
+    from saltport.owners.formatting import lines
 
     if step_down:
         ask(router, "/owners/step-down", "PUT")
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 
 from saltport.decisions.topology import Topology
-from saltport.failover.board import ReportAggregator, Window
 from saltport.failover.change import Allocation, is_worth_changing
 from saltport.failover.follower import Follower
 from saltport.failover.health import PathHealth, PathSample
@@ -24,9 +23,10 @@
     encode_shares,
     nearest_available,
 )
-from saltport.failover.room import ZoneCapacity
+from saltport.failover.report_aggregator import ReportAggregator, Window
 from saltport.failover.settings import FailoverSettings
 from saltport.failover.waterfall import UNLIMITED, Distribution, distribute
+from saltport.failover.zone_capacity import ZoneCapacity
 
 REASONS_WITHOUT_MOVES = ("new owner", "trials end")  # reasons of plans that change no share
 MAX_REFUSED_SHARE = 0.95  # some reads are always sent, to find out when a zone has recovered
--- a/tests/failover/test_rules.py
+++ b/tests/failover/test_rules.py
@@ -16,9 +16,9 @@
 from saltport.failover.health import PathHealth, PathSample, weighted_median_share
 from saltport.failover.messages import SHARE_SCALE, Plan, PlanReply, Report, ZoneReport, encode
 from saltport.failover.plans import NS_PER_MS, encode_shares, matrix_at, nearest_available
-from saltport.failover.room import ZoneCapacity
 from saltport.failover.settings import FailoverSettings
 from saltport.failover.waterfall import UNLIMITED, distribute
+from saltport.failover.zone_capacity import ZoneCapacity
 from saltport.peers.link import MAX_PAYLOAD_BYTES
 
 SETTINGS = FailoverSettings()
