--- a/saltport/cli/operating.py
+++ b/saltport/cli/operating.py
@@ -73,11 +73,11 @@
 @AS_JSON
 def peers(router: Address, settle: bool, as_json: bool) -> None:
     """Show what a router believes of the other routers: who is alive, who is heard, where it stands."""
-    from saltport.peers.formatting import lines
+    from saltport.peers.formatting import format_report
 
     if settle:
         ask(router, "/peers/settle", "PUT")
-    show("peers", ask(router, "/peers"), lines, as_json)
+    show("peers", ask(router, "/peers"), format_report, as_json)
 
 
 @click.command()
@@ -89,7 +89,7 @@
 def owners(router: Address, step_down: bool, transfer: str | None, may: str | None, as_json: bool) -> None:
     """Show who owns which of the fleet's work, with epochs and leases."""
     from saltport.admin.client import voter_path
-    from saltport.owners.formatting import lines
+    from saltport.owners.formatting import format_report
 
     if step_down:
         ask(router, "/owners/step-down", "PUT")
@@ -100,4 +100,4 @@
         epoch = report.get("holds", {}).get(may)
         click.echo("no" if epoch is None else epoch)
         sys.exit(epoch is None)
-    show("owners", report, lines, as_json)
+    show("owners", report, format_report, as_json)
--- a/saltport/peers/formatting.py
+++ b/saltport/peers/formatting.py
@@ -5,11 +5,14 @@
 from collections.abc import Iterator
 from typing import Any
 
-_MAX_MEMBERS_SHOWN = 40  # members that are not alive are shown first
+_MAX_MEMBERS_SHOWN = 40  # limit of the members that are listed, those that are not alive first
 
 
-def lines(report: dict[str, Any]) -> Iterator[str]:
-    """Yield the lines that show one router's report."""
+def format_report(report: dict[str, Any]) -> Iterator[str]:
+    """Yield the lines of text that show a router's view, quorum, health and members.
+
+    `report` is the JSON object that `PeerLink.view` returns.
+    """
     view, quorum, health = report["view"], report["quorum"], report["health"]
     yield (
         f"{report['name']} ({report['state']}, start {report['start']}, "
--- a/tests/peers/test_link.py
+++ b/tests/peers/test_link.py
@@ -20,7 +20,7 @@
 from saltport.admin.client import call
 from saltport.cli import cli
 from saltport.peers.agent import MembershipEvent
-from saltport.peers.formatting import lines
+from saltport.peers.formatting import format_report
 from saltport.peers.link import PeerLink, PeerPlan
 from saltport.router.check import check_file
 from saltport.router.config import ConfigError, load_config
@@ -213,7 +213,7 @@
     async def scenario(trio: Trio) -> None:
         await trio.links.pop("r1").close(replaced=False)
         await trio.wait_agreed(2)
-        text = "\n".join(lines({"on": True, **trio.links["r0"].view()}))
+        text = "\n".join(format_report({"on": True, **trio.links["r0"].view()}))
         assert "r0 (" in text
         assert "r1: left for" in text
         assert "r2: alive for" in text
