--- a/saltport/dissemination/config.py
+++ b/saltport/dissemination/config.py
@@ -15,7 +15,7 @@
 Relays = Annotated[int, Meta(ge=1, le=16)]
 Rate = Annotated[int, Meta(ge=1_000, le=100_000_000)]
 
-DEFAULT = DisseminationSettings()
+DEFAULT = DisseminationSettings()  # gives the defaults of the table's keys
 
 
 class DisseminationConfigError(ValueError):
--- a/saltport/dissemination/relay.py
+++ b/saltport/dissemination/relay.py
@@ -74,7 +74,10 @@
 
 
 def _assigned_relays(own_node: int, site: Site, rotation: int, placement: Placement) -> tuple[int, ...]:
-    """The site relay that this region relay forwards to; all of them if its own view does not choose it."""
+    """Return the one relay of a site that this router, a relay of the region, forwards to.
+
+    If this router is not a relay of the region in its own view, return all relays of the site.
+    """
     relays, mine = placement.site_relays(site, rotation), placement.region_relays(site.region, rotation)
     return (relays[mine.index(own_node) % len(relays)],) if own_node in mine else relays
 
--- a/saltport/dissemination/topic_store.py
+++ b/saltport/dissemination/topic_store.py
@@ -86,11 +86,14 @@
         return log
 
     def heads(self) -> tuple[Head, ...]:
-        """The last entry in order of each topic that has entries."""
+        """Return the number of the last entry in order of each topic that has entries."""
         return tuple(Head(topic, log.last) for topic, log in self.logs.items() if log.last)
 
     def offer(self, entry: Entry) -> tuple[OfferResult, list[AppliedRecord]]:
-        """Add an entry to its log, and apply the entries that are now in order."""
+        """Add an entry to its log, and apply the entries that are now in order.
+
+        Return the result of the offer, and the records that were passed to the topic's state.
+        """
         log = self.log(entry.topic)
         if log is None:
             return OfferResult.DROPPED, []
--- a/saltport/failover/agent.py
+++ b/saltport/failover/agent.py
@@ -51,7 +51,7 @@
 
         `current_epoch` returns the epoch under which this router owns the failover task at the given time, or
         None if it does not own it.
-        `warm_up_ns` is how long a cold server takes to warm up. `admit` tells whether a plan of an epoch may
+        `warm_up_ns` is how long a cold server takes to warm up. `admit` returns whether plans of an epoch may
         be applied.
         """
         self.name, self.topology, self.settings, self._rng = name, topology, settings, rng
--- a/saltport/failover/decider.py
+++ b/saltport/failover/decider.py
@@ -432,7 +432,10 @@
     # Orders
 
     def forecast(self, evacuated: int) -> tuple[float, Distribution]:
-        """Return the share of all reads refused if these zones were evacuated, and the distribution."""
+        """Return the share of all reads that would be refused, and the distribution of the demand.
+
+        Both are as they would be if exactly the zones in the bit mask `evacuated` were evacuated.
+        """
         desired = self._desired_plan(evacuated)
         demand = self.reports.slow_demand
         total = sum(demand) or 1.0
@@ -454,7 +457,7 @@
         return answer, plan
 
     def _execute(self, order: Order) -> tuple[str, Plan | None]:
-        """Execute an order; return the reason for a rejection, or an empty text and the new plan."""
+        """Execute an order; return an empty text and the new plan, or the reason for a rejection and None."""
         zones, evacuated = range(len(self.topology.zones)), self.evacuated
         if order.action in ("evacuate", "return") and order.zone not in zones:
             return "no such zone", None
--- a/saltport/failover/follower.py
+++ b/saltport/failover/follower.py
@@ -24,9 +24,9 @@
 
 
 class Follower:
-    """Keeps the latest plan that this router has received.
+    """Stores the latest plan that this router has received.
 
-    `admit` tells whether a plan of an epoch may be applied, by the fence of this process.
+    `admit` returns whether plans of an epoch may be applied, as the fence of this process decides.
     """
 
     def __init__(
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -125,7 +125,7 @@
         )  # fmt: skip
 
     def _shares(self, matrix: tuple[tuple[float, ...], ...]) -> list[tuple[str, float]]:
-        """Return the shares of the reads of this router's zone, by zone name."""
+        """Return pairs of a zone name and the share of this router's zone's reads that go there."""
         topology = self.agent.topology
         return list(zip(topology.zones, matrix[topology.own_zone], strict=True))
 
--- a/saltport/failover/waterfall.py
+++ b/saltport/failover/waterfall.py
@@ -32,7 +32,7 @@
 ) -> Distribution:
     """Return how to distribute each zone's demand; all rates are in requests per second.
 
-    `usable` tells whether the path from a source to a target zone may be used; `near` returns all zones
+    `usable` returns whether the path from a source to a target zone may be used; `near` returns all zones
     ordered by distance from a zone. `fill_limits` are the shares of a zone's capacity that its own demand and
     the demand of other zones may fill; other zones' demand is also limited by the proven rate. Demand that
     does not fit these limits goes to the nearest zones with any capacity left; the rest is refused. A zone
--- a/saltport/owners/coordinator.py
+++ b/saltport/owners/coordinator.py
@@ -220,7 +220,7 @@
 
 
 def _split_rows(rows: list[tuple[str, int]]) -> list[tuple[tuple[str, int], ...]]:
-    """Split rows into groups that fit a command."""
+    """Split rows (task, epoch) into groups, each of which fits one command."""
     pages: list[list[tuple[str, int]]] = []
     room = 0
     for row in rows:
--- a/saltport/owners/log.py
+++ b/saltport/owners/log.py
@@ -127,7 +127,10 @@
         return []
 
     def configuration(self) -> tuple[int, Configuration]:
-        """Return the latest configuration, committed or not, after its entry's index (thesis, 4.1)."""
+        """Return the latest configuration, committed or not (thesis, 4.1), as (index, configuration).
+
+        The index is that of the entry that set it, or of the snapshot if no entry after the snapshot did.
+        """
         for entry in reversed(self.entries):
             if entry.kind == EntryKind.CONFIGURATION:
                 return entry.index, decode_configuration(entry.data)
--- a/saltport/owners/raft.py
+++ b/saltport/owners/raft.py
@@ -195,7 +195,7 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """Replication state that a leader keeps for another member."""
+    """What a leader knows of the replication to another member."""
 
     next_index: int
     match_index: int = 0
--- a/saltport/owners/sessions.py
+++ b/saltport/owners/sessions.py
@@ -22,7 +22,7 @@
         return iter(self._renewed_at)
 
     def items(self) -> Iterator[tuple[Session, int]]:
-        """Iterate over sessions and the times of their latest renewals, in the order of their first ones."""
+        """Iterate over pairs of a session and the time of its latest renewal, by order of first renewal."""
         return iter(self._renewed_at.items())
 
     def renewed_at(self, session: Session, default: int) -> int:
--- a/saltport/peers/members.py
+++ b/saltport/peers/members.py
@@ -76,7 +76,7 @@
 
 
 def order_of(update: Alive | Suspect | Dead | Left) -> tuple[int, int, int]:
-    """Return the precedence of the record that an update would produce."""
+    """Return the precedence of the record that an update would produce: start, incarnation and state."""
     match update:
         case Alive():
             return (update.start, update.incarnation, State.ALIVE)
--- a/saltport/peers/reach.py
+++ b/saltport/peers/reach.py
@@ -102,7 +102,10 @@
         }
 
     def next_zone_cut(self, members: Members, me: str, start: int, now: int) -> ZoneCut | None:
-        """Return this router's zone cut as an update if it differs from the last one, otherwise None."""
+        """Return an update with the zones in which this router hears no member directly.
+
+        Return None if they are the same as in the previous update.
+        """
         cut_zones = tuple(
             zone
             for zone, reach in self.zones(members, me, now).items()
--- a/saltport/peers/send_queue.py
+++ b/saltport/peers/send_queue.py
@@ -12,8 +12,8 @@
 from saltport.peers.suspicion import Suspicion
 from saltport.peers.views import Views
 
-ENVELOPE_BYTES = 18  # version, key id and MAC
-# An array of more than 15 updates needs two more bytes.
+ENVELOPE_BYTES = 18  # size of the version, key id and MAC around a packet
+# Limit of an encoded packet; the array of updates needs two more bytes if it has more than 15.
 MAX_PACKET_BYTES = MAX_DATAGRAM_BYTES - ENVELOPE_BYTES - 2
 
 
@@ -60,7 +60,10 @@
     def send_to(
         self, name: str, body: Body, now: int, first: Sequence[Update] = (), optional: bool = False
     ) -> None:
-        """Queue a datagram to a known router, with any suspicion of it (Lifeguard's buddy system)."""
+        """Queue a datagram to a known router, with any suspicion of it (Lifeguard's buddy system).
+
+        The other arguments are those of `send`.
+        """
         record = self._members.records.get(name)
         if record is None or record.place is None or name == self._me.name:
             return
--- a/saltport/peers/suspicion.py
+++ b/saltport/peers/suspicion.py
@@ -41,7 +41,7 @@
         return Suspect(name, self.start, self.incarnation, accuser, ceil_ms(now - self.last_heard_at))
 
     def add_accuser(self, accuser: str, heard_at: int) -> bool:
-        """Add an accuser, with the time when it last heard_at the subject; returns whether it is new."""
+        """Add an accuser, with the time when it last heard the subject; returns whether it is new."""
         self.last_heard_at = max(self.last_heard_at, heard_at)
         known = accuser in self.accusers or len(self.accusers) >= MAX_ACCUSERS
         if known or heard_at + TRANSIT_TOLERANCE_NS < self.witnesses.get(accuser, 0):
@@ -50,7 +50,7 @@
         return True
 
     def add_witness(self, witness: str, heard_at: int) -> None:
-        """Record that a router heard_at the subject at a time; it stops being an accuser."""
+        """Record when a router heard the subject; the router is no longer an accuser."""
         self.last_heard_at = max(self.last_heard_at, heard_at)
         self.accusers.pop(witness, None)
         if witness in self.witnesses or len(self.witnesses) < MAX_ACCUSERS:
@@ -64,7 +64,11 @@
     def death_due_at(
         self, settings: PeerSettings, members: int, accusers: int, mass_suspicion: bool = False
     ) -> int:
-        """Return when that many accusers make the subject dead; `mass_suspicion` extends the silence."""
+        """Return when the subject may be declared dead, unless it is heard before.
+
+        `members` is the number of live members, `accusers` that of credible accusers; both determine the
+        required silence, which is longer during a mass suspicion.
+        """
         if not settings.refutation:
             return self.started_at + settings.silence(members, settings.confirmations + 1)
         silence = settings.silence(members, accusers)
--- a/saltport/peers/suspicions.py
+++ b/saltport/peers/suspicions.py
@@ -48,7 +48,7 @@
         return [name for name, suspicion in self.by_name.items() if self._me in suspicion.accusers]
 
     def withdraw_own(self, now: int) -> None:
-        """Withdraw this router from all accusations, after it was cut off or paused itself."""
+        """Withdraw all accusations by this router, after it was cut off or paused itself."""
         for suspicion in self.by_name.values():
             suspicion.withdraw_accuser(self._me, now)
 
@@ -123,7 +123,7 @@
         return True
 
     def on_datagram(self, record: Record, now: int) -> None:
-        """Witness for a suspected router that sent a datagram, and notify its accusers at a limited rate."""
+        """Record that a suspected router sent a datagram, and notify its accusers at a limited rate."""
         suspicion = self.by_name.get(record.name)
         if suspicion is None or suspicion.start != record.start:
             return
--- a/saltport/peers/views.py
+++ b/saltport/peers/views.py
@@ -70,7 +70,7 @@
         return True
 
     def adopt_number(self, number: int, digest: int) -> None:
-        """Adopt the view number of a router with an equal view if it is greater than the own number."""
+        """Adopt the greater view number of another router that has the same live members."""
         if digest == self.view.digest and number > self.view.number:
             self.view = View(number, digest, self.view.members, self.view.since)
 
--- a/tests/owners/test_storage.py
+++ b/tests/owners/test_storage.py
@@ -49,10 +49,10 @@
 def test_a_torn_last_record_is_cut_off_and_the_rest_holds(tmp_path: Path, torn: int) -> None:
     path = tmp_path / "voter"
     storage = stored_voter(path)
-    whole = path.stat().st_size
+    complete_bytes = path.stat().st_size
     storage.persist(Vote(3, "c"), None, entries(5, 6, term=3))
     storage.close()
-    os.truncate(path, whole + torn)
+    os.truncate(path, complete_bytes + torn)
     again = Storage(path, "a", VOTERS)
     assert again.torn_bytes == torn
     assert (again.vote, again.log.last_index) == (Vote(2, "b"), 4)
