--- a/saltport/cli/operating.py
+++ b/saltport/cli/operating.py
@@ -73,11 +73,11 @@
 @JSON_FLAG
 def peers(router: Address, settle: bool, as_json: bool) -> None:
     """Show a router's view of the other routers: their state and reachability, and its quorum state."""
-    from saltport.peers.formatting import lines
+    from saltport.peers.formatting import format_report
 
     if settle:
         call_router(router, "/peers/settle", "PUT")
-    print_report("peers", call_router(router, "/peers"), lines, as_json)
+    print_report("peers", call_router(router, "/peers"), format_report, as_json)
 
 
 @click.command()
@@ -93,7 +93,7 @@
 def owners(router: Address, step_down: bool, transfer: str | None, may: str | None, as_json: bool) -> None:
     """Show the owner of each piece of the fleet's work, with epochs and leases."""
     from saltport.admin.client import voter_path
-    from saltport.owners.words import lines
+    from saltport.owners.formatting import format_report
 
     if step_down:
         call_router(router, "/owners/step-down", "PUT")
@@ -104,4 +104,4 @@
         epoch = report.get("holds", {}).get(may)
         click.echo("no" if epoch is None else epoch)
         sys.exit(epoch is None)
-    print_report("owners", report, lines, as_json)
+    print_report("owners", report, format_report, as_json)
--- a/saltport/failover/link.py
+++ b/saltport/failover/link.py
@@ -1,4 +1,4 @@
-"""Connects failover to the event loop, the peers' socket, the leases and the routing decisions."""
+"""Connects failover to the event loop, the peers' socket, the owned tasks and the routing decisions."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from saltport.decisions.topology import Evidence, Topology
 from saltport.failover.agent import Agent
 from saltport.failover.messages import decode, encode
-from saltport.failover.settings import LEASE_NAME, FailoverSettings
+from saltport.failover.settings import TASK_NAME, FailoverSettings
 from saltport.owners.link import OwnersLink, boot_clock
 from saltport.peers.link import PeerLink
 
 MESSAGE_PREFIX = (
     0xC1  # first byte of a failover message in a datagram of the peers; no other message begins with it
 )
-TICK_INTERVAL_S = 0.1
+TICK_INTERVAL_S = 0.1  # time between two calls of the agent's periodic work
 
 log = logging.getLogger("saltport")
 
@@ -52,7 +52,7 @@
             peers.agent.name, topology, FailoverSettings(), random.Random(seed ^ 0xFA11), boot_clock(),
             self._current_epoch, warm_up_ns, self._admit,
         )  # fmt: skip
-        owners.wanted.append(LEASE_NAME)
+        owners.wanted.append(TASK_NAME)
         peers.prefix_handlers[MESSAGE_PREFIX] = self._on_datagram
         self._last_zone_plan: ZonePlan | None = None
         self._last_logged: tuple[object, ...] = ()
@@ -60,14 +60,14 @@
         self._tick()
 
     def _current_epoch(self, now: int) -> int | None:
-        """Return the epoch of the failover lease if this router holds it, else None."""
+        """Return the epoch under which this router owns the failover task, or None if it does not."""
         member = self._owners.member
-        return member.owner_lease.effect_epoch(LEASE_NAME, now) if member is not None else None
+        return member.owner_lease.effect_epoch(TASK_NAME, now) if member is not None else None
 
     def _admit(self, epoch: int) -> bool:
-        """Whether the fence of this process allows plans of an epoch."""
+        """Whether plans of this epoch may be applied: the fence has seen no later one of this task."""
         member = self._owners.member
-        return member is None or member.fence.admit(LEASE_NAME, epoch)
+        return member is None or member.fence.admit(TASK_NAME, epoch)
 
     def _tick(self) -> None:
         """Run the agent's periodic work and schedule the next call."""
@@ -125,7 +125,7 @@
         )  # fmt: skip
 
     def _shares(self, matrix: tuple[tuple[float, ...], ...]) -> list[tuple[str, float]]:
-        """Return the shares of the reads of this router's zone, by zone name."""
+        """Return pairs of a zone name and the share of this router's zone's reads that go there."""
         topology = self.agent.topology
         return list(zip(topology.zones, matrix[topology.own_zone], strict=True))
 
@@ -138,7 +138,13 @@
         return {**view, "orders": orders}
 
     def order(self, action: str, zone: str, transition_ms: int, force: bool) -> int | None:
-        """Submit an operator's order to the owner; return its id, or None for an unknown zone."""
+        """Submit an operator's order to the owner of the failover task.
+
+        Return the order's id, under which `view` shows the result, or None for an unknown zone. `action` is
+        `evacuate` or `return`, which move the reads of `zone` within `transition_ms` (0: the default), or
+        `freeze` or `thaw`, which stop and resume the making of plans for all zones. `force` evacuates a zone
+        also where too many reads would be refused.
+        """
         topology = self.agent.topology
         if zone and zone not in topology.zone_index:
             return None
@@ -150,6 +156,6 @@
         return number
 
     def close(self) -> None:
-        """Stop the agent."""
+        """Stop the periodic work of the agent."""
         if self._timer is not None:
             self._timer.cancel()
--- a/tests/nemesis/test_zone_processes.py
+++ b/tests/nemesis/test_zone_processes.py
@@ -13,7 +13,7 @@
 
 from saltport.audit import Limits, Verdict
 from saltport.cli import cli
-from saltport.failover.settings import LEASE_NAME
+from saltport.failover.settings import TASK_NAME
 from saltport.harness import run_load
 from saltport.load.plan import LoadPlan, Step
 from saltport.nemesis.history import History, PlanSample
@@ -70,7 +70,7 @@
             lines.append(f"{plan.at:6.1f} s {plan.router} follows {version} of {plan.author}: {plan.content}")
             followed[plan.router] = version
     owners = dict.fromkeys(
-        (claim.epoch, claim.router) for claim in nemesis.history.ownership if claim.piece == LEASE_NAME
+        (claim.epoch, claim.router) for claim in nemesis.history.ownership if claim.piece == TASK_NAME
     )
     lines.append(f"epochs and their owners: {list(owners)}")
     for name, report in sorted(nemesis.zone_reports.items()):
