--- a/tests/owners/test_raft.py
+++ b/tests/owners/test_raft.py
@@ -95,7 +95,7 @@
     cluster.run(6)
     rng = random.Random(seed)
     for _ in range(12):
-        # Five voters tolerate that at max_states two at a time lose their state.
+        # Five voters tolerate that at most two at a time lose their state.
         gone = rng.sample(sorted(cluster.disks), rng.randint(1, 2))
         cluster.propose(b"%d" % rng.randrange(1_000))
         for name in gone:
