--- a/saltport/decisions/inheritance.py
+++ b/saltport/decisions/inheritance.py
@@ -1,4 +1,4 @@
-"""Export and restore of the learnt state, for the hand-over to the process that replaces this one.
+"""Export and restore of the learned state, for the hand-over to the process that replaces this one.
 
 Times are transferred as ages, as clocks may differ. A message is validated completely before any of it is
 applied; entries of unknown servers and tenants are ignored.
@@ -23,7 +23,7 @@
 
 
 def export(router: Router, now: int) -> dict[str, Any]:
-    """Return the state that this router has learnt, as values for JSON."""
+    """Return the state that this router has learned, as values for JSON."""
     return {
         "form": FORMAT_VERSION,
         "tenants": {
@@ -65,7 +65,7 @@
 
 def _checked_number(value: Any, least: float = 0.0) -> Any:
     """Return `value` if it is a number of at least `least`, else raise WireError."""
-    return number("learnt state", value, least)
+    return number("learned state", value, least)
 
 
 def restore(router: Router, message: Any, now: int) -> None:
--- a/tests/decisions/test_inheritance.py
+++ b/tests/decisions/test_inheritance.py
@@ -1,4 +1,4 @@
-"""Transfer of the learnt state to the next process, and rejection of invalid messages."""
+"""Transfer of the learned state to the next process, and rejection of invalid messages."""
 
 from __future__ import annotations
 
