--- a/saltport/cli/zones.py
+++ b/saltport/cli/zones.py
@@ -21,7 +21,7 @@
 def zones(router: Address, as_json: bool) -> None:
     """Show how reads are distributed over zones, and the zone failover plan that prescribes it.
 
-    Also shows the zone states observed by the router that owns the plan and decides on its changes.
+    The router that decides on the plan also shows the demand, capacity and failures of each zone.
     """
     from saltport.failover.formatting import format_view
 
