--- a/saltport/downstream/clients.py
+++ b/saltport/downstream/clients.py
@@ -47,7 +47,7 @@
 # a close within 3 s.
 COMMAND_PROGRESS_TIMEOUT_S = 2.4  # to complete a command or to receive COMMAND_PROGRESS_BYTES more of it
 COMMAND_PROGRESS_BYTES = 16 << 10  # that restart the time-out of a partially received command
-MAX_PENDING_BYTES = 64 << 10  # of a partial command passed to a successor that does not take records
+MAX_PARTIAL_COMMAND_BYTES = 64 << 10  # of a partial command passed to a successor that does not take records
 IDLE_TIMEOUT_S = 2.0  # a connection without an open request may be closed after this time
 FIRST_REQUEST_GRACE_S = 0.1  # a new client is expected to send its first request within this time
 SWEEP_INTERVAL_S = 0.2  # between two checks of all connections for timeouts
@@ -205,7 +205,7 @@
         if self.transport is not None and reason is not CloseReason.ALL_ANSWERED:
             unsent = self.transport.get_write_buffer_size()
         unanswered = [reply.logged_id for reply in self.replies if reply.logged_id is not None]
-        access_log.closed(self.number, reason, unanswered, unsent, bool(self._dialect.need))
+        access_log.closed(self.number, reason, unanswered, unsent, bool(self._dialect.needed_bytes))
 
     def data_received(self, data: bytes) -> None:
         """Handle received data; an exception closes only this connection."""
@@ -228,12 +228,12 @@
         """
         reader = self._dialect
         self.last_active_at = self.server.loop.time()
-        starts_command = not reader.need
+        starts_command = not reader.needed_bytes
         commands = reader.feed(data)
         now, times = time.monotonic_ns(), self._receive_times
         received = times.estimate_from_loop(now, _shortest_timeout_ms(commands))
         if received is None:
-            is_last = len(commands) == 1 and not reader.need
+            is_last = len(commands) == 1 and not reader.needed_bytes
             received = times.record_read(now, emptied=len(data) < READ_SIZE_BYTES, is_last=is_last)
         for message, answers in commands:
             reply = Reply(self, answers)
@@ -241,9 +241,9 @@
                 reply.reserved, self._reserved = self._reserved, 0
             self.replies.append(reply)
             self._handle_message(message, reply, received)
-        if reader.broken:
-            self._end_broken_stream()
-        elif reader.need:
+        if reader.end_reason:
+            self._end_stream()
+        elif reader.needed_bytes:
             self._bytes_since_progress = (
                 0 if starts_command or commands else self._bytes_since_progress + len(data)
             )
@@ -252,7 +252,7 @@
                 # values slowly, and one that each byte restarts would let bad clients hold a connection
                 # indefinitely.
                 self._progress_at, self._bytes_since_progress = self.last_active_at, 0
-            if reader.need > LARGE_COMMAND_BYTES and not self._reserved and not self._awaiting_memory:
+            if reader.needed_bytes > LARGE_COMMAND_BYTES and not self._reserved and not self._awaiting_memory:
                 self.reserve()
         elif self._reserved:
             self.release_memory(self._reserved)
@@ -262,9 +262,9 @@
 
     def reserve(self) -> None:
         """Reserve memory for the long command being received; reading pauses until it is available."""
-        self._awaiting_memory = not self.server.budget.reserve_or_wait(self, self._dialect.need)
+        self._awaiting_memory = not self.server.budget.reserve_or_wait(self, self._dialect.needed_bytes)
         if not self._awaiting_memory:
-            self._reserved = self._dialect.need
+            self._reserved = self._dialect.needed_bytes
             self._progress_at = self.server.loop.time()
         self._set_reading()
 
@@ -272,13 +272,16 @@
         """Release so many bytes of memory reserved for a long command."""
         self.server.budget.release_memory(reserved)
 
-    def _end_broken_stream(self) -> None:
-        """Send the client an error for its invalid stream, and close the connection after that reply."""
+    def _end_stream(self) -> None:
+        """Send the dialect's closing reply after the outstanding ones, and then close the connection.
+
+        Called for an invalid stream, a command not completed in time, or the client's QUIT.
+        """
         self._close_when_answered = True
         self._set_reading()
         reply = Reply(self)
         self.replies.append(reply)
-        reply.send(self._dialect.breaking())
+        reply.send(self._dialect.closing_reply())
 
     def _handle_message(self, message: Message, reply: Reply, received: Received) -> None:
         """Handle one parsed command: pass on, refuse or reject a request, or answer a ping."""
@@ -368,7 +371,7 @@
         wanted = not (
             self.writing_paused
             or self._awaiting_memory
-            or self._dialect.broken
+            or self._dialect.end_reason
             or full
             or self._moves_to_successor
         )
@@ -388,7 +391,7 @@
         """Whether no reply is outstanding and no command is partially received."""
         # Danger: data that can't be read for lack of memory may be a request, which the kernel has already
         # acknowledged to the client.
-        return not self.replies and not self._dialect.need and not self._read_is_delayed
+        return not self.replies and not self._dialect.needed_bytes and not self._read_is_delayed
 
     @property
     def _read_is_delayed(self) -> bool:
@@ -406,7 +409,7 @@
     def _closes_when_answered(self) -> bool:
         """Whether the connection closes once no reply is outstanding."""
         return self._close_when_answered or (
-            self.server.closing_when_answered and self.has_carried_request and not self._dialect.need
+            self.server.closing_when_answered and self.has_carried_request and not self._dialect.needed_bytes
         )
 
     @property
@@ -415,7 +418,7 @@
         successor = self.server.successor
         if successor is None or not successor.takes_records:
             return False
-        return not (self._pinned or self._close_when_answered or self._dialect.broken)
+        return not (self._pinned or self._close_when_answered or self._dialect.end_reason)
 
     def finish(self, even_mid_command: bool) -> None:
         """Hand the connection over, or close it once no reply is outstanding.
@@ -432,7 +435,7 @@
             self._end()
         else:
             self._close_when_answered = (
-                even_mid_command or not self._dialect.need or self._close_when_answered
+                even_mid_command or not self._dialect.needed_bytes or self._close_when_answered
             )
 
     def _try_hand_over(self) -> bool:
@@ -479,7 +482,7 @@
         if self.server.access_log is not None:
             self._log_close(self.server.access_log, CloseReason.MOVED)
         replies, self.replies = self.replies, deque()
-        age_s = self.server.loop.time() - self._progress_at if self._dialect.need else 0.0
+        age_s = self.server.loop.time() - self._progress_at if self._dialect.needed_bytes else 0.0
         record = frozen.record(self._dialect, self.has_carried_request, transport.unsent, replies, age_s)
         self._mark_closed(CloseReason.MOVED)
         successor.offer(
@@ -492,25 +495,29 @@
         This is for a successor that does not accept a `ConnectionRecord`, the serialized state of a
         connection with outstanding replies. Return False if it is not possible now.
         """
-        successor, transport, pending = self.server.successor, self.transport, self._dialect.held
+        successor, transport, partial_command = (
+            self.server.successor,
+            self.transport,
+            self._dialect.partial_command,
+        )
         if successor is None or transport is None or transport.is_closing() or self.closed:
             return False
         if (
             self._pinned
             or self._close_when_answered
-            or self._dialect.broken
+            or self._dialect.end_reason
             or transport.get_write_buffer_size()
         ):
             return False
         if (
-            len(pending) > MAX_PENDING_BYTES
+            len(partial_command) > MAX_PARTIAL_COMMAND_BYTES
             or self._reserved
             or self._awaiting_memory
             or self._dialect.name != "resp"
         ):
             return False
         # Danger: data read from here on would be lost, because the successor already has the partial command.
-        if not successor.give(transport.get_extra_info("socket").fileno(), pending):
+        if not successor.send_idle_connection(transport.get_extra_info("socket").fileno(), partial_command):
             return False
         transport.abort()
         self._mark_closed(CloseReason.MOVED)
@@ -546,10 +553,10 @@
             # indefinitely.
             self.finish(even_mid_command=False)
             return
-        midway = self._dialect.need and not self._awaiting_memory and not self.replies
+        midway = self._dialect.needed_bytes and not self._awaiting_memory and not self.replies
         if midway and now - self._progress_at > COMMAND_PROGRESS_TIMEOUT_S:
             log.warning("client did not complete its command in time; closing")
-            self._end_broken_stream()
+            self._end_stream()
 
     def _client_is_reading(self, now: float) -> bool:
         """Whether the client still acknowledges buffered bytes, so that it is slow rather than idle."""
--- a/saltport/downstream/connection_handover.py
+++ b/saltport/downstream/connection_handover.py
@@ -31,13 +31,13 @@
     def free_capacity(self) -> int:
         """The number of connections that may be frozen for it now, besides those already queued or sent."""
 
-    def give(self, descriptor: int, pending: bytes) -> bool:
+    def send_idle_connection(self, descriptor: int, partial_command: bytes) -> bool:
         """Send an idle connection and its partial command; return False if that is not possible now.
 
         The caller closes its own copy of the descriptor.
         """
 
-    def offer(self, parcel: ConnectionTransfer) -> None:
+    def offer(self, transfer: ConnectionTransfer) -> None:
         """Queue the record of a connection that this process no longer reads or writes, for sending.
 
         It is sent as soon as the link to the successor has capacity.
@@ -108,7 +108,9 @@
             segments.append(Segment(rest))
         age_ms = min(int(command_age_s * 1000), MAX_COMMAND_AGE_MS)
         return encode(
-            ConnectionRecord(dialect.name, has_carried_request, dialect.held, tuple(segments), age_ms)
+            ConnectionRecord(
+                dialect.name, has_carried_request, dialect.partial_command, tuple(segments), age_ms
+            )
         )
 
 
--- a/saltport/downstream/memcached.py
+++ b/saltport/downstream/memcached.py
@@ -133,19 +133,19 @@
         """Whether the previous command was quiet."""
 
     @property
-    def need(self) -> int:
-        """Bytes that the partial packet is known to need; 0 between packets."""
+    def needed_bytes(self) -> int:
+        """Bytes that the partial packet needs at least, counted from its start; 0 between packets."""
         return 0 if self._quit else self._reader.needed_bytes
 
     @property
-    def held(self) -> bytes:
+    def partial_command(self) -> bytes:
         """The received bytes of the partial packet, which is all the state that a hand-over needs."""
         return self._reader.pending
 
     @property
-    def broken(self) -> str:
-        """Why the stream can't be read any further, which includes a QUIT; empty while it can."""
-        return "quit" if self._quit else self._reader.broken
+    def end_reason(self) -> str:
+        """Why no further packets can be parsed: a framing error, or `quit`; empty while they can."""
+        return "quit" if self._quit else self._reader.framing_error
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
         """Parse received bytes; return the complete commands, each with its reply encoder."""
@@ -157,11 +157,11 @@
             messages.append(self._message(packet))
         return messages
 
-    def breaking(self) -> bytes:
-        """Return the last packet before the close: the reply to QUIT, or the error that broke the stream."""
+    def closing_reply(self) -> bytes:
+        """Return the last packet before the close: the reply to QUIT, or an error for an invalid stream."""
         if self._quit is not None:
             return b"" if self._quit.quiet else MemcachedAnswers(self._quit).pong(ready=True)
-        reason = self._reader.broken or "packet not finished in time"
+        reason = self._reader.framing_error or "packet not finished in time"
         return MemcachedAnswers(Packet(Opcode.NOOP)).rejected(reason)
 
     def _message(self, packet: Packet) -> tuple[Message, Answers]:
@@ -231,9 +231,9 @@
         self._detected: ClientDialect | None = None
 
     @property
-    def need(self) -> int:
-        """Bytes that the partial command is known to need; 0 between commands."""
-        return self._detected.need if self._detected is not None else 0
+    def needed_bytes(self) -> int:
+        """Bytes that the partial command needs at least, counted from its start; 0 between commands."""
+        return self._detected.needed_bytes if self._detected is not None else 0
 
     @property
     def name(self) -> str:
@@ -241,14 +241,14 @@
         return self._detected.name if self._detected is not None else ""
 
     @property
-    def held(self) -> bytes:
+    def partial_command(self) -> bytes:
         """The received bytes of the partial command."""
-        return self._detected.held if self._detected is not None else b""
+        return self._detected.partial_command if self._detected is not None else b""
 
     @property
-    def broken(self) -> str:
-        """Why the stream can't be parsed any further; empty while it can."""
-        return self._detected.broken if self._detected is not None else ""
+    def end_reason(self) -> str:
+        """Why no further commands can be parsed; empty while they can."""
+        return self._detected.end_reason if self._detected is not None else ""
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
         """Detect the dialect if necessary and parse received bytes; return the complete commands."""
@@ -256,6 +256,6 @@
             self._detected = (self._memcached if data[:1] == b"\x80" else self._other)()
         return self._detected.feed(data)
 
-    def breaking(self) -> bytes:
-        """Return what the client is sent before a broken stream is closed."""
-        return self._detected.breaking() if self._detected is not None else b""
+    def closing_reply(self) -> bytes:
+        """Return the last reply before the close; empty if no dialect was detected."""
+        return self._detected.closing_reply() if self._detected is not None else b""
--- a/saltport/downstream/resp.py
+++ b/saltport/downstream/resp.py
@@ -59,27 +59,27 @@
         self._reader = CommandReader()
 
     @property
-    def need(self) -> int:
-        """Bytes that the partial command is known to need; 0 between commands."""
+    def needed_bytes(self) -> int:
+        """Bytes that the partial command needs at least, counted from its start; 0 between commands."""
         return self._reader.needed_bytes
 
     @property
-    def held(self) -> bytes:
+    def partial_command(self) -> bytes:
         """The received bytes of the partial command."""
         return self._reader.pending
 
     @property
-    def broken(self) -> str:
-        """Why the stream can't be parsed any further; empty while it can."""
-        return self._reader.broken
+    def end_reason(self) -> str:
+        """The framing error that ended the stream; empty if there is none."""
+        return self._reader.framing_error
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
         """Parse received bytes; return the complete commands, each with its reply encoder."""
         return [(_message(words), ANSWERS) for words in self._reader.feed(data)]
 
-    def breaking(self) -> bytes:
-        """Return the protocol error sent before a broken stream is closed, in the form RESP servers use."""
-        return ANSWERS.rejected(f"Protocol error: {self.broken or 'command not finished in time'}")
+    def closing_reply(self) -> bytes:
+        """Return the protocol error that is sent before the close, in the form RESP servers use."""
+        return ANSWERS.rejected(f"Protocol error: {self.end_reason or 'command not finished in time'}")
 
 
 def _message(words: list[bytes]) -> Message:
--- a/saltport/lifecycle/takeover.py
+++ b/saltport/lifecycle/takeover.py
@@ -181,16 +181,18 @@
         """How many more connections may be frozen for the successor now."""
         return self.sender.free_capacity
 
-    def give(self, descriptor: int, pending: bytes) -> bool:
+    def send_idle_connection(self, descriptor: int, partial_command: bytes) -> bool:
         """Send an idle connection and its partial command; return False if that is not possible now."""
-        return self._successor is not None and self._successor.send(IDLE_CONNECTION + pending, [descriptor])
+        return self._successor is not None and self._successor.send(
+            IDLE_CONNECTION + partial_command, [descriptor]
+        )
 
-    def offer(self, parcel: ConnectionTransfer) -> None:
+    def offer(self, transfer: ConnectionTransfer) -> None:
         """Queue a frozen connection for the successor; without a successor, resume the connection here."""
         if self._successor is None:
-            parcel.resume()
+            transfer.resume()
             return
-        self.sender.enqueue(parcel)
+        self.sender.enqueue(transfer)
         self._send_queued()
 
     def _send_queued(self) -> None:
--- a/saltport/messages.py
+++ b/saltport/messages.py
@@ -83,23 +83,23 @@
     """Parses the bytes of one client connection into messages, within size limits."""
 
     @property
-    def need(self) -> int:
-        """Known size in bytes of the incomplete command; 0 between commands."""
+    def needed_bytes(self) -> int:
+        """Bytes that the incomplete command needs at least, counted from its start; 0 between commands."""
 
     @property
-    def broken(self) -> str:
-        """Why the stream can't be parsed any further; empty while it can."""
+    def end_reason(self) -> str:
+        """Why no further commands can be parsed: an invalid stream, or QUIT; empty while they can."""
 
     @property
     def name(self) -> str:
         """The dialect's name, by which another process that takes over the connection chooses its parser."""
 
     @property
-    def held(self) -> bytes:
-        """The bytes of the incomplete command, for another parser to continue with."""
+    def partial_command(self) -> bytes:
+        """The received bytes of the incomplete command, with which another parser can continue."""
 
     def feed(self, data: bytes) -> list[tuple[Message, Answers]]:
-        """Return the commands that are now complete, the invalid one last if it sets `broken`."""
+        """Return the commands that are now complete, the invalid one last if it sets `end_reason`."""
 
-    def breaking(self) -> bytes:
-        """Return the error reply that is sent before a broken stream is closed."""
+    def closing_reply(self) -> bytes:
+        """Return the last reply before the connection is closed: an error, or the reply to QUIT."""
--- a/saltport/wire/memcached.py
+++ b/saltport/wire/memcached.py
@@ -169,7 +169,7 @@
         self._buffer = bytearray()
         self.needed_bytes = 0
         """Bytes that the incomplete packet needs at least, counted from its start; 0 between packets."""
-        self.broken = ""
+        self.framing_error = ""
         """The framing error that ended the stream; empty if there is none."""
 
     @property
@@ -178,8 +178,8 @@
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[Packet]:
-        """Return the packets completed by `data`; a framing error sets `broken` and ends the list."""
-        if self.broken:
+        """Return the packets completed by `data`; a framing error sets `framing_error` and ends the list."""
+        if self.framing_error:
             return []
         if self.needed_bytes:
             self._buffer += data
@@ -192,14 +192,14 @@
         at = 0
         while at < len(data):
             if data[at] != self._magic:
-                self.broken = f"magic 0x{data[at]:02x} for 0x{self._magic:02x}"
+                self.framing_error = f"magic 0x{data[at]:02x} for 0x{self._magic:02x}"
                 break
             if len(data) - at < HEADER.size:
                 self.needed_bytes = HEADER.size
                 break
             _, opcode, key, extras, kind, status, body, opaque, cas = HEADER.unpack_from(data, at)
-            self.broken = self._header_error(opcode, key, extras, kind, body)
-            if self.broken:
+            self.framing_error = self._header_error(opcode, key, extras, kind, body)
+            if self.framing_error:
                 break
             end = at + HEADER.size + body
             if end > len(data):
--- a/saltport/wire/resp.py
+++ b/saltport/wire/resp.py
@@ -37,7 +37,7 @@
         self._buffer = bytearray()
         self.needed_bytes = 0
         """Bytes that the incomplete command needs at least, counted from its start; 0 between commands."""
-        self.broken = ""
+        self.framing_error = ""
         """The framing error that ended the stream; empty if there is none."""
 
     @property
@@ -46,7 +46,7 @@
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[list[bytes]]:
-        """Return the commands completed by `data`; a framing error sets `broken` and ends the list."""
+        """Return the commands completed by `data`; a framing error sets `framing_error` and ends the list."""
         if self.needed_bytes:
             self._buffer += data
             if len(self._buffer) < self.needed_bytes:
@@ -67,7 +67,7 @@
                 self._buffer += data[position:]
                 break
             except FramingError as error:
-                self.broken = str(error)
+                self.framing_error = str(error)
                 break
             commands.append(words)
             position = end
--- a/tests/crossings/test_closing.py
+++ b/tests/crossings/test_closing.py
@@ -154,7 +154,7 @@
     async def scenario(clients: ClientSide) -> None:
         end, connection = await clients.client(small=True)
         end.sendall(get("a1") + b"?never a command\r\n")
-        await clients.until(lambda: connection._dialect.broken)
+        await clients.until(lambda: connection._dialect.end_reason)
         end.sendall(get("a2") * 100)  # no longer read: it is in the kernel at the close
         wait_for_unread_bytes(connection)
         clients.host.requests[0][1].served(LONG)
@@ -177,7 +177,7 @@
         other, other_connection = await clients.client()
         half = get("b1")[:20]
         other.sendall(half)
-        await clients.until(lambda: other_connection._dialect.need)
+        await clients.until(lambda: other_connection._dialect.needed_bytes)
         other_connection.has_carried_request = True  # used before, and within a command when the drain begins
         connection.finish(even_mid_command=False)
         other_connection.finish(even_mid_command=False)
--- a/tests/downstream/test_memcached.py
+++ b/tests/downstream/test_memcached.py
@@ -186,15 +186,15 @@
         stream = [Packet(Opcode.GET, b"k"), Packet(opcode), Packet(Opcode.GET, b"never")]
         messages = dialect.feed(b"".join(encode(packet, REQUEST_MAGIC) for packet in stream))
         assert len(messages) == 1
-        assert dialect.broken
-        assert parse_replies(dialect.breaking()) == expected
+        assert dialect.end_reason
+        assert parse_replies(dialect.closing_reply()) == expected
 
 
 def test_broken_streams_get_an_error_with_the_reason() -> None:
     dialect = MemcachedDialect(RULES)
     assert dialect.feed(b"\x80" + b"\xff" * 23) == []
-    assert dialect.broken
-    (answer,) = parse_replies(dialect.breaking())
+    assert dialect.end_reason
+    (answer,) = parse_replies(dialect.closing_reply())
     assert answer.status == Status.INVALID_ARGUMENTS
     assert b"data type" in answer.value
 
@@ -204,8 +204,8 @@
         return DetectingDialect(lambda: MemcachedDialect(RULES), RespDialect)
 
     binary, plain = detecting(), detecting()
-    assert (binary.need, binary.broken, binary.breaking()) == (0, "", b"")
+    assert (binary.needed_bytes, binary.end_reason, binary.closing_reply()) == (0, "", b"")
     assert isinstance(binary.feed(encode(Packet(Opcode.NOOP), REQUEST_MAGIC))[0][0], Ping)
     assert isinstance(plain.feed(b"*1\r\n$4\r\nPING\r\n")[0][0], Ping)
     assert binary.feed(b"*1\r\n$4\r\nPING\r\n") == []
-    assert "magic 0x2a" in binary.broken
+    assert "magic 0x2a" in binary.end_reason
--- a/tests/wire/test_memcached.py
+++ b/tests/wire/test_memcached.py
@@ -73,7 +73,7 @@
     for packet in read:
         packet.fault = ""
     assert read == packets
-    assert (reader.needed_bytes, reader.broken) == (0, "")
+    assert (reader.needed_bytes, reader.framing_error) == (0, "")
 
 
 @given(pieces=strategies.lists(strategies.binary(max_size=120), max_size=6))
@@ -83,10 +83,10 @@
     for data in pieces:
         reader.feed(data)
         assert reader.needed_bytes <= HEADER.size + 255 + 0xFFFF + 1000
-        if reader.broken:
-            error = reader.broken
+        if reader.framing_error:
+            error = reader.framing_error
             assert reader.feed(b"\x80" * 50) == []
-            assert reader.broken == error
+            assert reader.framing_error == error
 
 
 @given(packet=PACKETS, place=strategies.integers(0, 23), byte=strategies.integers(0, 255))
@@ -117,7 +117,7 @@
     reader = PacketReader(REQUEST_MAGIC)
     good = encode(Packet(Opcode.GET, b"k"), REQUEST_MAGIC)
     assert [packet.key for packet in reader.feed(good + head)] == [b"k"]
-    assert words in reader.broken
+    assert words in reader.framing_error
 
 
 @pytest.mark.parametrize(
@@ -143,7 +143,7 @@
     bad, after = reader.feed(encode(packet, REQUEST_MAGIC) + encode(noop, REQUEST_MAGIC))
     assert words in bad.fault
     assert after == noop
-    assert reader.broken == ""
+    assert reader.framing_error == ""
 
 
 def test_every_opcode_has_a_rule_and_unknown_opcodes_are_accepted() -> None:
--- a/tests/wire/test_resp.py
+++ b/tests/wire/test_resp.py
@@ -40,7 +40,7 @@
     reader = CommandReader()
     original, resp.MAX_FAST_PATH_BYTES = resp.MAX_FAST_PATH_BYTES, -1
     try:
-        return reader.feed(data), reader.broken, reader.needed_bytes
+        return reader.feed(data), reader.framing_error, reader.needed_bytes
     finally:
         resp.MAX_FAST_PATH_BYTES = original
 
@@ -55,14 +55,14 @@
         read += reader.feed(stream[at:cut])
         at = cut
     assert read == [words, words]
-    assert (reader.needed_bytes, reader.broken) == (0, "")
+    assert (reader.needed_bytes, reader.framing_error) == (0, "")
 
 
 @given(data=TRICKY)
 @profile(derandomize=True, max_examples=1500, deadline=None)
 def test_fast_path_and_full_parser_agree(data: bytes) -> None:
     reader = CommandReader()
-    assert (reader.feed(data), reader.broken, reader.needed_bytes) == read_with_full_parser(data)
+    assert (reader.feed(data), reader.framing_error, reader.needed_bytes) == read_with_full_parser(data)
 
 
 def test_long_info_is_parsed_without_the_cache() -> None:
