--- a/saltport/cli/operating.py
+++ b/saltport/cli/operating.py
@@ -44,7 +44,7 @@
 @click.command()
 @ROUTER_ARGUMENT
 def drain(router: Address) -> None:
-    """Drain a router: clients are told to use another router, and their connections are closed."""
+    """Drain a router: clients are asked to use another router, and their connections are closed."""
     print_json(call_router(router, "/healthcheck/fail", "PUT"))
 
 
--- a/saltport/cli/standins.py
+++ b/saltport/cli/standins.py
@@ -134,7 +134,7 @@
     help="A parameter of the fault; may be given again.",
 )
 def strike(control: Address, kind: str, target: str, figures: tuple[str, ...]) -> None:
-    """Start a fault now."""
+    """Start a fault of this kind now; `saltport fault list` shows the kinds and their targets."""
     parsed: dict[str, Any] = {}
     for figure in figures:
         name, sign, value = figure.partition("=")
--- a/saltport/decisions/health.py
+++ b/saltport/decisions/health.py
@@ -33,7 +33,7 @@
         self.limit = Limit(known_at)
         self.timeliness = Timeliness()
         self.weight_factor, self.weight_factor_at = 1.0, 0
-        """The share of its slots' reads that the server keeps, and when the last change of it has settled.
+        """The share of its slots' reads that the server gets, and when its last change took full effect.
 
         Load reports of attempts that were sent before that time are ignored.
         """
--- a/saltport/decisions/limits.py
+++ b/saltport/decisions/limits.py
@@ -19,7 +19,7 @@
 # Bounds of the pause after a server refused an attempt: about one response time, doubled at each refusal.
 MIN_PAUSE_NS, MAX_PAUSE_NS = NS_PER_S // 50, NS_PER_S
 SMOOTHING = 1 / 4  # weight of the latest answer in the smoothed response time
-STALE_AFTER_NS = 10 * NS_PER_S  # without an answer, after which learnt times are discarded
+STALE_AFTER_NS = 10 * NS_PER_S  # without an answer, after which learned times are discarded
 
 
 class Limit:
--- a/saltport/decisions/suppression.py
+++ b/saltport/decisions/suppression.py
@@ -34,7 +34,7 @@
         self._last_rise = 0
 
     def retune(self, tenant: Tenant, routers: int) -> None:
-        """Apply the tenant's portion and quota; counts and the learnt limit are preserved."""
+        """Apply the tenant's portion and quota; counts and the learned limit are preserved."""
         self.name, self.portion = tenant.name or "(none)", tenant.portion
         self.cap = (tenant.quota_per_s or DEFAULT_LIMIT_PER_S) / routers
         self.limit = min(self.limit, self.cap)
--- a/saltport/decisions/topology.py
+++ b/saltport/decisions/topology.py
@@ -26,7 +26,7 @@
     origins: tuple[tuple[str, str], ...] = ()
     """Pairs of a region and the id of its origin; empty: any origin serves all regions."""
     capacity: tuple[float, ...] = ()
-    """Requests per second that a server of each zone can serve; 0 or absent: the capacity is learnt."""
+    """Requests per second that a server of each zone can serve; 0 or absent: the capacity is learned."""
 
     def __post_init__(self) -> None:
         if not 1 <= len(self.zones) <= MAX_ZONES or len(set(self.zones)) != len(self.zones):
--- a/saltport/decisions/views.py
+++ b/saltport/decisions/views.py
@@ -71,12 +71,12 @@
 
 def limit(node: Node) -> dict[str, float | None]:
     """Return one server's limit and weight factor, with times in milliseconds."""
-    learnt = node.limit
+    estimate = node.limit
     return {
-        "limit": None if math.isinf(learnt.limit) else round(learnt.limit, 1),
+        "limit": None if math.isinf(estimate.limit) else round(estimate.limit, 1),
         "out": node.load,
-        "work_ms": round(learnt.base_response_time / 1e6, 1),
-        "waiting_ms": round(max(learnt.response_time - learnt.base_response_time, 0.0) / 1e6, 1),
+        "work_ms": round(estimate.base_response_time / 1e6, 1),
+        "waiting_ms": round(max(estimate.response_time - estimate.base_response_time, 0.0) / 1e6, 1),
         "weight_factor": round(node.weight_factor, 3),
         "portion": round(node.weight_factor, 3),  # the name until the next version
         "least_ms": node.timeliness.min_time / 1e6,
--- a/saltport/demo.py
+++ b/saltport/demo.py
@@ -32,11 +32,15 @@
 
     seconds: float | None
     nodes: int = 6
+    """The number of simulated cache servers."""
     routers: int = 1
     rate: float = 60.0
+    """The requests per second of all clients together."""
     fault: str | None = None
+    """The kind of fault that is injected repeatedly; None: no faults."""
     seed: int = 1
     work_divisor: float = 4.0
+    """The factor by which the stand-ins work faster than in the default profile."""
     as_json: bool = False
 
 
--- a/saltport/downstream/access_log.py
+++ b/saltport/downstream/access_log.py
@@ -1,7 +1,7 @@
 """The access log: accepted requests, their final answers, and connections closed with unfinished work.
 
 Entries are JSON objects, one per line, encoded from the structs of this module; the field `event` gives the
-type. Times are nanoseconds of the machine's monotonic clock. The entries of one iteration of the event loop
+type. Times are nanoseconds of the system's monotonic clock. The entries of one iteration of the event loop
 are written together at its end with one system call, so a process that is killed loses the entries of at most
 one iteration. Entries that could not be written are written together with the next ones.
 """
--- a/saltport/nemesis/runner.py
+++ b/saltport/nemesis/runner.py
@@ -228,7 +228,10 @@
         return "; ".join(descriptions)
 
     async def wait_until_agreed(self, seconds: float = 30.0) -> None:
-        """Wait until every running router reports exactly the running routers as members."""
+        """Wait until every running router reports exactly the running routers as members, with equal digests.
+
+        Raises NemesisError after `seconds`.
+        """
         running = frozenset(router.name for router in self.harness.router_processes if router.alive)
 
         def agreed(last: dict[str, Sample]) -> bool:
@@ -364,8 +367,7 @@
     async def play(self, faults: Sequence[ScheduledFault], progress: Callable[[str], None]) -> None:
         """Inject the faults of a schedule at their times, overlapping, and wait until all routers agree.
 
-        Raises NemesisError if the running routers do not all report each other as members within 60 s of
-        the last fault.
+        Raises NemesisError if their membership views still differ 60 s after the last fault.
         """
 
         async def inject_in_time(fault: ScheduledFault) -> None:
--- a/saltport/transport/stream.py
+++ b/saltport/transport/stream.py
@@ -26,7 +26,7 @@
 
 
 class StreamProtocol(asyncio.Protocol):
-    """A protocol that is also told when this machine lacks memory to read or write."""
+    """A protocol that is also notified when the system lacks memory to read or write."""
 
     def read_out_of_memory(self) -> None:
         """Called when a read failed as this machine lacks memory; the peer's data stays in the kernel."""
--- a/tests/decisions/test_requests.py
+++ b/tests/decisions/test_requests.py
@@ -386,7 +386,7 @@
 
 
 def warmed(router: Router, answers: int = 60) -> int:
-    """Let all caches answer until the router has learnt their response time; return the time after that."""
+    """Let all caches answer until the router has learned their response time; return the time after that."""
     for i in range(answers):
         send = only_send(router.handle(request(f"w{i}", i * MS, key=f"k{i}"), i * MS))
         router.handle(ended(send, Outcome.OK), (i + 20) * MS)
