--- a/saltport/cli/standins.py
+++ b/saltport/cli/standins.py
@@ -63,7 +63,11 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--ledger", type=FILE_PATH, help="Write the fleet's ledger to this file.")
 def standins(nodes: int, routers: tuple[str, ...], control: int, seed: int, ledger: Path | None) -> None:
-    """Run a fleet of stand-ins; the first line of output is a JSON object with their addresses."""
+    """Run simulated cache servers, origins and a registry for each named router.
+
+    The first line of output is a JSON object with their addresses. Faults are injected through the control
+    socket. The ledger records the requests that the simulated servers receive.
+    """
     import uvloop
 
     from saltport.standins.__main__ import serve
@@ -130,7 +134,7 @@
     help="A parameter of the fault; may be given again.",
 )
 def strike(control: Address, kind: str, target: str, figures: tuple[str, ...]) -> None:
-    """Start a fault now."""
+    """Start a fault of this kind now; `saltport fault list` shows the kinds and their targets."""
     parsed: dict[str, Any] = {}
     for figure in figures:
         name, sign, value = figure.partition("=")
